--- a/policy/include/egretladder/policy/admit.h
+++ b/policy/include/egretladder/policy/admit.h
@@ -18,45 +18,47 @@
 /// The longest that a request may wait: its deadline, or the class's
 /// `max_wait` where the operator allows more than the class's target. A caller
 /// that asked for less than the target has its own deadline kept.
-Time BoundOf(const Request& request, const rules::Class& cls);
+Time GetQueueDeadline(const Request& request, const rules::Class& cls);
 
 /// Work that goes before an arriving request at its target.
 struct WorkAhead {
   double requests = 0;
   double slot_seconds = 0;  ///< That it will take, by learned means.
-  double ends = 0;          ///< Seen of the own class: the evidence.
+  double completions = 0;   ///< Seen of the own class: the evidence.
 };
 
 /// The slots of a target and what keeps them.
-struct SlotsInUse {
+struct SlotCapacity {
   std::uint32_t slots = 0;
-  std::uint32_t free = 0;        ///< Free for this request's tier.
-  double releases_a_second = 0;  ///< By what runs now.
-  double part_left = 1;  ///< That higher tiers, as they arrive, leave over.
+  std::uint32_t free = 0;          ///< Free for this request's tier.
+  double releases_per_second = 0;  ///< By what runs now.
+  double available_ratio =
+      1;  ///< That higher tiers, as they arrive, leave over.
 };
 
 /// Expected wait until a slot is free for the arriving request.
-Seconds EstimateWait(const WorkAhead& ahead, const SlotsInUse& slots);
+Seconds EstimateWait(const WorkAhead& ahead, const SlotCapacity& slots);
 
 /// How much of a class's queue goes before one more request of an account:
 /// fair turns let an account with little waiting pass a batch of another.
-double FairAhead(std::uint32_t class_waiting, std::uint32_t accounts_waiting,
-                 std::uint32_t account_waiting);
+double FairRequestsAhead(std::uint32_t class_waiting,
+                         std::uint32_t waiting_accounts,
+                         std::uint32_t account_waiting);
 
 /// What an arriving request's admission depends on.
-struct AdmitQuestion {
+struct AdmissionContext {
   std::uint32_t class_waiting = 0;  ///< Over all targets.
   std::uint32_t class_cap = 0;      ///< 0: none.
   std::uint32_t account_waiting = 0;
-  std::uint32_t account_cap = 0;  ///< 0: none.
-  bool can_start_now = false;     ///< A slot is free and nothing goes before.
-  Seconds wait{};                 ///< Expected, behind what is in time.
-  Seconds wait_late{};            ///< Expected, behind all that waits.
-  Seconds first_token{};          ///< Expected, from start.
-  double trust = 0;         ///< In the estimates, from 0 (nothing seen) to 1.
+  std::uint32_t account_cap = 0;    ///< 0: none.
+  bool can_start_now = false;       ///< A slot is free and nothing goes before.
+  Seconds expected_wait{};          ///< Expected, behind what is in time.
+  Seconds expected_wait_if_late{};  ///< Expected, behind all that waits.
+  Seconds time_to_first_token{};    ///< Expected, from start.
+  double confidence = 0;    ///< In the estimates, from 0 (nothing seen) to 1.
   bool overloaded = false;  ///< Its tier and higher ones bring too much.
   Time deadline{};
-  Time bound{};
+  Time queue_deadline{};
 };
 
 /// Says why a request is turned away; nothing when it may wait. Room in the
@@ -65,12 +67,13 @@
 /// What would be late may wait up to its bound only while less arrives than the
 /// slots bear: in a lasting overload what is in time always goes before, so
 /// that late work would wait to its bound and be refused then.
-std::optional<RefuseReason> DecideAdmit(const AdmitQuestion& question,
-                                        Time now);
+std::optional<RefuseReason> DecideAdmission(const AdmissionContext& context,
+                                            Time now);
 
 /// When a refused caller should come back: once the expected wait will fit.
 /// `jitter` from 0 up to 1 spreads callers that were refused together.
-std::chrono::milliseconds RetryAfter(Seconds wait, Seconds may_wait,
-                                     double jitter, const Limits& limits);
+std::chrono::milliseconds RetryAfter(Seconds expected_wait,
+                                     Seconds allowed_wait, double jitter,
+                                     const Limits& limits);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/estimate.h
+++ b/policy/include/egretladder/policy/estimate.h
@@ -17,40 +17,40 @@
 using Seconds = std::chrono::duration<double>;
 
 /// What was seen of one class at one target.
-struct WorkSeen {
+struct ServiceTimeStats {
   double slot_seconds = 0;  ///< Spent, fading with each end.
-  double ends = 0;          ///< Fading likewise.
+  double completions = 0;   ///< Fading likewise.
   std::uint32_t running = 0;
-  kernel::Time until{};  ///< `slot_seconds` counts up to here.
-  double first_token_seconds = 0;
-  double first_token_squares = 0;
-  double first_tokens = 0;
+  kernel::Time updated_at{};  ///< `slot_seconds` counts up to here.
+  double first_token_sum_seconds = 0;
+  double first_token_square_sum = 0;
+  double first_token_count = 0;
   double tokens = 0;  ///< Produced by ended work, fading.
 };
 
 /// A request of the class was dispatched to the target.
-void OnWorkStarted(WorkSeen& seen, kernel::Time now);
+void RecordDispatch(ServiceTimeStats& stats, kernel::Time now);
 /// Its first token came; older ones fade beyond `ends_remembered`.
-void OnFirstTokenSeen(WorkSeen& seen, Seconds after_dispatch,
+void RecordFirstToken(ServiceTimeStats& stats, Seconds after_dispatch,
                       double ends_remembered);
 /// `tokens` were produced in all.
-void OnWorkEnded(WorkSeen& seen, std::uint32_t tokens, double ends_remembered,
-                 kernel::Time now);
+void RecordCompletion(ServiceTimeStats& stats, std::uint32_t tokens,
+                      double ends_remembered, kernel::Time now);
 
 /// Work broke off after `spent` in its slot: it says nothing of how long work
 /// takes, so what it spent is taken back.
-void OnWorkBroken(WorkSeen& seen, Seconds spent, kernel::Time now);
+void RecordAbort(ServiceTimeStats& stats, Seconds spent, kernel::Time now);
 
 /// Mean time in a slot; 0 while nothing was seen. A lower bound while less has
 /// ended than runs.
-Seconds MeanSlotTime(const WorkSeen& seen, kernel::Time now);
+Seconds MeanSlotTime(const ServiceTimeStats& stats, kernel::Time now);
 /// Mean time from dispatch to the first token; 0: unknown.
-Seconds MeanFirstToken(const WorkSeen& seen);
+Seconds MeanFirstToken(const ServiceTimeStats& stats);
 /// Time to the first token that few exceed: the mean and twice the deviation.
 /// Work started right before its deadline less the mean would be late half of
 /// the time, and deadline order starts just that work under overload.
-Seconds LongFirstToken(const WorkSeen& seen);
+Seconds ConservativeTimeToFirstToken(const ServiceTimeStats& stats);
 /// Mean tokens of ended work; 0: unknown.
-double MeanTokens(const WorkSeen& seen);
+double MeanOutputTokens(const ServiceTimeStats& stats);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/health.h
+++ b/policy/include/egretladder/policy/health.h
@@ -16,31 +16,32 @@
 
 /// What is known of one endpoint.
 struct Health {
-  double ratio = 1;  ///< First tokens against the usual, smoothed.
-  std::uint32_t answers = 0;
-  std::uint32_t failures = 0;  ///< In a row.
+  double latency_ratio = 1;  ///< First tokens against the usual, smoothed.
+  std::uint32_t samples = 0;
+  std::uint32_t consecutive_failures = 0;  ///< In a row.
   std::uint32_t good_probes = 0;
-  bool left_alone = false;       ///< Gets probes only.
+  bool ejected = false;          ///< Gets probes only.
   std::uint32_t bad_probes = 0;  ///< In a row: probes become rarer.
   kernel::Time next_probe{};
 };
 
 /// What an event makes of the trust in an endpoint.
-enum class HealthChange : std::uint8_t { kNone, kLeftAlone, kTrusted };
+enum class HealthChange : std::uint8_t { kNone, kEjected, kReadmitted };
 
 /// An answer's first token came after `took`; `usual` is what this class takes
 /// at this target (0: unknown).
-HealthChange OnFirstTokenTook(Health& health, Seconds took, Seconds usual,
-                              const Limits& limits, kernel::Time now);
+HealthChange OnFirstTokenLatency(Health& health, Seconds latency,
+                                 Seconds typical_latency, const Limits& limits,
+                                 kernel::Time now);
 
 /// An attempt failed at the endpoint's side.
 HealthChange OnFailure(Health& health, const Limits& limits, kernel::Time now);
 
 /// An answer ended well.
-void OnAnswered(Health& health);
+void OnSuccess(Health& health);
 
 /// The engine restarted: what was learned of it is void.
-void OnNewBoot(Health& health);
+void OnEngineRestart(Health& health);
 
 /// True when an endpoint that is left alone is due for one probe.
 bool IsProbeDue(const Health& health, kernel::Time now);
@@ -49,7 +50,7 @@
 
 /// True when one more of `servers` endpoints may be left alone: when most look
 /// slow the load is the cause, and leaving them alone would make it worse.
-bool MayLeaveAlone(std::uint32_t left_alone, std::uint32_t servers,
-                   const Limits& limits);
+bool CanEject(std::uint32_t ejected, std::uint32_t servers,
+              const Limits& limits);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/limits.h
+++ b/policy/include/egretladder/policy/limits.h
@@ -22,31 +22,31 @@
 /// and the answers it takes to judge.
 /// Load: an endpoint slowed by long prompts. Without it slots stay where every
 /// answer is late.
-inline constexpr double kOverloadedShare = 0.25;
+inline constexpr double kOverloadedLateRatio = 0.25;
 /// Answers it takes to judge an endpoint overloaded.
-inline constexpr std::uint32_t kAnswersToJudge = 8;
+inline constexpr std::uint32_t kMinAnswersToJudge = 8;
 
 /// Share of late or failed answers at which an endpoint counts as cold again:
 /// it lost what made it fast, without a restart that a report would show.
-inline constexpr double kTurnedColdShare = 0.75;
+inline constexpr double kColdLateRatio = 0.75;
 
 // --- Retries (retry.h) ---
 
 /// What one success adds to a node's retry budget.
 /// Load: every answer fails after an outage. Without a budget each request
 /// becomes as many as its attempts, and the load outlives the outage.
-inline constexpr double kRetryPerSuccess = 0.1;
-inline constexpr double kRetryBudgetMost = 20;
+inline constexpr double kRetryTokensPerSuccess = 0.1;
+inline constexpr double kMaxRetryTokens = 20;
 /// What a node starts with.
 /// Load: an endpoint that refuses connections just as a node starts. Without it
 /// the node's first failures go to their callers until ten answers succeeded.
 /// Not larger: nodes that start into an outage all spend it at once, before any
 /// success shows that retries help.
-inline constexpr double kRetryBudgetAtStart = 5;
+inline constexpr double kInitialRetryTokens = 5;
 inline constexpr std::uint8_t kAttemptsMost = 3;
 /// Delay before the second attempt; doubles with each. Jittered, so that those
 /// that failed together don't return together.
-inline constexpr milliseconds kRetryDelay{20};
+inline constexpr milliseconds kInitialRetryDelay{20};
 
 // --- Requests that crash endpoints (poison.h) ---
 
@@ -54,11 +54,11 @@
 /// innocent body whose endpoint's VM failed; three costs one more endpoint.
 inline constexpr std::uint8_t kDeathsBeforeQuarantine = 2;
 /// How long one death is held against a body. Callers send again for minutes.
-inline constexpr milliseconds kBlameKept{10 * 60 * 1000};
+inline constexpr milliseconds kSuspectDuration{10 * 60 * 1000};
 /// How long a quarantined body gets no endpoint.
-inline constexpr milliseconds kQuarantineKept{30 * 60 * 1000};
+inline constexpr milliseconds kQuarantineDuration{30 * 60 * 1000};
 /// Bounds memory when a zone dies with its work.
-inline constexpr std::size_t kBlamesMost = 4096;
+inline constexpr std::size_t kMaxCrashRecords = 4096;
 
 // --- The ladder (scheduler_ladder.cc) ---
 
@@ -77,7 +77,7 @@
   /// derived in docs/design/two-promises.md.
   double trickle_share = 0.02;
   /// A lower tier's request counts as aged after this wait.
-  milliseconds trickle_age{5000};
+  milliseconds aging_threshold{5000};
 
   /// Free slots kept from lower tiers: this times the root of what higher
   /// tiers run (their fluctuation), at most `reserve_share_most` of the slots
@@ -85,7 +85,7 @@
   /// Load: a batch of long work takes every slot. Without it a buyer's question
   /// waits until one of them ends. More of it is lost to lower tiers alone.
   double reserve_factor = 0.5;
-  double reserve_share_most = 0.2;
+  double max_reserve_ratio = 0.2;
 
   /// Ends seen at which a learned wait counts half; 0: it always counts whole.
   /// Load: long work among short, and the start of a node. Without it the first
@@ -98,8 +98,8 @@
   /// Off, callers in a burst wait for their refusal until their time is up.
   bool refuse_early = true;
   /// Bounds of the time that a refused caller is told to stay away.
-  milliseconds retry_after_least{200};
-  milliseconds retry_after_most{60'000};
+  milliseconds min_retry_after{200};
+  milliseconds max_retry_after{60'000};
 
   /// Whether expected tokens are charged when work starts.
   /// Load: an account that starts many at once. Without it none of them is
@@ -120,7 +120,7 @@
   milliseconds report_half_life{1000};
   /// Part of the load by which the own zone is preferred; the way to another is
   /// worth no more than a tie.
-  double near_zone_gain = 0.02;
+  double same_zone_discount = 0.02;
 
   /// An endpoint whose first tokens take this times the usual is slow; 0: never
   /// noticed. Load: one endpoint 5 times slower that reports health. Without it
@@ -130,12 +130,12 @@
   std::uint32_t slow_answers = 6;
   /// Failures in a row before it is left alone: one that fails at once looks
   /// idle and draws all work.
-  std::uint32_t failures_in_row = 3;
+  std::uint32_t failures_to_eject = 3;
   /// Part of a target's endpoints that may be left alone as slow.
-  double slow_share_most = 0.34;
+  double max_ejected_ratio = 0.34;
   milliseconds probe_every{1000};
   /// Answers at the usual speed before a slow endpoint is trusted.
-  std::uint32_t probes_to_trust = 3;
+  std::uint32_t probes_to_readmit = 3;
 
   /// Part of its slots that a zone gets when it comes back, and how long until
   /// this has doubled; 1: all at once.
--- a/policy/include/egretladder/policy/pick.h
+++ b/policy/include/egretladder/policy/pick.h
@@ -22,20 +22,22 @@
   std::uint32_t in_flight = 0;
   std::uint32_t bears = 1;          ///< From the rules.
   std::uint32_t reported_load = 0;  ///< Running and waiting, all nodes.
-  std::uint32_t own_at_report = 0;  ///< This node's in flight back then.
-  Time reported_at{};               ///< Default: no report.
-  bool near = false;                ///< In the node's own zone.
-  bool beside_suspect = false;      ///< See poison.h.
+  std::uint32_t own_in_flight_at_report =
+      0;                      ///< This node's in flight back then.
+  Time reported_at{};         ///< Default: no report.
+  bool same_zone = false;     ///< In the node's own zone.
+  bool runs_suspect = false;  ///< See poison.h.
 };
 
 /// Expected load of an endpoint, smaller is better: own requests in flight over
 /// own slots, and what others had there by the last report, which counts less
 /// the older it is.
-double ScoreOf(const EndpointLoad& load, const Limits& limits, Time now);
+double LoadScore(const EndpointLoad& load, const Limits& limits, Time now);
 
 /// True when the endpoint may take a prompt for its prefix, `mean` being the
 /// mean of in flight over slots.
-bool TakesPrefix(const EndpointLoad& load, double mean, const Limits& limits);
+bool HasPrefixCapacity(const EndpointLoad& load, double mean_load,
+                       const Limits& limits);
 
 /// Endpoints of one target on a ring by the hash of their names; the same on
 /// every node, and little moves when one comes or goes.
@@ -47,12 +49,13 @@
   std::vector<Point> points;
 };
 
-PrefixRing MakeRing(const rules::Rules& rules,
-                    const std::vector<EndpointHandle>& servers);
+PrefixRing BuildPrefixRing(const rules::Rules& rules,
+                           const std::vector<EndpointHandle>& servers);
 
 /// The first `homes` different endpoints for `prefix`; fewer when there are
 /// fewer. O(log n).
-void HomesOf(const PrefixRing& ring, std::uint64_t prefix, std::uint32_t homes,
-             std::vector<EndpointHandle>& out);
+void FindPrefixOwners(const PrefixRing& ring, std::uint64_t prefix,
+                      std::uint32_t max_owners,
+                      std::vector<EndpointHandle>& out);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/poison.h
+++ b/policy/include/egretladder/policy/poison.h
@@ -12,15 +12,15 @@
 namespace egretladder::policy {
 
 /// What is held against one body.
-struct Blame {
-  std::uint8_t deaths = 0;  ///< Endpoints that died while running it.
-  kernel::Time until{};     ///< Forgotten then.
+struct CrashRecord {
+  std::uint8_t deaths = 0;    ///< Endpoints that died while running it.
+  kernel::Time expires_at{};  ///< Forgotten then.
   bool quarantined = false;
 };
 
 /// Blames by fingerprint of the body. Bounded; the oldest go first.
 struct PoisonState {
-  std::unordered_map<std::uint64_t, Blame> blames;
+  std::unordered_map<std::uint64_t, CrashRecord> crash_records;
 };
 
 /// One quarantined body, as nodes tell each other.
@@ -48,7 +48,7 @@
 
 /// Another node's blame. Returns true when the body is now quarantined and
 /// was not before.
-bool OnTold(PoisonState& state, const Quarantined& told, kernel::Time now);
+bool OnTold(PoisonState& state, const Quarantined& notice, kernel::Time now);
 
 /// True while a body with this fingerprint gets no endpoint.
 bool IsQuarantined(const PoisonState& state, std::uint64_t fingerprint,
--- a/policy/include/egretladder/policy/retry.h
+++ b/policy/include/egretladder/policy/retry.h
@@ -12,11 +12,11 @@
 
 /// Why an attempt is or isn't repeated. Written to the decision's log line.
 enum class RetryReason : std::uint8_t {
-  kNotRunElsewhere,  ///< Certainly not run: safe anywhere.
-  kIdempotent,       ///< May have run; running it again does no harm.
-  kMayHaveRun,       ///< Not repeated: the outcome is unknown.
-  kAnswerStarted,    ///< Not repeated: the caller has part of the answer.
-  kBudgetSpent,      ///< Not repeated: retries would become the load.
+  kNotRun,         ///< Certainly not run: safe anywhere.
+  kIdempotent,     ///< May have run; running it again does no harm.
+  kMayHaveRun,     ///< Not repeated: the outcome is unknown.
+  kAnswerStarted,  ///< Not repeated: the caller has part of the answer.
+  kBudgetSpent,    ///< Not repeated: retries would become the load.
   kAttemptsSpent,
   kDeadlinePassed,
   kPoison,  ///< Not repeated: it may be what kills endpoints.
@@ -26,7 +26,7 @@
 
 /// A node's allowance for retries: grows with successes, shrinks with retries.
 struct RetryBudget {
-  double tokens = kRetryBudgetAtStart;
+  double tokens = kInitialRetryTokens;
 };
 
 void OnSuccess(RetryBudget& budget);
@@ -50,7 +50,7 @@
 /// Decides and, when it says yes, takes from the budget. `jitter` is from 0 up
 /// to 1.
 [[nodiscard]] RetryAnswer DecideRetry(RetryBudget& budget,
-                                      const RetryQuestion& question,
+                                      const RetryQuestion& context,
                                       double jitter, Time now);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/scheduler.h
+++ b/policy/include/egretladder/policy/scheduler.h
@@ -50,7 +50,7 @@
   kPrefixCached,  ///< The endpoint holds the prompt's prefix.
   kLeastLoaded,   ///< The less loaded of the choices drawn.
   kNearZone,      ///< As good as others, and in the node's own zone.
-  kTrickle,       ///< An aged lower tier's bounded trickle.
+  kAgedWork,      ///< An aged lower tier's bounded trickle.
   kProbe,         ///< Tries an endpoint that was slow or cold.
   kBaseline,      ///< Chosen by a baseline scheduler.
 };
--- a/policy/include/egretladder/policy/shift.h
+++ b/policy/include/egretladder/policy/shift.h
@@ -15,21 +15,21 @@
 namespace egretladder::policy {
 
 /// One zone as seen by a node.
-struct ZoneShift {
+struct ZoneRamp {
   bool out = false;
   bool returning = false;
-  kernel::Time since{};  ///< Of the return.
+  kernel::Time returned_at{};  ///< Of the return.
 };
 
 /// The rules say whether the zone is out. A zone first seen in is not
 /// returning.
-void OnZone(ZoneShift& shift, bool out, kernel::Time now);
+void UpdateZoneRamp(ZoneRamp& ramp, bool out, kernel::Time now);
 
 /// Part of its slots that the zone gets now, from 0 to 1. Ends the return once
 /// it has reached 1.
-double PartOf(ZoneShift& shift, const Limits& limits, kernel::Time now);
+double RampRatio(ZoneRamp& ramp, const Limits& limits, kernel::Time now);
 
 /// Slots of an endpoint under `part`; at least 1 of any when the part is not 0.
-std::uint32_t SlotsUnder(double part, std::uint32_t slots);
+std::uint32_t ScaleSlots(double ratio, std::uint32_t slots);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/stopping.h
+++ b/policy/include/egretladder/policy/stopping.h
@@ -40,14 +40,14 @@
 const char* NameOf(StopPhase phase);
 
 /// The phase `since` the stop began.
-StopPhase PhaseOf(const StopPlan& plan, milliseconds since);
+StopPhase PhaseOf(const StopPlan& plan, milliseconds elapsed);
 
 /// Until requests in progress are ended; below zero: they are.
-milliseconds LeftForWork(const StopPlan& plan, milliseconds since);
+milliseconds LeftForWork(const StopPlan& plan, milliseconds elapsed);
 
 /// True when the process may end. `answered`: no request is in progress, and
 /// callers have taken all answers.
-bool MayExit(StopPhase phase, bool answered);
+bool MayExit(StopPhase phase, bool all_answered);
 
 /// The shortest grace time in which a plan's phases follow each other.
 milliseconds ShortestGrace(const StopPlan& plan);
--- a/policy/src/admit.cc
+++ b/policy/src/admit.cc
@@ -4,16 +4,17 @@
 
 namespace egretladder::policy {
 
-Time BoundOf(const Request& request, const rules::Class& cls) {
-  const bool own_deadline =
+Time GetQueueDeadline(const Request& request, const rules::Class& cls) {
+  const bool has_own_deadline =
       request.deadline < request.arrived + cls.first_token;
-  if (own_deadline || cls.max_wait <= cls.first_token) return request.deadline;
+  if (has_own_deadline || cls.max_wait <= cls.first_token)
+    return request.deadline;
   return request.arrived + cls.max_wait;
 }
 
-Seconds EstimateWait(const WorkAhead& ahead, const SlotsInUse& slots) {
-  const double to_wait_for = ahead.requests + 1 - slots.free;
-  if (to_wait_for <= 0) return Seconds(0);
+Seconds EstimateWait(const WorkAhead& ahead, const SlotCapacity& slots) {
+  const double slots_needed = ahead.requests + 1 - slots.free;
+  if (slots_needed <= 0) return Seconds(0);
   if (slots.slots == 0) return Seconds(0);  // No lease yet: nothing is known.
   const double mean =
       ahead.requests > 0 ? ahead.slot_seconds / ahead.requests : 0;
@@ -21,48 +22,53 @@
   // once that has replaced it. The faster of the two refuses too little rather
   // than too much.
   const double rate =
-      std::max(slots.releases_a_second, mean > 0 ? slots.slots / mean : 0);
-  return Seconds(rate > 0 ? to_wait_for / (rate * slots.part_left) : 0);
+      std::max(slots.releases_per_second, mean > 0 ? slots.slots / mean : 0);
+  return Seconds(rate > 0 ? slots_needed / (rate * slots.available_ratio) : 0);
 }
 
-double FairAhead(std::uint32_t class_waiting, std::uint32_t accounts_waiting,
-                 std::uint32_t account_waiting) {
-  const std::uint32_t others =
-      accounts_waiting -
-      std::min(accounts_waiting, account_waiting > 0 ? 1U : 0U);
-  const double by_turns =
-      account_waiting + static_cast<double>(others) * (account_waiting + 1);
-  return std::min<double>(class_waiting, by_turns);
+double FairRequestsAhead(std::uint32_t class_waiting,
+                         std::uint32_t waiting_accounts,
+                         std::uint32_t account_waiting) {
+  const std::uint32_t other_accounts =
+      waiting_accounts -
+      std::min(waiting_accounts, account_waiting > 0 ? 1U : 0U);
+  const double ahead_in_turns =
+      account_waiting +
+      static_cast<double>(other_accounts) * (account_waiting + 1);
+  return std::min<double>(class_waiting, ahead_in_turns);
 }
 
-std::optional<RefuseReason> DecideAdmit(const AdmitQuestion& question,
-                                        Time now) {
-  if (question.can_start_now) return std::nullopt;
-  if (question.class_cap > 0 && question.class_waiting >= question.class_cap) {
+std::optional<RefuseReason> DecideAdmission(const AdmissionContext& context,
+                                            Time now) {
+  if (context.can_start_now) return std::nullopt;
+  if (context.class_cap > 0 && context.class_waiting >= context.class_cap) {
     return RefuseReason::kClassCap;
   }
-  if (question.account_cap > 0 &&
-      question.account_waiting >= question.account_cap) {
+  if (context.account_cap > 0 &&
+      context.account_waiting >= context.account_cap) {
     return RefuseReason::kAccountCap;
   }
-  if (now >= question.bound) return RefuseReason::kDeadlineUnreachable;
-  const Seconds needed =
-      (question.wait + question.first_token) * question.trust;
-  if (needed <= Seconds(question.deadline - now)) return std::nullopt;
-  const bool fits =
-      question.wait_late * question.trust <= Seconds(question.bound - now);
-  const bool may_be_late = question.bound > question.deadline;
-  if (may_be_late && fits && !question.overloaded) return std::nullopt;
+  if (now >= context.queue_deadline) return RefuseReason::kDeadlineUnreachable;
+  const Seconds time_needed =
+      (context.expected_wait + context.time_to_first_token) *
+      context.confidence;
+  if (time_needed <= Seconds(context.deadline - now)) return std::nullopt;
+  const bool fits = context.expected_wait_if_late * context.confidence <=
+                    Seconds(context.queue_deadline - now);
+  const bool allows_late = context.queue_deadline > context.deadline;
+  if (allows_late && fits && !context.overloaded) return std::nullopt;
   return RefuseReason::kDeadlineUnreachable;
 }
 
-std::chrono::milliseconds RetryAfter(Seconds wait, Seconds may_wait,
-                                     double jitter, const Limits& limits) {
-  const Seconds over = std::max(Seconds(0), wait - may_wait);
-  const Seconds spread = over * (1.0 + 0.5 * jitter);
-  const auto least = Seconds(limits.retry_after_least) * (1.0 + jitter);
+std::chrono::milliseconds RetryAfter(Seconds expected_wait,
+                                     Seconds allowed_wait, double jitter,
+                                     const Limits& limits) {
+  const Seconds excess_wait =
+      std::max(Seconds(0), expected_wait - allowed_wait);
+  const Seconds jittered_wait = excess_wait * (1.0 + 0.5 * jitter);
+  const auto min_wait = Seconds(limits.min_retry_after) * (1.0 + jitter);
   return std::chrono::duration_cast<std::chrono::milliseconds>(
-      std::clamp<Seconds>(spread, least, limits.retry_after_most));
+      std::clamp<Seconds>(jittered_wait, min_wait, limits.max_retry_after));
 }
 
 }  // namespace egretladder::policy
--- a/policy/src/endpoints.cc
+++ b/policy/src/endpoints.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// True when the rules let `endpoint` take new work.
-bool InService(const rules::Rules& rules, const rules::Endpoint& endpoint) {
+bool IsInService(const rules::Rules& rules, const rules::Endpoint& endpoint) {
   if (!endpoint.source.present || endpoint.leaving) return false;
   const std::size_t zone = endpoint.zone.idx;
   return zone >= rules.zones.size() || !rules.zones[zone].out;
@@ -16,17 +16,17 @@
 
 void ApplyRules(EndpointTable& table, rules::RulesPtr rules) {
   table.rules = std::move(rules);
-  const rules::Rules& now_in_force = *table.rules;
-  if (table.endpoints.size() < now_in_force.endpoints.size()) {
-    table.endpoints.resize(now_in_force.endpoints.size());
+  const rules::Rules& new_rules = *table.rules;
+  if (table.endpoints.size() < new_rules.endpoints.size()) {
+    table.endpoints.resize(new_rules.endpoints.size());
   }
   for (EndpointState& state : table.endpoints) state.in_service = false;
-  table.by_target.assign(now_in_force.targets.size(), {});
-  for (std::uint32_t i = 0; i < now_in_force.endpoints.size(); ++i) {
-    const rules::Endpoint& endpoint = now_in_force.endpoints[i];
+  table.by_target.assign(new_rules.targets.size(), {});
+  for (std::uint32_t i = 0; i < new_rules.endpoints.size(); ++i) {
+    const rules::Endpoint& endpoint = new_rules.endpoints[i];
     EndpointState& state = table.endpoints[i];
     state.zone = endpoint.zone;
-    state.in_service = InService(now_in_force, endpoint);
+    state.in_service = IsInService(new_rules, endpoint);
     if (!state.in_service) continue;
     for (const TargetHandle target : endpoint.serves) {
       if (target.idx >= table.by_target.size()) continue;
@@ -35,29 +35,31 @@
   }
 }
 
-EndpointState* FindState(EndpointTable& table, EndpointHandle endpoint) {
+EndpointState* FindEndpointState(EndpointTable& table,
+                                 EndpointHandle endpoint) {
   if (endpoint.idx >= table.endpoints.size()) return nullptr;
   return &table.endpoints[endpoint.idx];
 }
 
-const std::vector<EndpointHandle>& ServersOf(const EndpointTable& table,
-                                             TargetHandle target) {
-  static const std::vector<EndpointHandle> none;
-  if (target.idx >= table.by_target.size()) return none;
+const std::vector<EndpointHandle>& GetServers(const EndpointTable& table,
+                                              TargetHandle target) {
+  static const std::vector<EndpointHandle> empty;
+  if (target.idx >= table.by_target.size()) return empty;
   return table.by_target[target.idx];
 }
 
-const rules::Class& ClassOf(const EndpointTable& table, ClassHandle cls) {
-  static const rules::Class standard;
-  if (!table.rules || cls.idx >= table.rules->classes.size()) return standard;
+const rules::Class& GetClass(const EndpointTable& table, ClassHandle cls) {
+  static const rules::Class default_value;
+  if (!table.rules || cls.idx >= table.rules->classes.size())
+    return default_value;
   return table.rules->classes[cls.idx];
 }
 
-const rules::Account& AccountOf(const EndpointTable& table,
-                                AccountHandle account) {
-  static const rules::Account standard;
+const rules::Account& GetAccount(const EndpointTable& table,
+                                 AccountHandle account) {
+  static const rules::Account default_value;
   if (!table.rules || account.idx >= table.rules->accounts.size()) {
-    return standard;
+    return default_value;
   }
   return table.rules->accounts[account.idx];
 }
--- a/policy/src/endpoints_p.h
+++ b/policy/src/endpoints_p.h
@@ -26,23 +26,23 @@
 void ApplyRules(EndpointTable& table, rules::RulesPtr rules);
 
 /// Null for a handle that the rules in force don't know.
-EndpointState* FindState(EndpointTable& table, EndpointHandle endpoint);
+EndpointState* FindEndpointState(EndpointTable& table, EndpointHandle endpoint);
 
-inline bool TakesWork(const EndpointState& endpoint) {
+inline bool CanTakeWork(const EndpointState& endpoint) {
   return endpoint.in_service && endpoint.available;
 }
 inline bool HasFreeSlot(const EndpointState& endpoint) {
-  return TakesWork(endpoint) && endpoint.in_flight < endpoint.slots;
+  return CanTakeWork(endpoint) && endpoint.in_flight < endpoint.slots;
 }
 
 /// Endpoints in service for `target`; empty for an unknown one.
-const std::vector<EndpointHandle>& ServersOf(const EndpointTable& table,
-                                             TargetHandle target);
+const std::vector<EndpointHandle>& GetServers(const EndpointTable& table,
+                                              TargetHandle target);
 
 /// Rows of the rules, or a row of standard values for what they don't know.
-const rules::Class& ClassOf(const EndpointTable& table, ClassHandle cls);
-const rules::Account& AccountOf(const EndpointTable& table,
-                                AccountHandle account);
+const rules::Class& GetClass(const EndpointTable& table, ClassHandle cls);
+const rules::Account& GetAccount(const EndpointTable& table,
+                                 AccountHandle account);
 
 std::vector<EndpointView> ViewOf(const EndpointTable& table);
 
--- a/policy/src/estimate.cc
+++ b/policy/src/estimate.cc
@@ -6,74 +6,78 @@
 namespace egretladder::policy {
 namespace {
 
-double Fading(double ends_remembered) {
+double DecayFactor(double ends_remembered) {
   return 1.0 - 1.0 / std::max(2.0, ends_remembered);
 }
 
-double SlotSecondsAt(const WorkSeen& seen, kernel::Time now) {
-  const double passed = Seconds(now - seen.until).count();
-  return seen.slot_seconds + std::max(0.0, passed) * seen.running;
+double SlotSecondsAt(const ServiceTimeStats& stats, kernel::Time now) {
+  const double elapsed = Seconds(now - stats.updated_at).count();
+  return stats.slot_seconds + std::max(0.0, elapsed) * stats.running;
 }
 
-void CountUpTo(WorkSeen& seen, kernel::Time now) {
-  seen.slot_seconds = SlotSecondsAt(seen, now);
-  seen.until = now;
+void AccrueSlotTime(ServiceTimeStats& stats, kernel::Time now) {
+  stats.slot_seconds = SlotSecondsAt(stats, now);
+  stats.updated_at = now;
 }
 
 }  // namespace
 
-void OnWorkStarted(WorkSeen& seen, kernel::Time now) {
-  CountUpTo(seen, now);
-  ++seen.running;
+void RecordDispatch(ServiceTimeStats& stats, kernel::Time now) {
+  AccrueSlotTime(stats, now);
+  ++stats.running;
 }
 
-void OnFirstTokenSeen(WorkSeen& seen, Seconds after_dispatch,
+void RecordFirstToken(ServiceTimeStats& stats, Seconds after_dispatch,
                       double ends_remembered) {
-  const double fading = Fading(ends_remembered);
-  seen.first_token_seconds =
-      seen.first_token_seconds * fading + after_dispatch.count();
-  seen.first_token_squares = seen.first_token_squares * fading +
-                             after_dispatch.count() * after_dispatch.count();
-  seen.first_tokens = seen.first_tokens * fading + 1;
+  const double decay = DecayFactor(ends_remembered);
+  stats.first_token_sum_seconds =
+      stats.first_token_sum_seconds * decay + after_dispatch.count();
+  stats.first_token_square_sum =
+      stats.first_token_square_sum * decay +
+      after_dispatch.count() * after_dispatch.count();
+  stats.first_token_count = stats.first_token_count * decay + 1;
 }
 
-void OnWorkEnded(WorkSeen& seen, std::uint32_t tokens, double ends_remembered,
-                 kernel::Time now) {
-  CountUpTo(seen, now);
-  if (seen.running > 0) --seen.running;
-  const double fading = Fading(ends_remembered);
-  seen.slot_seconds *= fading;
-  seen.ends = seen.ends * fading + 1;
-  seen.tokens = seen.tokens * fading + tokens;
+void RecordCompletion(ServiceTimeStats& stats, std::uint32_t tokens,
+                      double ends_remembered, kernel::Time now) {
+  AccrueSlotTime(stats, now);
+  if (stats.running > 0) --stats.running;
+  const double decay = DecayFactor(ends_remembered);
+  stats.slot_seconds *= decay;
+  stats.completions = stats.completions * decay + 1;
+  stats.tokens = stats.tokens * decay + tokens;
 }
 
-void OnWorkBroken(WorkSeen& seen, Seconds spent, kernel::Time now) {
-  CountUpTo(seen, now);
-  if (seen.running > 0) --seen.running;
-  seen.slot_seconds = std::max(0.0, seen.slot_seconds - spent.count());
+void RecordAbort(ServiceTimeStats& stats, Seconds spent, kernel::Time now) {
+  AccrueSlotTime(stats, now);
+  if (stats.running > 0) --stats.running;
+  stats.slot_seconds = std::max(0.0, stats.slot_seconds - spent.count());
 }
 
-Seconds MeanSlotTime(const WorkSeen& seen, kernel::Time now) {
-  const double slot_seconds = SlotSecondsAt(seen, now);
-  double work = seen.ends;
-  if (seen.ends < seen.running) work += seen.running;
-  return Seconds(work > 0 ? slot_seconds / work : 0);
+Seconds MeanSlotTime(const ServiceTimeStats& stats, kernel::Time now) {
+  const double slot_seconds = SlotSecondsAt(stats, now);
+  double finished_and_running = stats.completions;
+  if (stats.completions < stats.running) finished_and_running += stats.running;
+  return Seconds(finished_and_running > 0 ? slot_seconds / finished_and_running
+                                          : 0);
 }
 
-Seconds MeanFirstToken(const WorkSeen& seen) {
-  if (seen.first_tokens <= 0) return Seconds(0);
-  return Seconds(seen.first_token_seconds / seen.first_tokens);
+Seconds MeanFirstToken(const ServiceTimeStats& stats) {
+  if (stats.first_token_count <= 0) return Seconds(0);
+  return Seconds(stats.first_token_sum_seconds / stats.first_token_count);
 }
 
-Seconds LongFirstToken(const WorkSeen& seen) {
-  if (seen.first_tokens <= 0) return Seconds(0);
-  const double mean = seen.first_token_seconds / seen.first_tokens;
-  const double square = seen.first_token_squares / seen.first_tokens;
-  return Seconds(mean + 2 * std::sqrt(std::max(0.0, square - mean * mean)));
+Seconds ConservativeTimeToFirstToken(const ServiceTimeStats& stats) {
+  if (stats.first_token_count <= 0) return Seconds(0);
+  const double mean = stats.first_token_sum_seconds / stats.first_token_count;
+  const double mean_square =
+      stats.first_token_square_sum / stats.first_token_count;
+  return Seconds(mean +
+                 2 * std::sqrt(std::max(0.0, mean_square - mean * mean)));
 }
 
-double MeanTokens(const WorkSeen& seen) {
-  return seen.ends > 0 ? seen.tokens / seen.ends : 0;
+double MeanOutputTokens(const ServiceTimeStats& stats) {
+  return stats.completions > 0 ? stats.tokens / stats.completions : 0;
 }
 
 }  // namespace egretladder::policy
--- a/policy/src/health.cc
+++ b/policy/src/health.cc
@@ -5,70 +5,78 @@
 namespace egretladder::policy {
 namespace {
 
-constexpr double kWeightOfNewest = 0.25;
-constexpr double kRatioMost = 20;  // One hang must not outweigh all after it.
+constexpr double kLatencyRatioWeight = 0.25;
+constexpr double kMaxLatencyRatio =
+    20;  // One hang must not outweigh all after it.
 
-void LeaveAlone(Health& health, const Limits& limits, kernel::Time now) {
-  health.left_alone = true;
+void Eject(Health& health, const Limits& limits, kernel::Time now) {
+  health.ejected = true;
   health.good_probes = 0;
   health.next_probe = now + limits.probe_every;
 }
 
-HealthChange OnProbeAnswer(Health& health, double ratio, const Limits& limits) {
-  if (ratio >= limits.slow_ratio) {
+HealthChange OnProbeResult(Health& health, double latency_ratio,
+                           const Limits& limits) {
+  if (latency_ratio >= limits.slow_ratio) {
     health.good_probes = 0;
     ++health.bad_probes;
     return HealthChange::kNone;
   }
   health.bad_probes = 0;
-  if (++health.good_probes < limits.probes_to_trust) return HealthChange::kNone;
+  if (++health.good_probes < limits.probes_to_readmit)
+    return HealthChange::kNone;
   health = Health{};
-  return HealthChange::kTrusted;
+  return HealthChange::kReadmitted;
 }
 
 }  // namespace
 
-HealthChange OnFirstTokenTook(Health& health, Seconds took, Seconds usual,
-                              const Limits& limits, kernel::Time now) {
-  if (usual.count() <= 0 || limits.slow_ratio <= 0) return HealthChange::kNone;
-  const double ratio = std::min(took / usual, kRatioMost);
-  if (health.left_alone) return OnProbeAnswer(health, ratio, limits);
-  health.ratio += kWeightOfNewest * (ratio - health.ratio);
-  if (++health.answers < limits.slow_answers) return HealthChange::kNone;
-  if (health.ratio < limits.slow_ratio) return HealthChange::kNone;
-  LeaveAlone(health, limits, now);
-  return HealthChange::kLeftAlone;
+HealthChange OnFirstTokenLatency(Health& health, Seconds latency,
+                                 Seconds typical_latency, const Limits& limits,
+                                 kernel::Time now) {
+  if (typical_latency.count() <= 0 || limits.slow_ratio <= 0)
+    return HealthChange::kNone;
+  const double latency_ratio =
+      std::min(latency / typical_latency, kMaxLatencyRatio);
+  if (health.ejected) return OnProbeResult(health, latency_ratio, limits);
+  health.latency_ratio +=
+      kLatencyRatioWeight * (latency_ratio - health.latency_ratio);
+  if (++health.samples < limits.slow_answers) return HealthChange::kNone;
+  if (health.latency_ratio < limits.slow_ratio) return HealthChange::kNone;
+  Eject(health, limits, now);
+  return HealthChange::kEjected;
 }
 
 HealthChange OnFailure(Health& health, const Limits& limits, kernel::Time now) {
   health.good_probes = 0;
-  ++health.failures;
-  if (health.left_alone) ++health.bad_probes;
-  if (health.left_alone || health.failures < limits.failures_in_row) {
+  ++health.consecutive_failures;
+  if (health.ejected) ++health.bad_probes;
+  if (health.ejected ||
+      health.consecutive_failures < limits.failures_to_eject) {
     return HealthChange::kNone;
   }
-  LeaveAlone(health, limits, now);
-  return HealthChange::kLeftAlone;
+  Eject(health, limits, now);
+  return HealthChange::kEjected;
 }
 
-void OnAnswered(Health& health) { health.failures = 0; }
+void OnSuccess(Health& health) { health.consecutive_failures = 0; }
 
-void OnNewBoot(Health& health) { health = Health{}; }
+void OnEngineRestart(Health& health) { health = Health{}; }
 
 bool IsProbeDue(const Health& health, kernel::Time now) {
-  return health.left_alone && now >= health.next_probe;
+  return health.ejected && now >= health.next_probe;
 }
 
 void OnProbeSent(Health& health, const Limits& limits, kernel::Time now) {
-  constexpr std::uint32_t kDoublingsMost = 4;
+  constexpr std::uint32_t kMaxBackoffDoublings = 4;
   health.next_probe =
-      now +
-      limits.probe_every * (1U << std::min(health.bad_probes, kDoublingsMost));
+      now + limits.probe_every *
+                (1U << std::min(health.bad_probes, kMaxBackoffDoublings));
 }
 
-bool MayLeaveAlone(std::uint32_t left_alone, std::uint32_t servers,
-                   const Limits& limits) {
-  return left_alone + 1 <= limits.slow_share_most * servers;
+bool CanEject(std::uint32_t ejected, std::uint32_t servers,
+              const Limits& limits) {
+  return ejected + 1 <= limits.max_ejected_ratio * servers;
 }
 
 }  // namespace egretladder::policy
--- a/policy/src/ladder_dispatch.cc
+++ b/policy/src/ladder_dispatch.cc
@@ -13,37 +13,39 @@
   PickReason reason = PickReason::kLeastLoaded;
 };
 
-bool IsAccountHeld(const void* context, AccountHandle account) {
+bool IsAccountAtCap(const void* context, AccountHandle account) {
   const auto& state = *static_cast<const LadderState*>(context);
-  const std::uint32_t cap = AccountOf(state.table, account).running;
+  const std::uint32_t cap = GetAccount(state.table, account).running;
   return cap > 0 && state.running_by_account[account.idx] >= cap;
 }
 
-bool IsClassHeld(const LadderState& state, std::uint32_t cls) {
-  const std::uint32_t cap = ClassOf(state.table, ClassHandle{cls}).running;
+bool IsClassAtCap(const LadderState& state, std::uint32_t cls) {
+  const std::uint32_t cap = GetClass(state.table, ClassHandle{cls}).running;
   return cap > 0 && state.running_by_class[cls] >= cap;
 }
 
-Time InTimeBy(const LadderState& state, TargetHandle target, std::uint32_t cls,
-              Time now) {
+Time EarliestFeasibleDeadline(const LadderState& state, TargetHandle target,
+                              std::uint32_t cls, Time now) {
   return now + std::chrono::duration_cast<std::chrono::nanoseconds>(
-                   LongFirstToken(state.seen[target.idx][cls]));
+                   ConservativeTimeToFirstToken(state.stats[target.idx][cls]));
 }
 
-const Waiting* HeadOfClass(LadderState& state, TargetHandle target,
-                           std::uint32_t cls, Time now) {
-  if (state.queue.waiting[target.idx][cls] == 0) return nullptr;
-  if (IsClassHeld(state, cls)) return nullptr;
-  return HeadOf(state.queue, target, ClassHandle{cls},
-                InTimeBy(state, target, cls, now), IsAccountHeld, &state);
+const WaitingRequest* FindClassHead(LadderState& state, TargetHandle target,
+                                    std::uint32_t cls, Time now) {
+  if (state.queue.num_waiting[target.idx][cls] == 0) return nullptr;
+  if (IsClassAtCap(state, cls)) return nullptr;
+  return FindHead(state.queue, target, ClassHandle{cls},
+                  EarliestFeasibleDeadline(state, target, cls, now),
+                  IsAccountAtCap, &state);
 }
 
-const Waiting* BestHead(LadderState& state, TargetHandle target, Time now) {
-  const Waiting* best = nullptr;
+const WaitingRequest* FindBestHead(LadderState& state, TargetHandle target,
+                                   Time now) {
+  const WaitingRequest* best = nullptr;
   const auto classes =
-      static_cast<std::uint32_t>(state.queue.waiting[target.idx].size());
+      static_cast<std::uint32_t>(state.queue.num_waiting[target.idx].size());
   for (std::uint32_t cls = 0; cls < classes; ++cls) {
-    const Waiting* head = HeadOfClass(state, target, cls, now);
+    const WaitingRequest* head = FindClassHead(state, target, cls, now);
     if (head == nullptr) continue;
     if (best == nullptr || GoesBefore(*head, *best)) best = head;
   }
@@ -51,162 +53,177 @@
 }
 
 // The aged head below `tier` whose class has gone longest without a start.
-const Waiting* AgedHead(LadderState& state, TargetHandle target,
-                        std::uint8_t tier, Time now) {
+const WaitingRequest* FindAgedHead(LadderState& state, TargetHandle target,
+                                   std::uint8_t tier, Time now) {
   Pool& pool = state.pools[target.idx];
-  AdvanceTrickle(pool.trickle, pool.slots, LimitsOf(state), now);
-  if (!MayTrickle(pool.trickle, pool.slots, LimitsOf(state))) return nullptr;
-  const Waiting* longest = nullptr;
-  for (std::uint32_t cls = 0; cls < pool.last_start.size(); ++cls) {
-    if (ClassOf(state.table, ClassHandle{cls}).tier <= tier) continue;
-    const Waiting* head = HeadOfClass(state, target, cls, now);
+  AccrueAgingQuota(pool.quota, pool.slots, GetLimits(state), now);
+  if (!CanStartAged(pool.quota, pool.slots, GetLimits(state))) return nullptr;
+  const WaitingRequest* longest_waiting = nullptr;
+  for (std::uint32_t cls = 0; cls < pool.last_dispatch.size(); ++cls) {
+    if (GetClass(state.table, ClassHandle{cls}).tier <= tier) continue;
+    const WaitingRequest* head = FindClassHead(state, target, cls, now);
     if (head == nullptr) continue;
     // Any of the class that is aged counts, whoever's turn it is.
-    const Places& by_bound = state.queue.queues[target.idx][cls].by_bound;
-    const Waiting& oldest = state.queue.requests.at(by_bound.begin()->request);
-    if (!IsAged(oldest.request.arrived, oldest.bound, LimitsOf(state), now))
+    const QueueEntries& by_queue_deadline =
+        state.queue.queues[target.idx][cls].by_queue_deadline;
+    const WaitingRequest& oldest =
+        state.queue.requests.at(by_queue_deadline.begin()->request);
+    if (!IsAged(oldest.request.arrived, oldest.queue_deadline, GetLimits(state),
+                now))
       continue;
-    if (longest == nullptr ||
-        pool.last_start[cls] < pool.last_start[longest->request.cls.idx]) {
-      longest = head;
+    if (longest_waiting == nullptr ||
+        pool.last_dispatch[cls] <
+            pool.last_dispatch[longest_waiting->request.cls.idx]) {
+      longest_waiting = head;
     }
   }
-  return longest;
+  return longest_waiting;
 }
 
-bool MayProbeWith(const LadderState& state, const Waiting& waiting, Time now) {
-  const WorkSeen& seen =
-      state.seen[waiting.request.target.idx][waiting.request.cls.idx];
-  const Seconds needed = MeanFirstToken(seen) * 2 * LimitsOf(state).slow_ratio;
+bool CanProbeWith(const LadderState& state, const WaitingRequest& waiting,
+                  Time now) {
+  const ServiceTimeStats& stats =
+      state.stats[waiting.request.target.idx][waiting.request.cls.idx];
+  const Seconds time_needed =
+      MeanFirstToken(stats) * 2 * GetLimits(state).slow_ratio;
   return waiting.tier > rules::kTopTier ||
-         Seconds(waiting.request.deadline - now) > needed;
+         Seconds(waiting.request.deadline - now) > time_needed;
 }
 
-EndpointHandle DueProbe(LadderState& state, const Waiting& waiting, Time now) {
+EndpointHandle FindDueProbe(LadderState& state, const WaitingRequest& waiting,
+                            Time now) {
   const Pool& pool = state.pools[waiting.request.target.idx];
-  for (const EndpointHandle endpoint : pool.left_alone) {
-    LadderEndpoint& known = state.endpoints[endpoint.idx];
-    if (!IsProbeDue(known.health, now)) continue;
-    if (known.load.in_flight >= known.load.slots) continue;
-    if (!MayProbeWith(state, waiting, now)) continue;
-    OnProbeSent(known.health, LimitsOf(state), now);
+  for (const EndpointHandle endpoint : pool.ejected) {
+    LadderEndpoint& endpoint_info = state.endpoints[endpoint.idx];
+    if (!IsProbeDue(endpoint_info.health, now)) continue;
+    if (endpoint_info.load.in_flight >= endpoint_info.load.slots) continue;
+    if (!CanProbeWith(state, waiting, now)) continue;
+    OnProbeSent(endpoint_info.health, GetLimits(state), now);
     return endpoint;
   }
   return {};
 }
 
-EndpointHandle PrefixHome(LadderState& state, const Request& request) {
-  const Limits& limits = LimitsOf(state);
+EndpointHandle FindFreePrefixOwner(LadderState& state, const Request& request) {
+  const Limits& limits = GetLimits(state);
   if (request.prefix == 0 || limits.affinity_load <= 0) return {};
   const Pool& pool = state.pools[request.target.idx];
-  const double mean =
+  const double mean_load =
       1.0 - static_cast<double>(pool.free) / std::max(1U, pool.slots);
-  HomesOf(pool.ring, request.prefix, limits.affinity_homes, state.homes);
-  for (const EndpointHandle home : state.homes) {
-    const LadderEndpoint& known = state.endpoints[home.idx];
-    if (known.health.left_alone || home == request.avoid) continue;
-    const bool open =
-        std::any_of(known.memberships.begin(), known.memberships.end(),
-                    [&](const Membership& membership) {
-                      return membership.target == request.target &&
-                             membership.position != kNowhere;
-                    });
-    if (open && TakesPrefix(known.load, mean, limits)) return home;
+  FindPrefixOwners(pool.ring, request.prefix, limits.affinity_homes,
+                   state.scratch_owners);
+  for (const EndpointHandle owner : state.scratch_owners) {
+    const LadderEndpoint& endpoint_info = state.endpoints[owner.idx];
+    if (endpoint_info.health.ejected || owner == request.avoid) continue;
+    const bool has_free_slot = std::any_of(
+        endpoint_info.memberships.begin(), endpoint_info.memberships.end(),
+        [&](const Membership& membership) {
+          return membership.target == request.target &&
+                 membership.position != kNoPosition;
+        });
+    if (has_free_slot &&
+        HasPrefixCapacity(endpoint_info.load, mean_load, limits))
+      return owner;
   }
   return {};
 }
 
-Choice BestOfDrawn(LadderState& state, const Request& request, Time now) {
-  const Limits& limits = LimitsOf(state);
+Choice PickFromSample(LadderState& state, const Request& request, Time now) {
+  const Limits& limits = GetLimits(state);
   const Pool& pool = state.pools[request.target.idx];
-  const std::size_t open = pool.open.size();
-  const std::size_t drawn = std::min<std::size_t>(limits.choices, open);
-  const std::size_t first = kernel::Below(state.random, open);
+  const std::size_t num_free = pool.free_endpoints.size();
+  const std::size_t sample_size =
+      std::min<std::size_t>(limits.choices, num_free);
+  const std::size_t first = kernel::Below(state.random, num_free);
   EndpointHandle best;
   double best_score = 0;
-  for (std::size_t i = 0; i < drawn; ++i) {
+  for (std::size_t i = 0; i < sample_size; ++i) {
     // All of a few; otherwise at random.
-    const std::size_t at =
-        drawn == open ? (first + i) % open : kernel::Below(state.random, open);
-    const EndpointHandle endpoint = pool.open[at];
+    const std::size_t index = sample_size == num_free
+                                  ? (first + i) % num_free
+                                  : kernel::Below(state.random, num_free);
+    const EndpointHandle endpoint = pool.free_endpoints[index];
     EndpointLoad load = state.endpoints[endpoint.idx].load;
-    load.beside_suspect = load.beside_suspect && request.suspect;
-    double score = ScoreOf(load, limits, now);
+    load.runs_suspect = load.runs_suspect && request.suspect;
+    double score = LoadScore(load, limits, now);
     if (endpoint == request.avoid) score += 100;  // When nothing else is free.
     if (rules::IsValid(best) && score >= best_score) continue;
     best = endpoint;
     best_score = score;
   }
-  const bool near = state.endpoints[best.idx].load.near;
-  return {best, near ? PickReason::kNearZone : PickReason::kLeastLoaded};
+  const bool same_zone = state.endpoints[best.idx].load.same_zone;
+  return {best, same_zone ? PickReason::kNearZone : PickReason::kLeastLoaded};
 }
 
-Choice ChooseEndpoint(LadderState& state, const Waiting& waiting, Time now) {
+Choice ChooseEndpoint(LadderState& state, const WaitingRequest& waiting,
+                      Time now) {
   const Request& request = waiting.request;
   const Pool& pool = state.pools[request.target.idx];
-  const EndpointHandle probe = DueProbe(state, waiting, now);
+  const EndpointHandle probe = FindDueProbe(state, waiting, now);
   if (rules::IsValid(probe)) return {probe, PickReason::kProbe};
-  if (pool.open.empty()) return {};
-  const EndpointHandle home = PrefixHome(state, request);
-  if (rules::IsValid(home)) return {home, PickReason::kPrefixCached};
-  if (pool.open.size() == 1) {
-    return {pool.open.front(), PickReason::kOnlyChoice};
+  if (pool.free_endpoints.empty()) return {};
+  const EndpointHandle owner = FindFreePrefixOwner(state, request);
+  if (rules::IsValid(owner)) return {owner, PickReason::kPrefixCached};
+  if (pool.free_endpoints.size() == 1) {
+    return {pool.free_endpoints.front(), PickReason::kOnlyChoice};
   }
-  return BestOfDrawn(state, request, now);
+  return PickFromSample(state, request, now);
 }
 
 double ExpectedTokens(const LadderState& state, const Request& request) {
-  if (!LimitsOf(state).charge_expected) return 1;
-  const WorkSeen& seen = state.seen[request.target.idx][request.cls.idx];
-  double expected = std::max(1.0, MeanTokens(seen));
+  if (!GetLimits(state).charge_expected) return 1;
+  const ServiceTimeStats& stats =
+      state.stats[request.target.idx][request.cls.idx];
+  double expected = std::max(1.0, MeanOutputTokens(stats));
   if (request.max_tokens > 0) {
     expected = std::min<double>(expected, request.max_tokens);
   }
   return expected;
 }
 
-void Start(LadderState& state, RequestId id, Choice choice, bool by_trickle,
-           Time now, Actions& out) {
-  const std::optional<Waiting> waiting = TakeWaiting(state, id);
+void StartRequest(LadderState& state, RequestId id, Choice choice,
+                  bool by_aging_quota, Time now, Actions& out) {
+  const std::optional<WaitingRequest> waiting = RemoveWaiting(state, id);
   if (!waiting) return;
   const Request& request = waiting->request;
   Pool& pool = state.pools[request.target.idx];
-  Running running{request, choice.endpoint, now, waiting->tier};
-  running.by_trickle = by_trickle;
-  running.charged = ExpectedTokens(state, request);
-  Charge(state.queue, request.cls, request.account, running.charged,
-         AccountOf(state.table, request.account).share);
-  if (by_trickle) ++pool.trickle.running;
-  if (request.suspect) ++state.endpoints[choice.endpoint.idx].suspects;
+  RunningAttempt running{request, choice.endpoint, now, waiting->tier};
+  running.by_aging_quota = by_aging_quota;
+  running.charged_tokens = ExpectedTokens(state, request);
+  Charge(state.queue, request.cls, request.account, running.charged_tokens,
+         GetAccount(state.table, request.account).share);
+  if (by_aging_quota) ++pool.quota.running;
+  if (request.suspect) ++state.endpoints[choice.endpoint.idx].running_suspects;
   ++state.table.endpoints[choice.endpoint.idx].in_flight;
   ++state.running_by_class[request.cls.idx];
   ++state.running_by_account[request.account.idx];
   ++pool.tiers[std::min<std::size_t>(waiting->tier, kTiers - 1)].running;
-  pool.last_start[request.cls.idx] = now;
-  OnWorkStarted(state.seen[request.target.idx][request.cls.idx], now);
+  pool.last_dispatch[request.cls.idx] = now;
+  RecordDispatch(state.stats[request.target.idx][request.cls.idx], now);
   RefreshEndpoint(state, choice.endpoint, now);
   const auto priority = static_cast<std::uint8_t>(
       waiting->tier - std::min(waiting->tier, rules::kTopTier));
   state.running[id] = running;
-  out.emplace_back(Dispatch{id, choice.endpoint,
-                            by_trickle ? PickReason::kTrickle : choice.reason,
-                            priority});
+  out.emplace_back(Dispatch{
+      id, choice.endpoint,
+      by_aging_quota ? PickReason::kAgedWork : choice.reason, priority});
 }
 
 bool DispatchOne(LadderState& state, TargetHandle target, Time now,
                  Actions& out) {
   Pool& pool = state.pools[target.idx];
   if (pool.free == 0) return false;
-  const Waiting* best = BestHead(state, target, now);
+  const WaitingRequest* best = FindBestHead(state, target, now);
   if (best == nullptr) return false;
-  const bool kept = pool.free <= ReservedFrom(state, pool, best->tier);
-  const std::uint8_t above = kept ? rules::kTopTier : best->tier;
-  const Waiting* aged = AgedHead(state, target, above, now);
-  if (aged == nullptr && kept) return false;
-  const Waiting& next = aged != nullptr ? *aged : *best;
+  const bool is_reserved =
+      pool.free <= SlotsReservedFrom(state, pool, best->tier);
+  const std::uint8_t tier_limit = is_reserved ? rules::kTopTier : best->tier;
+  const WaitingRequest* aged = FindAgedHead(state, target, tier_limit, now);
+  if (aged == nullptr && is_reserved) return false;
+  const WaitingRequest& next = aged != nullptr ? *aged : *best;
   const Choice choice = ChooseEndpoint(state, next, now);
   if (!rules::IsValid(choice.endpoint)) return false;
-  Start(state, next.request.id, choice, aged != nullptr, now, out);
+  StartRequest(state, next.request.id, choice, aged != nullptr, now, out);
   return true;
 }
 
@@ -226,23 +243,24 @@
   if (memberships.size() == 1) {
     return DispatchTarget(state, memberships.front().target, now, out);
   }
-  std::vector<TargetHandle> open;
+  std::vector<TargetHandle> pending_targets;
   for (const Membership& membership : memberships) {
-    open.push_back(membership.target);
+    pending_targets.push_back(membership.target);
   }
-  while (!open.empty()) {
+  while (!pending_targets.empty()) {
     std::size_t first = 0;
-    const Waiting* best = nullptr;
-    for (std::size_t i = 0; i < open.size(); ++i) {
-      const Waiting* head = BestHead(state, open[i], now);
+    const WaitingRequest* best = nullptr;
+    for (std::size_t i = 0; i < pending_targets.size(); ++i) {
+      const WaitingRequest* head = FindBestHead(state, pending_targets[i], now);
       if (head == nullptr) continue;
       if (best != nullptr && !GoesBefore(*head, *best)) continue;
       best = head;
       first = i;
     }
     if (best == nullptr) return;
-    if (DispatchOne(state, open[first], now, out)) continue;
-    open.erase(open.begin() + static_cast<std::ptrdiff_t>(first));
+    if (DispatchOne(state, pending_targets[first], now, out)) continue;
+    pending_targets.erase(pending_targets.begin() +
+                          static_cast<std::ptrdiff_t>(first));
   }
 }
 
--- a/policy/src/names.cc
+++ b/policy/src/names.cc
@@ -15,7 +15,7 @@
       return "least_loaded";
     case PickReason::kNearZone:
       return "near_zone";
-    case PickReason::kTrickle:
+    case PickReason::kAgedWork:
       return "trickle";
     case PickReason::kProbe:
       return "probe";
@@ -73,7 +73,7 @@
 
 const char* NameOf(RetryReason reason) {
   switch (reason) {
-    case RetryReason::kNotRunElsewhere:
+    case RetryReason::kNotRun:
       return "not_run";
     case RetryReason::kIdempotent:
       return "idempotent";
--- a/policy/src/pick.cc
+++ b/policy/src/pick.cc
@@ -9,41 +9,45 @@
 namespace egretladder::policy {
 namespace {
 
-constexpr double kBesideSuspect = 10;  // Only when nothing else is free.
+constexpr double kSuspectPenalty = 10;  // Only when nothing else is free.
 
-double OthersLoad(const EndpointLoad& load, const Limits& limits, Time now) {
+double OtherNodesLoad(const EndpointLoad& load, const Limits& limits,
+                      Time now) {
   if (load.reported_at == Time{}) return 0;
-  const std::uint32_t others =
-      load.reported_load - std::min(load.reported_load, load.own_at_report);
+  const std::uint32_t other_nodes =
+      load.reported_load -
+      std::min(load.reported_load, load.own_in_flight_at_report);
   const std::chrono::duration<double> age = now - load.reported_at;
   const double weight = std::exp2(-(age / limits.report_half_life));
-  return weight * others / std::max(1U, load.bears);
+  return weight * other_nodes / std::max(1U, load.bears);
 }
 
 }  // namespace
 
-double ScoreOf(const EndpointLoad& load, const Limits& limits, Time now) {
+double LoadScore(const EndpointLoad& load, const Limits& limits, Time now) {
   const double own = (load.in_flight + 1.0) / std::max(1U, load.slots);
-  double score = own + OthersLoad(load, limits, now);
-  if (load.near) score *= 1.0 - limits.near_zone_gain;
-  if (load.beside_suspect) score += kBesideSuspect;
+  double score = own + OtherNodesLoad(load, limits, now);
+  if (load.same_zone) score *= 1.0 - limits.same_zone_discount;
+  if (load.runs_suspect) score += kSuspectPenalty;
   return score;
 }
 
-bool TakesPrefix(const EndpointLoad& load, double mean, const Limits& limits) {
-  if (load.in_flight >= load.slots || load.beside_suspect) return false;
-  const double allowed = std::ceil(limits.affinity_load * mean * load.slots);
+bool HasPrefixCapacity(const EndpointLoad& load, double mean_load,
+                       const Limits& limits) {
+  if (load.in_flight >= load.slots || load.runs_suspect) return false;
+  const double allowed =
+      std::ceil(limits.affinity_load * mean_load * load.slots);
   return load.in_flight < std::max(1.0, allowed);
 }
 
-PrefixRing MakeRing(const rules::Rules& rules,
-                    const std::vector<EndpointHandle>& servers) {
-  constexpr std::uint64_t kPointsEach = 8;  // Evens out the ring's gaps.
+PrefixRing BuildPrefixRing(const rules::Rules& rules,
+                           const std::vector<EndpointHandle>& servers) {
+  constexpr std::uint64_t kPointsPerEndpoint = 8;  // Evens out the ring's gaps.
   PrefixRing ring;
-  ring.points.reserve(servers.size() * kPointsEach);
+  ring.points.reserve(servers.size() * kPointsPerEndpoint);
   for (const EndpointHandle endpoint : servers) {
     const std::string& name = rules.endpoints[endpoint.idx].source.name;
-    for (std::uint64_t point = 0; point < kPointsEach; ++point) {
+    for (std::uint64_t point = 0; point < kPointsPerEndpoint; ++point) {
       ring.points.push_back({kernel::HashOf(name, point), endpoint});
     }
   }
@@ -54,9 +58,10 @@
   return ring;
 }
 
-void HomesOf(const PrefixRing& ring, std::uint64_t prefix, std::uint32_t homes,
-             std::vector<EndpointHandle>& out) {
-  constexpr std::size_t kStepsMost = 64;
+void FindPrefixOwners(const PrefixRing& ring, std::uint64_t prefix,
+                      std::uint32_t max_owners,
+                      std::vector<EndpointHandle>& out) {
+  constexpr std::size_t kMaxRingSteps = 64;
   out.clear();
   if (ring.points.empty()) return;
   const auto first =
@@ -64,11 +69,12 @@
                        [](const PrefixRing::Point& point, std::uint64_t hash) {
                          return point.hash < hash;
                        });
-  auto at = static_cast<std::size_t>(first - ring.points.begin());
-  const std::size_t steps = std::min(kStepsMost, ring.points.size());
-  for (std::size_t step = 0; step < steps && out.size() < homes; ++step, ++at) {
+  auto index = static_cast<std::size_t>(first - ring.points.begin());
+  const std::size_t steps = std::min(kMaxRingSteps, ring.points.size());
+  for (std::size_t step = 0; step < steps && out.size() < max_owners;
+       ++step, ++index) {
     const EndpointHandle endpoint =
-        ring.points[at % ring.points.size()].endpoint;
+        ring.points[index % ring.points.size()].endpoint;
     if (std::find(out.begin(), out.end(), endpoint) == out.end()) {
       out.push_back(endpoint);
     }
--- a/policy/src/poison.cc
+++ b/policy/src/poison.cc
@@ -10,38 +10,41 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-const Blame* FindBlame(const PoisonState& state, std::uint64_t fingerprint,
-                       kernel::Time now) {
-  const auto it = state.blames.find(fingerprint);
-  if (it == state.blames.end() || it->second.until <= now) return nullptr;
+const CrashRecord* FindCrashRecord(const PoisonState& state,
+                                   std::uint64_t fingerprint,
+                                   kernel::Time now) {
+  const auto it = state.crash_records.find(fingerprint);
+  if (it == state.crash_records.end() || it->second.expires_at <= now)
+    return nullptr;
   return &it->second;
 }
 
 // Makes room: first what has expired, then what expires soonest.
 void MakeRoom(PoisonState& state, kernel::Time now) {
-  if (state.blames.size() < kBlamesMost) return;
-  std::erase_if(state.blames,
-                [now](const auto& entry) { return entry.second.until <= now; });
-  if (state.blames.size() < kBlamesMost) return;
-  state.blames.erase(std::min_element(state.blames.begin(), state.blames.end(),
-                                      [](const auto& left, const auto& right) {
-                                        return left.second.until <
-                                               right.second.until;
-                                      }));
+  if (state.crash_records.size() < kMaxCrashRecords) return;
+  std::erase_if(state.crash_records, [now](const auto& entry) {
+    return entry.second.expires_at <= now;
+  });
+  if (state.crash_records.size() < kMaxCrashRecords) return;
+  state.crash_records.erase(std::min_element(
+      state.crash_records.begin(), state.crash_records.end(),
+      [](const auto& left, const auto& right) {
+        return left.second.expires_at < right.second.expires_at;
+      }));
 }
 
-Blame& BlameOf(PoisonState& state, std::uint64_t fingerprint,
-               kernel::Time now) {
-  if (!state.blames.contains(fingerprint)) MakeRoom(state, now);
-  Blame& blame = state.blames[fingerprint];
-  if (blame.until <= now) blame = Blame{};
-  return blame;
+CrashRecord& GetCrashRecord(PoisonState& state, std::uint64_t fingerprint,
+                            kernel::Time now) {
+  if (!state.crash_records.contains(fingerprint)) MakeRoom(state, now);
+  CrashRecord& record = state.crash_records[fingerprint];
+  if (record.expires_at <= now) record = CrashRecord{};
+  return record;
 }
 
-Quarantined ToTell(std::uint64_t fingerprint, const Blame& blame,
-                   kernel::Time now) {
-  return {fingerprint, duration_cast<milliseconds>(blame.until - now),
-          blame.deaths};
+Quarantined MakeNotice(std::uint64_t fingerprint, const CrashRecord& record,
+                       kernel::Time now) {
+  return {fingerprint, duration_cast<milliseconds>(record.expires_at - now),
+          record.deaths};
 }
 
 }  // namespace
@@ -49,62 +52,67 @@
 std::vector<Quarantined> OnEndpointDied(
     PoisonState& state, const std::vector<std::uint64_t>& running,
     kernel::Time now) {
-  std::vector<std::uint64_t> bodies = running;
-  std::sort(bodies.begin(), bodies.end());
-  bodies.erase(std::unique(bodies.begin(), bodies.end()), bodies.end());
-  std::erase(bodies, 0U);  // 0: no fingerprint.
+  std::vector<std::uint64_t> fingerprints = running;
+  std::sort(fingerprints.begin(), fingerprints.end());
+  fingerprints.erase(std::unique(fingerprints.begin(), fingerprints.end()),
+                     fingerprints.end());
+  std::erase(fingerprints, 0U);  // 0: no fingerprint.
   const auto suspects = std::count_if(
-      bodies.begin(), bodies.end(),
-      [&](std::uint64_t body) { return IsSuspect(state, body, now); });
+      fingerprints.begin(), fingerprints.end(), [&](std::uint64_t fingerprint) {
+        return IsSuspect(state, fingerprint, now);
+      });
   std::vector<Quarantined> quarantined;
-  for (const std::uint64_t body : bodies) {
-    const bool suspect = IsSuspect(state, body, now);
+  for (const std::uint64_t fingerprint : fingerprints) {
+    const bool suspect = IsSuspect(state, fingerprint, now);
     // A known suspect explains the death: the others only ran beside it.
     if (suspects == 1 && !suspect) continue;
-    Blame& blame = BlameOf(state, body, now);
-    if (blame.quarantined) continue;
-    const bool is_it = suspects == 1;
-    blame.deaths = is_it ? kDeathsBeforeQuarantine : std::uint8_t{1};
-    blame.quarantined = is_it;
-    blame.until = now + (is_it ? kQuarantineKept : kBlameKept);
-    if (is_it) quarantined.push_back(ToTell(body, blame, now));
+    CrashRecord& record = GetCrashRecord(state, fingerprint, now);
+    if (record.quarantined) continue;
+    const bool is_culprit = suspects == 1;
+    record.deaths = is_culprit ? kDeathsBeforeQuarantine : std::uint8_t{1};
+    record.quarantined = is_culprit;
+    record.expires_at =
+        now + (is_culprit ? kQuarantineDuration : kSuspectDuration);
+    if (is_culprit) quarantined.push_back(MakeNotice(fingerprint, record, now));
   }
   return quarantined;
 }
 
 void OnRanWell(PoisonState& state, std::uint64_t fingerprint) {
-  state.blames.erase(fingerprint);
+  state.crash_records.erase(fingerprint);
 }
 
 bool IsSuspect(const PoisonState& state, std::uint64_t fingerprint,
                kernel::Time now) {
-  const Blame* blame = FindBlame(state, fingerprint, now);
-  return blame != nullptr && !blame->quarantined;
+  const CrashRecord* record = FindCrashRecord(state, fingerprint, now);
+  return record != nullptr && !record->quarantined;
 }
 
-bool OnTold(PoisonState& state, const Quarantined& told, kernel::Time now) {
-  if (told.left <= milliseconds(0) || told.fingerprint == 0) return false;
-  Blame& blame = BlameOf(state, told.fingerprint, now);
-  if (blame.quarantined) return false;
-  const bool is_it = told.deaths >= kDeathsBeforeQuarantine;
-  blame.deaths = std::max(blame.deaths, told.deaths);
-  blame.quarantined = is_it;
-  const auto longest = is_it ? kQuarantineKept : kBlameKept;
-  blame.until = std::max(blame.until, now + std::min(told.left, longest));
-  return is_it;
+bool OnTold(PoisonState& state, const Quarantined& notice, kernel::Time now) {
+  if (notice.left <= milliseconds(0) || notice.fingerprint == 0) return false;
+  CrashRecord& record = GetCrashRecord(state, notice.fingerprint, now);
+  if (record.quarantined) return false;
+  const bool is_culprit = notice.deaths >= kDeathsBeforeQuarantine;
+  record.deaths = std::max(record.deaths, notice.deaths);
+  record.quarantined = is_culprit;
+  const auto longest = is_culprit ? kQuarantineDuration : kSuspectDuration;
+  record.expires_at =
+      std::max(record.expires_at, now + std::min(notice.left, longest));
+  return is_culprit;
 }
 
 bool IsQuarantined(const PoisonState& state, std::uint64_t fingerprint,
                    kernel::Time now) {
-  const Blame* blame = FindBlame(state, fingerprint, now);
-  return blame != nullptr && blame->quarantined;
+  const CrashRecord* record = FindCrashRecord(state, fingerprint, now);
+  return record != nullptr && record->quarantined;
 }
 
 std::vector<Quarantined> ListBlames(const PoisonState& state,
                                     kernel::Time now) {
   std::vector<Quarantined> list;
-  for (const auto& [fingerprint, blame] : state.blames) {
-    if (blame.until > now) list.push_back(ToTell(fingerprint, blame, now));
+  for (const auto& [fingerprint, record] : state.crash_records) {
+    if (record.expires_at > now)
+      list.push_back(MakeNotice(fingerprint, record, now));
   }
   return list;
 }
--- a/policy/src/queue.cc
+++ b/policy/src/queue.cc
@@ -6,88 +6,95 @@
 namespace egretladder::policy {
 namespace {
 
-Place PlaceOf(Time time, const Waiting& waiting) {
+QueueEntry MakeEntry(Time time, const WaitingRequest& waiting) {
   return {time, waiting.number, waiting.request.id};
 }
 
-ClassQueue& QueueOf(WaitQueue& queue, const Request& request) {
+ClassQueue& GetClassQueue(WaitQueue& queue, const Request& request) {
   return queue.queues[request.target.idx][request.cls.idx];
 }
 
-Served& ServedOf(WaitQueue& queue, ClassHandle cls, AccountHandle account) {
-  return queue.served[cls.idx][account.idx];
+AccountUsage& GetUsage(WaitQueue& queue, ClassHandle cls,
+                       AccountHandle account) {
+  return queue.usage[cls.idx][account.idx];
 }
 
-void SetKey(FairList& list, std::uint32_t account, double tokens) {
-  const auto it = list.key.find(account);
-  if (it != list.key.end()) list.order.erase({it->second, account});
-  list.order.emplace(tokens, account);
-  list.key[account] = tokens;
+void SetOrderKey(FairQueue& fair_queue, std::uint32_t account, double tokens) {
+  const auto it = fair_queue.order_key.find(account);
+  if (it != fair_queue.order_key.end())
+    fair_queue.order.erase({it->second, account});
+  fair_queue.order.emplace(tokens, account);
+  fair_queue.order_key[account] = tokens;
 }
 
-void DropKey(FairList& list, std::uint32_t account) {
-  const auto it = list.key.find(account);
-  if (it == list.key.end()) return;
-  list.order.erase({it->second, account});
-  list.key.erase(it);
+void RemoveOrderKey(FairQueue& fair_queue, std::uint32_t account) {
+  const auto it = fair_queue.order_key.find(account);
+  if (it == fair_queue.order_key.end()) return;
+  fair_queue.order.erase({it->second, account});
+  fair_queue.order_key.erase(it);
 }
 
-void AddTo(FairList& list, std::uint32_t account, const Place& place,
-           double tokens) {
-  Places& flow = list.flows[account];
-  if (flow.empty()) SetKey(list, account, tokens);
-  flow.insert(place);
+void AddToFlow(FairQueue& fair_queue, std::uint32_t account,
+               const QueueEntry& entry, double tokens) {
+  QueueEntries& flow = fair_queue.flows[account];
+  if (flow.empty()) SetOrderKey(fair_queue, account, tokens);
+  flow.insert(entry);
 }
 
-void RemoveFrom(FairList& list, std::uint32_t account, const Place& place) {
-  const auto it = list.flows.find(account);
-  if (it == list.flows.end()) return;
-  it->second.erase(place);
+void RemoveFromFlow(FairQueue& fair_queue, std::uint32_t account,
+                    const QueueEntry& entry) {
+  const auto it = fair_queue.flows.find(account);
+  if (it == fair_queue.flows.end()) return;
+  it->second.erase(entry);
   if (!it->second.empty()) return;
-  DropKey(list, account);
-  list.flows.erase(it);
+  RemoveOrderKey(fair_queue, account);
+  fair_queue.flows.erase(it);
 }
 
-void MoveLate(WaitQueue& all, ClassQueue& queue, Time in_time_by) {
+void MoveLateRequests(WaitQueue& all, ClassQueue& queue,
+                      Time earliest_feasible_deadline) {
   while (!queue.by_deadline.empty() &&
-         queue.by_deadline.begin()->time < in_time_by) {
+         queue.by_deadline.begin()->time < earliest_feasible_deadline) {
     const RequestId id = queue.by_deadline.begin()->request;
     queue.by_deadline.erase(queue.by_deadline.begin());
-    Waiting& waiting = all.requests.at(id);
+    WaitingRequest& waiting = all.requests.at(id);
     const Request& request = waiting.request;
     waiting.late = true;
-    RemoveFrom(queue.in_time, request.account.idx,
-               PlaceOf(request.deadline, waiting));
-    AddTo(queue.late, request.account.idx, PlaceOf(request.arrived, waiting),
-          ServedOf(all, request.cls, request.account).tokens);
+    RemoveFromFlow(queue.in_time, request.account.idx,
+                   MakeEntry(request.deadline, waiting));
+    AddToFlow(queue.late, request.account.idx,
+              MakeEntry(request.arrived, waiting),
+              GetUsage(all, request.cls, request.account).tokens);
   }
 }
 
 // Puts outdated entries right until the first one is true.
-void SettleFront(const WaitQueue& all, FairList& list, ClassHandle cls) {
-  while (!list.order.empty()) {
-    const auto [key, account] = *list.order.begin();
-    const double tokens = all.served[cls.idx][account].tokens;
-    if (key >= tokens) return;
-    SetKey(list, account, tokens);
+void RefreshFront(const WaitQueue& all, FairQueue& fair_queue,
+                  ClassHandle cls) {
+  while (!fair_queue.order.empty()) {
+    const auto [order_key, account] = *fair_queue.order.begin();
+    const double tokens = all.usage[cls.idx][account].tokens;
+    if (order_key >= tokens) return;
+    SetOrderKey(fair_queue, account, tokens);
   }
 }
 
-const Waiting* FrontOf(WaitQueue& all, FairList& list, ClassHandle cls,
-                       AccountHeld held, const void* context) {
-  SettleFront(all, list, cls);
-  auto it = list.order.begin();
-  while (it != list.order.end()) {
-    const auto [key, account] = *it;
-    const double tokens = all.served[cls.idx][account].tokens;
-    if (key < tokens) {
+const WaitingRequest* FindFront(WaitQueue& all, FairQueue& fair_queue,
+                                ClassHandle cls, AccountBlockedFn is_blocked,
+                                const void* context) {
+  RefreshFront(all, fair_queue, cls);
+  auto it = fair_queue.order.begin();
+  while (it != fair_queue.order.end()) {
+    const auto [order_key, account] = *it;
+    const double tokens = all.usage[cls.idx][account].tokens;
+    if (order_key < tokens) {
       // Put right, it may belong before the next one: look again.
-      SetKey(list, account, tokens);
-      it = list.order.begin();
+      SetOrderKey(fair_queue, account, tokens);
+      it = fair_queue.order.begin();
       continue;
     }
-    if (held == nullptr || !held(context, AccountHandle{account})) {
-      const RequestId id = list.flows.at(account).begin()->request;
+    if (is_blocked == nullptr || !is_blocked(context, AccountHandle{account})) {
+      const RequestId id = fair_queue.flows.at(account).begin()->request;
       return &all.requests.at(id);
     }
     ++it;
@@ -97,139 +104,153 @@
 
 // An account that comes back from idling starts level with those that waited:
 // otherwise it could save up for a burst that shuts the others out.
-void LiftIdle(const WaitQueue& all, ClassQueue& queue, ClassHandle cls,
-              Served& served) {
-  if (served.waiting > 0 || queue.in_time.order.empty()) return;
-  SettleFront(all, queue.in_time, cls);
-  served.tokens = std::max(served.tokens, queue.in_time.order.begin()->first);
+void RaiseIdleAccount(const WaitQueue& all, ClassQueue& queue, ClassHandle cls,
+                      AccountUsage& usage) {
+  if (usage.waiting > 0 || queue.in_time.order.empty()) return;
+  RefreshFront(all, queue.in_time, cls);
+  usage.tokens = std::max(usage.tokens, queue.in_time.order.begin()->first);
 }
 
 }  // namespace
 
-bool operator<(const Place& left, const Place& right) {
+bool operator<(const QueueEntry& left, const QueueEntry& right) {
   return std::tie(left.time, left.number) < std::tie(right.time, right.number);
 }
 
 void Resize(WaitQueue& queue, std::size_t targets, std::size_t classes,
             std::size_t accounts) {
   targets = std::max(targets, queue.queues.size());
-  classes = std::max(classes, queue.served.size());
+  classes = std::max(classes, queue.usage.size());
   queue.queues.resize(targets);
-  queue.waiting.resize(targets);
+  queue.num_waiting.resize(targets);
   for (auto& row : queue.queues) row.resize(classes);
-  for (auto& row : queue.waiting) row.resize(classes);
-  queue.served.resize(classes);
-  queue.accounts_waiting.resize(classes);
-  for (auto& row : queue.served) {
+  for (auto& row : queue.num_waiting) row.resize(classes);
+  queue.usage.resize(classes);
+  queue.waiting_accounts.resize(classes);
+  for (auto& row : queue.usage) {
     if (row.size() < accounts) row.resize(accounts);
   }
 }
 
-void Push(WaitQueue& queue, Waiting waiting) {
+void Push(WaitQueue& queue, WaitingRequest waiting) {
   waiting.number = ++queue.arrivals;
   waiting.late = false;
   const Request request = waiting.request;
-  ClassQueue& cls = QueueOf(queue, request);
-  Served& served = ServedOf(queue, request.cls, request.account);
-  LiftIdle(queue, cls, request.cls, served);
-  const Place place = PlaceOf(request.deadline, waiting);
-  AddTo(cls.in_time, request.account.idx, place, served.tokens);
-  cls.by_deadline.insert(place);
-  cls.by_bound.insert(PlaceOf(waiting.bound, waiting));
-  if (served.waiting++ == 0) ++queue.accounts_waiting[request.cls.idx];
-  ++queue.waiting[request.target.idx][request.cls.idx];
+  ClassQueue& cls = GetClassQueue(queue, request);
+  AccountUsage& usage = GetUsage(queue, request.cls, request.account);
+  RaiseIdleAccount(queue, cls, request.cls, usage);
+  const QueueEntry entry = MakeEntry(request.deadline, waiting);
+  AddToFlow(cls.in_time, request.account.idx, entry, usage.tokens);
+  cls.by_deadline.insert(entry);
+  cls.by_queue_deadline.insert(MakeEntry(waiting.queue_deadline, waiting));
+  if (usage.waiting++ == 0) ++queue.waiting_accounts[request.cls.idx];
+  ++queue.num_waiting[request.target.idx][request.cls.idx];
   queue.requests.emplace(request.id, waiting);
 }
 
-std::optional<Waiting> Take(WaitQueue& queue, RequestId request) {
+std::optional<WaitingRequest> Remove(WaitQueue& queue, RequestId request) {
   const auto it = queue.requests.find(request);
   if (it == queue.requests.end()) return std::nullopt;
-  Waiting waiting = it->second;
+  WaitingRequest waiting = it->second;
   queue.requests.erase(it);
   const Request& taken = waiting.request;
-  ClassQueue& cls = QueueOf(queue, taken);
-  const Place by_deadline = PlaceOf(taken.deadline, waiting);
+  ClassQueue& cls = GetClassQueue(queue, taken);
+  const QueueEntry by_deadline = MakeEntry(taken.deadline, waiting);
   if (waiting.late) {
-    RemoveFrom(cls.late, taken.account.idx, PlaceOf(taken.arrived, waiting));
+    RemoveFromFlow(cls.late, taken.account.idx,
+                   MakeEntry(taken.arrived, waiting));
   } else {
-    RemoveFrom(cls.in_time, taken.account.idx, by_deadline);
+    RemoveFromFlow(cls.in_time, taken.account.idx, by_deadline);
     cls.by_deadline.erase(by_deadline);
   }
-  cls.by_bound.erase(PlaceOf(waiting.bound, waiting));
-  Served& served = ServedOf(queue, taken.cls, taken.account);
-  if (--served.waiting == 0) --queue.accounts_waiting[taken.cls.idx];
-  --queue.waiting[taken.target.idx][taken.cls.idx];
+  cls.by_queue_deadline.erase(MakeEntry(waiting.queue_deadline, waiting));
+  AccountUsage& usage = GetUsage(queue, taken.cls, taken.account);
+  if (--usage.waiting == 0) --queue.waiting_accounts[taken.cls.idx];
+  --queue.num_waiting[taken.target.idx][taken.cls.idx];
   return waiting;
 }
 
-const Waiting* HeadOf(WaitQueue& queue, TargetHandle target, ClassHandle cls,
-                      Time in_time_by, AccountHeld held, const void* context) {
+const WaitingRequest* FindHead(WaitQueue& queue, TargetHandle target,
+                               ClassHandle cls, Time earliest_feasible_deadline,
+                               AccountBlockedFn is_blocked,
+                               const void* context) {
   ClassQueue& waiting = queue.queues[target.idx][cls.idx];
-  MoveLate(queue, waiting, in_time_by);
-  const Waiting* head = FrontOf(queue, waiting.in_time, cls, held, context);
+  MoveLateRequests(queue, waiting, earliest_feasible_deadline);
+  const WaitingRequest* head =
+      FindFront(queue, waiting.in_time, cls, is_blocked, context);
   if (head != nullptr) return head;
-  return FrontOf(queue, waiting.late, cls, held, context);
+  return FindFront(queue, waiting.late, cls, is_blocked, context);
 }
 
-bool GoesBefore(const Waiting& left, const Waiting& right) {
+bool GoesBefore(const WaitingRequest& left, const WaitingRequest& right) {
   return std::tie(left.tier, left.late, left.request.deadline, left.number) <
          std::tie(right.tier, right.late, right.request.deadline, right.number);
 }
 
 void Charge(WaitQueue& queue, ClassHandle cls, AccountHandle account,
             double tokens, std::uint32_t share) {
-  Served& served = ServedOf(queue, cls, account);
+  AccountUsage& usage = GetUsage(queue, cls, account);
   const double per_share = tokens / std::max(1U, share);
-  const double from_credit = std::min(served.credit, per_share);
-  served.credit -= from_credit;
-  served.tokens += per_share - from_credit;
+  const double from_credit = std::min(usage.credit, per_share);
+  usage.credit -= from_credit;
+  usage.tokens += per_share - from_credit;
 }
 
 void Refund(WaitQueue& queue, ClassHandle cls, AccountHandle account,
             double tokens, std::uint32_t share) {
-  ServedOf(queue, cls, account).credit += tokens / std::max(1U, share);
+  GetUsage(queue, cls, account).credit += tokens / std::max(1U, share);
 }
 
-void ListBoundBefore(const WaitQueue& queue, TargetHandle target,
-                     ClassHandle cls, Time time, std::vector<RequestId>& out) {
-  for (const Place& place : queue.queues[target.idx][cls.idx].by_bound) {
-    if (place.time >= time) break;
-    out.push_back(place.request);
+void ListExpiringBefore(const WaitQueue& queue, TargetHandle target,
+                        ClassHandle cls, Time time,
+                        std::vector<RequestId>& out) {
+  for (const QueueEntry& entry :
+       queue.queues[target.idx][cls.idx].by_queue_deadline) {
+    if (entry.time >= time) break;
+    out.push_back(entry.request);
   }
 }
 
-const Waiting* FindToShed(const WaitQueue& queue, std::uint8_t tier) {
-  const Waiting* found = nullptr;
+const WaitingRequest* FindShedCandidate(const WaitQueue& queue,
+                                        std::uint8_t tier) {
+  const WaitingRequest* candidate = nullptr;
   for (const auto& classes : queue.queues) {
     for (const ClassQueue& cls : classes) {
-      if (cls.by_bound.empty()) continue;
-      const Waiting& newest = queue.requests.at(cls.by_bound.rbegin()->request);
+      if (cls.by_queue_deadline.empty()) continue;
+      const WaitingRequest& newest =
+          queue.requests.at(cls.by_queue_deadline.rbegin()->request);
       if (newest.tier <= tier) continue;
-      if (found == nullptr || std::tie(found->tier, found->number) <
-                                  std::tie(newest.tier, newest.number)) {
-        found = &newest;
+      if (candidate == nullptr || std::tie(candidate->tier, candidate->number) <
+                                      std::tie(newest.tier, newest.number)) {
+        candidate = &newest;
       }
     }
   }
-  return found;
-}
-
-const Waiting* FindOverShare(const WaitQueue& queue, ClassHandle cls,
-                             AccountHandle account) {
-  const std::vector<Served>& accounts = queue.served[cls.idx];
-  const auto most = std::max_element(
-      accounts.begin(), accounts.end(),
-      [](const Served& l, const Served& r) { return l.waiting < r.waiting; });
-  if (most == accounts.end()) return nullptr;
-  if (most->waiting <= 2 * (accounts[account.idx].waiting + 1)) return nullptr;
-  const auto over = static_cast<std::uint32_t>(most - accounts.begin());
-  const Waiting* newest = nullptr;
+  return candidate;
+}
+
+const WaitingRequest* FindOverShareCandidate(const WaitQueue& queue,
+                                             ClassHandle cls,
+                                             AccountHandle account) {
+  const std::vector<AccountUsage>& accounts = queue.usage[cls.idx];
+  const auto heaviest =
+      std::max_element(accounts.begin(), accounts.end(),
+                       [](const AccountUsage& l, const AccountUsage& r) {
+                         return l.waiting < r.waiting;
+                       });
+  if (heaviest == accounts.end()) return nullptr;
+  if (heaviest->waiting <= 2 * (accounts[account.idx].waiting + 1))
+    return nullptr;
+  const auto heaviest_account =
+      static_cast<std::uint32_t>(heaviest - accounts.begin());
+  const WaitingRequest* newest = nullptr;
   for (const auto& classes : queue.queues) {
-    for (const FairList* list :
+    for (const FairQueue* fair_queue :
          {&classes[cls.idx].in_time, &classes[cls.idx].late}) {
-      const auto flow = list->flows.find(over);
-      if (flow == list->flows.end()) continue;
-      const Waiting& last = queue.requests.at(flow->second.rbegin()->request);
+      const auto flow = fair_queue->flows.find(heaviest_account);
+      if (flow == fair_queue->flows.end()) continue;
+      const WaitingRequest& last =
+          queue.requests.at(flow->second.rbegin()->request);
       if (newest == nullptr || newest->number < last.number) newest = &last;
     }
   }
--- a/policy/src/retry.cc
+++ b/policy/src/retry.cc
@@ -5,43 +5,46 @@
 namespace egretladder::policy {
 namespace {
 
-RetryAnswer No(RetryReason reason) { return {false, reason, {}}; }
+RetryAnswer DoNotRetry(RetryReason reason) { return {false, reason, {}}; }
 
-std::chrono::milliseconds DelayBefore(std::uint8_t attempt, double jitter) {
-  const auto full = kRetryDelay * (1U << std::min<unsigned>(attempt - 1U, 6U));
+std::chrono::milliseconds BackoffDelay(std::uint8_t attempt, double jitter) {
+  const auto base_delay =
+      kInitialRetryDelay * (1U << std::min<unsigned>(attempt - 1U, 6U));
   return std::chrono::duration_cast<std::chrono::milliseconds>(
-      full * (0.5 + std::clamp(jitter, 0.0, 1.0)));
+      base_delay * (0.5 + std::clamp(jitter, 0.0, 1.0)));
 }
 
 }  // namespace
 
 void OnSuccess(RetryBudget& budget) {
-  budget.tokens = std::min(budget.tokens + kRetryPerSuccess, kRetryBudgetMost);
+  budget.tokens =
+      std::min(budget.tokens + kRetryTokensPerSuccess, kMaxRetryTokens);
 }
 
-RetryAnswer DecideRetry(RetryBudget& budget, const RetryQuestion& question,
+RetryAnswer DecideRetry(RetryBudget& budget, const RetryQuestion& context,
                         double jitter, Time now) {
-  if (question.answer_started) return No(RetryReason::kAnswerStarted);
-  const bool not_run = question.end == EndKind::kNotRun;
-  if (!not_run && !question.repeatable) return No(RetryReason::kMayHaveRun);
-  if (question.end == EndKind::kDone || question.end == EndKind::kCancelled) {
-    return No(RetryReason::kMayHaveRun);
+  if (context.answer_started) return DoNotRetry(RetryReason::kAnswerStarted);
+  const bool not_run = context.end == EndKind::kNotRun;
+  if (!not_run && !context.repeatable)
+    return DoNotRetry(RetryReason::kMayHaveRun);
+  if (context.end == EndKind::kDone || context.end == EndKind::kCancelled) {
+    return DoNotRetry(RetryReason::kMayHaveRun);
   }
   // The first death is more often the VM's than the body's; a body that saw
   // two in a row is not tried on a third endpoint.
-  if (question.blamed && question.attempt > 1) return No(RetryReason::kPoison);
-  if (question.attempt >= kAttemptsMost) {
-    return No(RetryReason::kAttemptsSpent);
+  if (context.blamed && context.attempt > 1)
+    return DoNotRetry(RetryReason::kPoison);
+  if (context.attempt >= kAttemptsMost) {
+    return DoNotRetry(RetryReason::kAttemptsSpent);
   }
   const auto delay =
-      DelayBefore(std::max<std::uint8_t>(question.attempt, 1), jitter);
-  if (now + delay >= question.deadline) {
-    return No(RetryReason::kDeadlinePassed);
+      BackoffDelay(std::max<std::uint8_t>(context.attempt, 1), jitter);
+  if (now + delay >= context.deadline) {
+    return DoNotRetry(RetryReason::kDeadlinePassed);
   }
-  if (budget.tokens < 1) return No(RetryReason::kBudgetSpent);
+  if (budget.tokens < 1) return DoNotRetry(RetryReason::kBudgetSpent);
   budget.tokens -= 1;
-  return {true,
-          not_run ? RetryReason::kNotRunElsewhere : RetryReason::kIdempotent,
+  return {true, not_run ? RetryReason::kNotRun : RetryReason::kIdempotent,
           delay};
 }
 
--- a/policy/src/scheduler_common.cc
+++ b/policy/src/scheduler_common.cc
@@ -6,21 +6,22 @@
 namespace egretladder::policy {
 namespace {
 
-constexpr std::size_t kBaselineQueueMost = 200'000;
+constexpr std::size_t kMaxBaselineQueueLength = 200'000;
 
-BaselineState& As(SchedulerState& state) {
+BaselineState& AsBaseline(SchedulerState& state) {
   return static_cast<BaselineState&>(state);
 }
 
-void RefuseWith(RequestId request, RefuseReason reason, Actions& out) {
+void AppendRefusal(RequestId request, RefuseReason reason, Actions& out) {
   out.emplace_back(Refuse{request, reason, std::chrono::seconds(1)});
 }
 
 bool HasServer(const BaselineState& state, TargetHandle target) {
-  return !ServersOf(state.table, target).empty();
+  return !GetServers(state.table, target).empty();
 }
 
-bool IsHeld(const BaselineState& state, std::uint64_t fingerprint, Time now) {
+bool IsQuarantined(const BaselineState& state, std::uint64_t fingerprint,
+                   Time now) {
   const auto it = state.quarantined.find(fingerprint);
   return fingerprint != 0 && it != state.quarantined.end() && it->second > now;
 }
@@ -35,7 +36,7 @@
   const Request request = queue.begin()->second;
   queue.erase(queue.begin());
   state.waiting.erase(request.id);
-  FindState(state.table, endpoint)->in_flight++;
+  FindEndpointState(state.table, endpoint)->in_flight++;
   state.running[request.id] = {request, endpoint};
   out.emplace_back(Dispatch{request.id, endpoint, PickReason::kBaseline, 0});
   return true;
@@ -44,19 +45,20 @@
 // Targets take turns by the order of their first request, since they share
 // endpoints.
 void DispatchAll(BaselineState& state, Actions& out) {
-  std::vector<std::uint32_t> open;
+  std::vector<std::uint32_t> pending;
   for (std::uint32_t i = 0; i < state.queues.size(); ++i) {
-    if (!state.queues[i].empty()) open.push_back(i);
+    if (!state.queues[i].empty()) pending.push_back(i);
   }
-  while (!open.empty()) {
-    const auto first = std::min_element(
-        open.begin(), open.end(), [&](std::uint32_t left, std::uint32_t right) {
-          return state.queues[left].begin()->first <
-                 state.queues[right].begin()->first;
-        });
+  while (!pending.empty()) {
+    const auto first =
+        std::min_element(pending.begin(), pending.end(),
+                         [&](std::uint32_t left, std::uint32_t right) {
+                           return state.queues[left].begin()->first <
+                                  state.queues[right].begin()->first;
+                         });
     const std::uint32_t target = *first;
     if (!DispatchOne(state, target, out) || state.queues[target].empty()) {
-      open.erase(first);
+      pending.erase(first);
     }
   }
 }
@@ -79,13 +81,13 @@
   }
   for (const RequestId request : refused) {
     RemoveWaiting(state, request);
-    RefuseWith(request, reason, out);
+    AppendRefusal(request, reason, out);
   }
 }
 
 void OnRules(SchedulerState& base, rules::RulesPtr rules, Time /*now*/,
              Actions& out) {
-  BaselineState& state = As(base);
+  BaselineState& state = AsBaseline(base);
   ApplyRules(state.table, std::move(rules));
   const std::size_t targets = state.table.rules->targets.size();
   if (state.queues.size() < targets) state.queues.resize(targets);
@@ -98,19 +100,19 @@
 
 void OnSlots(SchedulerState& base, EndpointHandle endpoint, std::uint32_t slots,
              Time /*now*/, Actions& out) {
-  BaselineState& state = As(base);
-  EndpointState* found = FindState(state.table, endpoint);
-  if (found == nullptr) return;
-  found->slots = slots;
+  BaselineState& state = AsBaseline(base);
+  EndpointState* endpoint_state = FindEndpointState(state.table, endpoint);
+  if (endpoint_state == nullptr) return;
+  endpoint_state->slots = slots;
   DispatchAll(state, out);
 }
 
 void OnAvailable(SchedulerState& base, EndpointHandle endpoint, bool available,
                  Time /*now*/, Actions& out) {
-  BaselineState& state = As(base);
-  EndpointState* found = FindState(state.table, endpoint);
-  if (found == nullptr) return;
-  found->available = available;
+  BaselineState& state = AsBaseline(base);
+  EndpointState* endpoint_state = FindEndpointState(state.table, endpoint);
+  if (endpoint_state == nullptr) return;
+  endpoint_state->available = available;
   DispatchAll(state, out);
 }
 
@@ -119,7 +121,7 @@
 
 void OnQuarantine(SchedulerState& base, std::uint64_t fingerprint, Time until,
                   Time /*now*/, Actions& out) {
-  BaselineState& state = As(base);
+  BaselineState& state = AsBaseline(base);
   state.quarantined[fingerprint] = until;
   RefuseWaiting(
       state, RefuseReason::kQuarantined,
@@ -128,19 +130,19 @@
 
 void OnArrival(SchedulerState& base, const Request& request, Time now,
                Actions& out) {
-  BaselineState& state = As(base);
+  BaselineState& state = AsBaseline(base);
   if (state.waiting.contains(request.id) ||
       state.running.contains(request.id)) {
     return;
   }
-  if (IsHeld(state, request.fingerprint, now)) {
-    return RefuseWith(request.id, RefuseReason::kQuarantined, out);
+  if (IsQuarantined(state, request.fingerprint, now)) {
+    return AppendRefusal(request.id, RefuseReason::kQuarantined, out);
   }
   if (!HasServer(state, request.target)) {
-    return RefuseWith(request.id, RefuseReason::kNoEndpoint, out);
+    return AppendRefusal(request.id, RefuseReason::kNoEndpoint, out);
   }
-  if (state.waiting.size() >= kBaselineQueueMost) {
-    return RefuseWith(request.id, RefuseReason::kQueueFull, out);
+  if (state.waiting.size() >= kMaxBaselineQueueLength) {
+    return AppendRefusal(request.id, RefuseReason::kQueueFull, out);
   }
   ++state.arrivals;
   const OrderKey key = state.behaviour->order(state, request);
@@ -156,27 +158,27 @@
 
 void OnEnd(SchedulerState& base, RequestId request, EndKind /*kind*/,
            Time /*now*/, Actions& out) {
-  BaselineState& state = As(base);
+  BaselineState& state = AsBaseline(base);
   const auto it = state.running.find(request);
   if (it == state.running.end()) return;
-  FindState(state.table, it->second.endpoint)->in_flight--;
+  FindEndpointState(state.table, it->second.endpoint)->in_flight--;
   state.running.erase(it);
   DispatchAll(state, out);
 }
 
 void OnGone(SchedulerState& base, RequestId request, Time /*now*/) {
-  RemoveWaiting(As(base), request);
+  RemoveWaiting(AsBaseline(base), request);
 }
 
 void OnTick(SchedulerState& base, Time now, Actions& out) {
-  BaselineState& state = As(base);
+  BaselineState& state = AsBaseline(base);
   std::erase_if(state.quarantined,
                 [now](const auto& entry) { return entry.second <= now; });
   RefuseWaiting(
       state, RefuseReason::kWaitedTooLong,
       [&](const Request& r) {
-        const auto longest = ClassOf(state.table, r.cls).max_wait;
-        return longest.count() > 0 && now - r.arrived > longest;
+        const auto max_wait_time = GetClass(state.table, r.cls).max_wait;
+        return max_wait_time.count() > 0 && now - r.arrived > max_wait_time;
       },
       out);
   DispatchAll(state, out);
@@ -218,12 +220,12 @@
 EndpointHandle PickLeastInFlight(BaselineState& state, TargetHandle target) {
   EndpointHandle best;
   std::uint32_t least = 0;
-  for (const EndpointHandle endpoint : ServersOf(state.table, target)) {
-    const EndpointState& found = state.table.endpoints[endpoint.idx];
-    if (!HasFreeSlot(found)) continue;
-    if (rules::IsValid(best) && found.in_flight >= least) continue;
+  for (const EndpointHandle endpoint : GetServers(state.table, target)) {
+    const EndpointState& endpoint_state = state.table.endpoints[endpoint.idx];
+    if (!HasFreeSlot(endpoint_state)) continue;
+    if (rules::IsValid(best) && endpoint_state.in_flight >= least) continue;
     best = endpoint;
-    least = found.in_flight;
+    least = endpoint_state.in_flight;
   }
   return best;
 }
--- a/policy/src/scheduler_fifo.cc
+++ b/policy/src/scheduler_fifo.cc
@@ -5,17 +5,17 @@
 namespace egretladder::policy {
 namespace {
 
-EndpointHandle PickInTurn(BaselineState& state, TargetHandle target) {
-  const std::vector<EndpointHandle>& servers = ServersOf(state.table, target);
+EndpointHandle PickRoundRobin(BaselineState& state, TargetHandle target) {
+  const std::vector<EndpointHandle>& servers = GetServers(state.table, target);
   std::uint32_t& cursor = state.cursors[target.idx];
-  for (std::size_t tried = 0; tried < servers.size(); ++tried) {
+  for (std::size_t attempts = 0; attempts < servers.size(); ++attempts) {
     const EndpointHandle endpoint = servers[cursor++ % servers.size()];
     if (HasFreeSlot(state.table.endpoints[endpoint.idx])) return endpoint;
   }
   return {};
 }
 
-constexpr BaselineBehaviour kFifo{OrderByArrival, PickInTurn};
+constexpr BaselineBehaviour kFifo{OrderByArrival, PickRoundRobin};
 
 std::unique_ptr<SchedulerState> Create(const SchedulerOptions& /*options*/) {
   return CreateBaseline(kFifo);
--- a/policy/src/scheduler_ladder.cc
+++ b/policy/src/scheduler_ladder.cc
@@ -10,14 +10,14 @@
 namespace egretladder::policy {
 namespace {
 
-constexpr std::chrono::milliseconds kSweepEvery{100};
-constexpr double kRunningSmoothed = 0.01;  // A sweep's weight: 10 s.
+constexpr std::chrono::milliseconds kSweepInterval{100};
+constexpr double kMeanRunningWeight = 0.01;  // A sweep's weight: 10 s.
 
-LadderState& As(SchedulerState& state) {
+LadderState& AsLadder(SchedulerState& state) {
   return static_cast<LadderState&>(state);
 }
 
-bool IsEndpoint(const LadderState& state, EndpointHandle endpoint) {
+bool IsKnownEndpoint(const LadderState& state, EndpointHandle endpoint) {
   return endpoint.idx < state.endpoints.size();
 }
 
@@ -32,7 +32,7 @@
 void RefuseUnserved(LadderState& state, Time now, Actions& out) {
   std::vector<RequestId> unserved;
   for (const auto& [id, waiting] : state.queue.requests) {
-    if (ServersOf(state.table, waiting.request.target).empty()) {
+    if (GetServers(state.table, waiting.request.target).empty()) {
       unserved.push_back(id);
     }
   }
@@ -44,7 +44,7 @@
 
 void OnRules(SchedulerState& base, rules::RulesPtr rules, Time now,
              Actions& out) {
-  LadderState& state = As(base);
+  LadderState& state = AsLadder(base);
   RebuildPools(state, std::move(rules), now);
   RefuseUnserved(state, now, out);
   DispatchAll(state, now, out);
@@ -52,66 +52,69 @@
 
 void OnSlots(SchedulerState& base, EndpointHandle endpoint, std::uint32_t slots,
              Time now, Actions& out) {
-  LadderState& state = As(base);
-  if (!IsEndpoint(state, endpoint)) return;
+  LadderState& state = AsLadder(base);
+  if (!IsKnownEndpoint(state, endpoint)) return;
   state.table.endpoints[endpoint.idx].slots = slots;
   RefreshEndpoint(state, endpoint, now);
   DispatchEndpoint(state, endpoint, now, out);
 }
 
 // Forgets what was learned of an engine that is a new one now.
-void ForgetHealth(LadderState& state, EndpointHandle endpoint, Time now) {
-  LadderEndpoint& known = state.endpoints[endpoint.idx];
-  const bool was_alone = known.health.left_alone;
-  OnNewBoot(known.health);
-  if (was_alone) ApplyHealth(state, endpoint, HealthChange::kTrusted, now);
+void ResetEndpointHealth(LadderState& state, EndpointHandle endpoint,
+                         Time now) {
+  LadderEndpoint& endpoint_info = state.endpoints[endpoint.idx];
+  const bool was_ejected = endpoint_info.health.ejected;
+  OnEngineRestart(endpoint_info.health);
+  if (was_ejected)
+    ApplyHealthChange(state, endpoint, HealthChange::kReadmitted, now);
 }
 
 void OnAvailable(SchedulerState& base, EndpointHandle endpoint, bool available,
                  Time now, Actions& out) {
-  LadderState& state = As(base);
-  if (!IsEndpoint(state, endpoint)) return;
-  EndpointState& told = state.table.endpoints[endpoint.idx];
-  if (told.available == available) return;
-  told.available = available;
-  if (available) ForgetHealth(state, endpoint, now);
+  LadderState& state = AsLadder(base);
+  if (!IsKnownEndpoint(state, endpoint)) return;
+  EndpointState& endpoint_state = state.table.endpoints[endpoint.idx];
+  if (endpoint_state.available == available) return;
+  endpoint_state.available = available;
+  if (available) ResetEndpointHealth(state, endpoint, now);
   RefreshEndpoint(state, endpoint, now);
   DispatchEndpoint(state, endpoint, now, out);
 }
 
 void OnReport(SchedulerState& base, EndpointHandle endpoint,
               const EngineReport& report, Time now) {
-  LadderState& state = As(base);
-  if (!IsEndpoint(state, endpoint)) return;
-  LadderEndpoint& known = state.endpoints[endpoint.idx];
-  if (report.boot != known.boot) {
-    if (known.boot != 0) ForgetHealth(state, endpoint, now);
-    known.boot = report.boot;
+  LadderState& state = AsLadder(base);
+  if (!IsKnownEndpoint(state, endpoint)) return;
+  LadderEndpoint& endpoint_info = state.endpoints[endpoint.idx];
+  if (report.boot != endpoint_info.boot) {
+    if (endpoint_info.boot != 0) ResetEndpointHealth(state, endpoint, now);
+    endpoint_info.boot = report.boot;
   }
-  known.load.reported_load = report.running + report.waiting;
-  known.load.own_at_report = state.table.endpoints[endpoint.idx].in_flight;
-  known.load.reported_at = now - report.age;
-  SetLoaded(state, endpoint, report.loaded, now);
+  endpoint_info.load.reported_load = report.running + report.waiting;
+  endpoint_info.load.own_in_flight_at_report =
+      state.table.endpoints[endpoint.idx].in_flight;
+  endpoint_info.load.reported_at = now - report.age;
+  SetLoadedTargets(state, endpoint, report.loaded, now);
 }
 
 void OnQuarantine(SchedulerState& base, std::uint64_t fingerprint, Time until,
                   Time now, Actions& out) {
-  LadderState& state = As(base);
+  LadderState& state = AsLadder(base);
   if (fingerprint == 0 || until <= now) return;
   state.quarantined[fingerprint] = until;
-  std::vector<RequestId> held;
+  std::vector<RequestId> quarantined;
   for (const auto& [id, waiting] : state.queue.requests) {
-    if (waiting.request.fingerprint == fingerprint) held.push_back(id);
+    if (waiting.request.fingerprint == fingerprint) quarantined.push_back(id);
   }
-  std::sort(held.begin(), held.end());
-  for (const RequestId id : held) {
+  std::sort(quarantined.begin(), quarantined.end());
+  for (const RequestId id : quarantined) {
     RefuseWaiting(state, id, RefuseReason::kQuarantined, now, out);
   }
 }
 
 void OnArrival(SchedulerState& base, const Request& request, Time now,
                Actions& out) {
-  LadderState& state = As(base);
+  LadderState& state = AsLadder(base);
   if (state.running.contains(request.id) ||
       state.queue.requests.contains(request.id)) {
     return;
@@ -121,129 +124,136 @@
 }
 
 void OnFirstToken(SchedulerState& base, RequestId id, Time now) {
-  LadderState& state = As(base);
+  LadderState& state = AsLadder(base);
   const auto it = state.running.find(id);
-  if (it == state.running.end() || it->second.first_token) return;
-  Running& running = it->second;
-  running.first_token = true;
-  const Seconds took = now - running.dispatched;
-  WorkSeen& seen =
-      state.seen[running.request.target.idx][running.request.cls.idx];
-  LadderEndpoint& known = state.endpoints[running.endpoint.idx];
-  known.first_token += (took - known.first_token) * 0.2;
-  const HealthChange change = OnFirstTokenTook(
-      known.health, took, MeanFirstToken(seen), LimitsOf(state), now);
-  if (!known.health.left_alone) {
-    OnFirstTokenSeen(seen, took, LimitsOf(state).ends_remembered);
+  if (it == state.running.end() || it->second.has_first_token) return;
+  RunningAttempt& running = it->second;
+  running.has_first_token = true;
+  const Seconds latency = now - running.dispatched;
+  ServiceTimeStats& stats =
+      state.stats[running.request.target.idx][running.request.cls.idx];
+  LadderEndpoint& endpoint_info = state.endpoints[running.endpoint.idx];
+  endpoint_info.first_token_latency +=
+      (latency - endpoint_info.first_token_latency) * 0.2;
+  const HealthChange change =
+      OnFirstTokenLatency(endpoint_info.health, latency, MeanFirstToken(stats),
+                          GetLimits(state), now);
+  if (!endpoint_info.health.ejected) {
+    RecordFirstToken(stats, latency, GetLimits(state).ends_remembered);
   }
-  ApplyHealth(state, running.endpoint, change, now);
+  ApplyHealthChange(state, running.endpoint, change, now);
 }
 
 void OnTokens(SchedulerState& base, RequestId id, std::uint32_t count,
               Time /*now*/) {
-  LadderState& state = As(base);
+  LadderState& state = AsLadder(base);
   const auto it = state.running.find(id);
   if (it == state.running.end()) return;
-  Running& running = it->second;
+  RunningAttempt& running = it->second;
   running.tokens += count;
-  if (running.tokens <= running.charged) return;
+  if (running.tokens <= running.charged_tokens) return;
   const Request& request = running.request;
   Charge(state.queue, request.cls, request.account,
-         running.tokens - running.charged,
-         AccountOf(state.table, request.account).share);
-  running.charged = running.tokens;
+         running.tokens - running.charged_tokens,
+         GetAccount(state.table, request.account).share);
+  running.charged_tokens = running.tokens;
 }
 
-void Release(LadderState& state, const Running& running, Time now) {
+void ReleaseSlot(LadderState& state, const RunningAttempt& running, Time now) {
   const Request& request = running.request;
   Pool& pool = state.pools[request.target.idx];
-  AdvanceTrickle(pool.trickle, pool.slots, LimitsOf(state), now);
-  if (running.by_trickle) --pool.trickle.running;
-  if (request.suspect) --state.endpoints[running.endpoint.idx].suspects;
+  AccrueAgingQuota(pool.quota, pool.slots, GetLimits(state), now);
+  if (running.by_aging_quota) --pool.quota.running;
+  if (request.suspect) --state.endpoints[running.endpoint.idx].running_suspects;
   --state.table.endpoints[running.endpoint.idx].in_flight;
   --state.running_by_class[request.cls.idx];
   --state.running_by_account[request.account.idx];
   --pool.tiers[std::min<std::size_t>(running.tier, kTiers - 1)].running;
-  if (running.charged > running.tokens) {
+  if (running.charged_tokens > running.tokens) {
     Refund(state.queue, request.cls, request.account,
-           running.charged - running.tokens,
-           AccountOf(state.table, request.account).share);
+           running.charged_tokens - running.tokens,
+           GetAccount(state.table, request.account).share);
   }
 }
 
-void LearnFrom(LadderState& state, const Running& running, EndKind kind,
-               Time now) {
-  WorkSeen& seen =
-      state.seen[running.request.target.idx][running.request.cls.idx];
-  LadderEndpoint& known = state.endpoints[running.endpoint.idx];
+void RecordOutcome(LadderState& state, const RunningAttempt& running,
+                   EndKind kind, Time now) {
+  ServiceTimeStats& stats =
+      state.stats[running.request.target.idx][running.request.cls.idx];
+  LadderEndpoint& endpoint_info = state.endpoints[running.endpoint.idx];
   if (kind == EndKind::kDone) {
-    OnWorkEnded(seen, running.tokens, LimitsOf(state).ends_remembered, now);
-    return OnAnswered(known.health);
+    RecordCompletion(stats, running.tokens, GetLimits(state).ends_remembered,
+                     now);
+    return OnSuccess(endpoint_info.health);
   }
-  OnWorkBroken(seen, now - running.dispatched, now);
+  RecordAbort(stats, now - running.dispatched, now);
   if (kind == EndKind::kCancelled) return;
-  ApplyHealth(state, running.endpoint,
-              OnFailure(known.health, LimitsOf(state), now), now);
+  ApplyHealthChange(state, running.endpoint,
+                    OnFailure(endpoint_info.health, GetLimits(state), now),
+                    now);
 }
 
 void OnEnd(SchedulerState& base, RequestId id, EndKind kind, Time now,
            Actions& out) {
-  LadderState& state = As(base);
+  LadderState& state = AsLadder(base);
   const auto it = state.running.find(id);
   if (it == state.running.end()) return;
-  const Running running = it->second;
+  const RunningAttempt running = it->second;
   state.running.erase(it);
-  Release(state, running, now);
-  LearnFrom(state, running, kind, now);
+  ReleaseSlot(state, running, now);
+  RecordOutcome(state, running, kind, now);
   RefreshEndpoint(state, running.endpoint, now);
   DispatchEndpoint(state, running.endpoint, now, out);
 }
 
 void OnGone(SchedulerState& base, RequestId id, Time /*now*/) {
-  LadderState& state = As(base);
-  (void)TakeWaiting(state, id);
+  LadderState& state = AsLadder(base);
+  (void)RemoveWaiting(state, id);
 }
 
 // Work that hangs sends no first token: its age is evidence as well.
-void NoticeHangs(LadderState& state, Time now) {
-  std::vector<std::pair<EndpointHandle, Seconds>> late;
+void DetectHangs(LadderState& state, Time now) {
+  std::vector<std::pair<EndpointHandle, Seconds>> slow_attempts;
   for (const auto& [id, running] : state.running) {
-    if (running.first_token) continue;
-    const Seconds usual = MeanFirstToken(
-        state.seen[running.request.target.idx][running.request.cls.idx]);
-    const Seconds took = now - running.dispatched;
-    if (usual.count() <= 0 || took < usual * 2 * LimitsOf(state).slow_ratio) {
+    if (running.has_first_token) continue;
+    const Seconds typical_latency = MeanFirstToken(
+        state.stats[running.request.target.idx][running.request.cls.idx]);
+    const Seconds latency = now - running.dispatched;
+    if (typical_latency.count() <= 0 ||
+        latency < typical_latency * 2 * GetLimits(state).slow_ratio) {
       continue;
     }
-    late.emplace_back(running.endpoint, took / usual.count());
+    slow_attempts.emplace_back(running.endpoint,
+                               latency / typical_latency.count());
   }
-  for (const auto& [endpoint, ratio] : late) {
+  for (const auto& [endpoint, latency_ratio] : slow_attempts) {
     Health& health = state.endpoints[endpoint.idx].health;
-    if (health.left_alone) continue;
-    ApplyHealth(
-        state, endpoint,
-        OnFirstTokenTook(health, ratio, Seconds(1), LimitsOf(state), now), now);
+    if (health.ejected) continue;
+    ApplyHealthChange(state, endpoint,
+                      OnFirstTokenLatency(health, latency_ratio, Seconds(1),
+                                          GetLimits(state), now),
+                      now);
   }
 }
 
 void Sweep(LadderState& state, Time now, Actions& out) {
   for (Pool& pool : state.pools) {
     for (TierLoad& tier : pool.tiers) {
-      tier.running_smoothed +=
-          kRunningSmoothed * (tier.running - tier.running_smoothed);
+      tier.mean_running +=
+          kMeanRunningWeight * (tier.running - tier.mean_running);
     }
   }
   std::erase_if(state.quarantined,
                 [now](const auto& entry) { return entry.second <= now; });
-  AdvanceShifts(state, now);
-  NoticeHangs(state, now);
-  RefuseHopeless(state, now, out);
+  AdvanceZoneRamps(state, now);
+  DetectHangs(state, now);
+  RefuseUnreachable(state, now, out);
 }
 
 void OnTick(SchedulerState& base, Time now, Actions& out) {
-  LadderState& state = As(base);
+  LadderState& state = AsLadder(base);
   if (now >= state.next_sweep) {
-    state.next_sweep = now + kSweepEvery;
+    state.next_sweep = now + kSweepInterval;
     Sweep(state, now, out);
   }
   DispatchAll(state, now, out);
@@ -255,7 +265,7 @@
   for (std::size_t i = 0; i < view.endpoints.size(); ++i) {
     view.endpoints[i].first_token =
         std::chrono::duration_cast<std::chrono::milliseconds>(
-            state.endpoints[i].first_token);
+            state.endpoints[i].first_token_latency);
   }
   view.classes.resize(state.running_by_class.size());
   for (std::uint32_t i = 0; i < view.classes.size(); ++i) {
--- a/policy/src/scheduler_strict.cc
+++ b/policy/src/scheduler_strict.cc
@@ -8,7 +8,7 @@
 namespace {
 
 OrderKey OrderByTier(const BaselineState& state, const Request& request) {
-  return {ClassOf(state.table, request.cls).tier, request.deadline,
+  return {GetClass(state.table, request.cls).tier, request.deadline,
           state.arrivals};
 }
 
--- a/policy/src/shift.cc
+++ b/policy/src/shift.cc
@@ -6,27 +6,27 @@
 
 namespace egretladder::policy {
 
-void OnZone(ZoneShift& shift, bool out, kernel::Time now) {
-  if (shift.out && !out) {
-    shift.returning = true;
-    shift.since = now;
+void UpdateZoneRamp(ZoneRamp& ramp, bool out, kernel::Time now) {
+  if (ramp.out && !out) {
+    ramp.returning = true;
+    ramp.returned_at = now;
   }
-  shift.out = out;
+  ramp.out = out;
 }
 
-double PartOf(ZoneShift& shift, const Limits& limits, kernel::Time now) {
-  if (shift.out) return 0;
-  if (!shift.returning) return 1;
-  const std::chrono::duration<double> passed = now - shift.since;
-  const double doublings = passed / limits.shift_doubling;
-  const double part = limits.shift_start * std::exp2(doublings);
-  if (part >= 1) shift.returning = false;
-  return std::min(1.0, part);
+double RampRatio(ZoneRamp& ramp, const Limits& limits, kernel::Time now) {
+  if (ramp.out) return 0;
+  if (!ramp.returning) return 1;
+  const std::chrono::duration<double> elapsed = now - ramp.returned_at;
+  const double doublings = elapsed / limits.shift_doubling;
+  const double ratio = limits.shift_start * std::exp2(doublings);
+  if (ratio >= 1) ramp.returning = false;
+  return std::min(1.0, ratio);
 }
 
-std::uint32_t SlotsUnder(double part, std::uint32_t slots) {
-  if (part <= 0 || slots == 0) return 0;
-  const double allowed = std::floor(part * slots);
+std::uint32_t ScaleSlots(double ratio, std::uint32_t slots) {
+  if (ratio <= 0 || slots == 0) return 0;
+  const double allowed = std::floor(ratio * slots);
   return std::max(1U, static_cast<std::uint32_t>(allowed));
 }
 
--- a/policy/src/slots.cc
+++ b/policy/src/slots.cc
@@ -14,9 +14,9 @@
   state.since = now;
 }
 
-std::uint32_t Grown(const SlotState& state) {
-  if (state.slots < state.grow_fast_to) {
-    return std::min(state.slots * 2, state.grow_fast_to);
+std::uint32_t NextSlotCount(const SlotState& state) {
+  if (state.slots < state.slow_start_threshold) {
+    return std::min(state.slots * 2, state.slow_start_threshold);
   }
   return state.slots + 1;
 }
@@ -26,11 +26,11 @@
 SlotReason StartSlots(SlotState& state, std::uint32_t cold_bears,
                       std::uint32_t bears, std::uint64_t boot,
                       kernel::Time now) {
-  if (boot != state.boot) state.boot_before = state.boot;
+  if (boot != state.boot) state.previous_boot = state.boot;
   state.boot = boot;
   state.cold_bears = std::max(1U, std::min(cold_bears, bears));
   state.bears = std::max(1U, bears);
-  state.grow_fast_to = state.bears;
+  state.slow_start_threshold = state.bears;
   ChangeSlots(state, state.cold_bears, now);
   return SlotReason::kStarted;
 }
@@ -39,7 +39,7 @@
                       kernel::Time now) {
   // Nodes report apart: one that is behind still speaks of the boot before.
   // Taken for a restart, it would throw the endpoint back to cold each time.
-  if (evidence.boot != 0 && evidence.boot == state.boot_before) {
+  if (evidence.boot != 0 && evidence.boot == state.previous_boot) {
     return SlotReason::kUnchanged;
   }
   if (evidence.boot != 0 && state.boot == 0) state.boot = evidence.boot;
@@ -49,31 +49,32 @@
   state.in_time += evidence.in_time;
   state.late += evidence.late + evidence.failed;
   const std::uint32_t answers = state.in_time + state.late;
-  const double late_share =
+  const double late_ratio =
       answers == 0 ? 0 : static_cast<double>(state.late) / answers;
-  if (answers >= kAnswersToJudge && late_share >= kTurnedColdShare &&
+  if (answers >= kMinAnswersToJudge && late_ratio >= kColdLateRatio &&
       state.slots > state.cold_bears) {
-    state.grow_fast_to = state.bears;
+    state.slow_start_threshold = state.bears;
     ChangeSlots(state, state.cold_bears, now);
     return SlotReason::kTurnedCold;
   }
-  if (answers >= kAnswersToJudge && late_share >= kOverloadedShare) {
+  if (answers >= kMinAnswersToJudge && late_ratio >= kOverloadedLateRatio) {
     if (state.slots <= state.cold_bears) {
       ChangeSlots(state, state.slots, now);
       return SlotReason::kUnchanged;
     }
-    state.grow_fast_to = std::max(state.cold_bears, state.slots * 3 / 4);
-    ChangeSlots(state, state.grow_fast_to, now);
+    state.slow_start_threshold =
+        std::max(state.cold_bears, state.slots * 3 / 4);
+    ChangeSlots(state, state.slow_start_threshold, now);
     return SlotReason::kOverloaded;
   }
   if (answers < kAnswersPerSlotBeforeGrowth * state.slots) {
     return SlotReason::kUnchanged;
   }
-  if (state.slots >= state.bears || late_share >= kOverloadedShare) {
+  if (state.slots >= state.bears || late_ratio >= kOverloadedLateRatio) {
     ChangeSlots(state, state.slots, now);
     return SlotReason::kUnchanged;
   }
-  ChangeSlots(state, Grown(state), now);
+  ChangeSlots(state, NextSlotCount(state), now);
   return SlotReason::kGrewOnAnswers;
 }
 
--- a/policy/src/stopping.cc
+++ b/policy/src/stopping.cc
@@ -18,23 +18,23 @@
   return "unknown";
 }
 
-StopPhase PhaseOf(const StopPlan& plan, milliseconds since) {
-  if (since >= plan.grace - plan.exit_margin) return StopPhase::kOver;
-  if (since >= plan.grace - plan.cut_margin) return StopPhase::kCutting;
-  if (since < plan.addresses_kept) return StopPhase::kTaking;
-  if (since < plan.addresses_kept + plan.settle) return StopPhase::kSettling;
+StopPhase PhaseOf(const StopPlan& plan, milliseconds elapsed) {
+  if (elapsed >= plan.grace - plan.exit_margin) return StopPhase::kOver;
+  if (elapsed >= plan.grace - plan.cut_margin) return StopPhase::kCutting;
+  if (elapsed < plan.addresses_kept) return StopPhase::kTaking;
+  if (elapsed < plan.addresses_kept + plan.settle) return StopPhase::kSettling;
   return StopPhase::kFinishing;
 }
 
-milliseconds LeftForWork(const StopPlan& plan, milliseconds since) {
-  return plan.grace - plan.cut_margin - since;
+milliseconds LeftForWork(const StopPlan& plan, milliseconds elapsed) {
+  return plan.grace - plan.cut_margin - elapsed;
 }
 
-bool MayExit(StopPhase phase, bool answered) {
+bool MayExit(StopPhase phase, bool all_answered) {
   if (phase == StopPhase::kOver) return true;
-  const bool takes =
+  const bool accepts_requests =
       phase == StopPhase::kTaking || phase == StopPhase::kSettling;
-  return answered && !takes;
+  return all_answered && !accepts_requests;
 }
 
 milliseconds ShortestGrace(const StopPlan& plan) {
--- a/policy/src/trickle.cc
+++ b/policy/src/trickle.cc
@@ -6,42 +6,44 @@
 namespace egretladder::policy {
 namespace {
 
-constexpr double kSavedMost = 1.0;  // Slot seconds.
+constexpr double kMaxSavedSlotSeconds = 1.0;  // Slot seconds.
 
 }  // namespace
 
-void AdvanceTrickle(Trickle& trickle, std::uint32_t slots, const Limits& limits,
-                    kernel::Time now) {
-  const double passed = std::max(0.0, Seconds(now - trickle.until).count());
-  trickle.until = now;
-  trickle.slot_seconds -= passed * trickle.running;
-  trickle.slot_seconds += passed * limits.trickle_share * slots;
-  trickle.slot_seconds = std::min(trickle.slot_seconds, kSavedMost);
+void AccrueAgingQuota(AgingQuota& quota, std::uint32_t slots,
+                      const Limits& limits, kernel::Time now) {
+  const double elapsed = std::max(0.0, Seconds(now - quota.updated_at).count());
+  quota.updated_at = now;
+  quota.slot_seconds -= elapsed * quota.running;
+  quota.slot_seconds += elapsed * limits.trickle_share * slots;
+  quota.slot_seconds = std::min(quota.slot_seconds, kMaxSavedSlotSeconds);
 }
 
-bool MayTrickle(const Trickle& trickle, std::uint32_t slots,
-                const Limits& limits) {
-  if (limits.trickle_share <= 0 || trickle.slot_seconds <= 0) return false;
-  return trickle.running < std::max(1.0, limits.trickle_share * slots);
+bool CanStartAged(const AgingQuota& quota, std::uint32_t slots,
+                  const Limits& limits) {
+  if (limits.trickle_share <= 0 || quota.slot_seconds <= 0) return false;
+  return quota.running < std::max(1.0, limits.trickle_share * slots);
 }
 
-bool IsAged(kernel::Time arrived, kernel::Time bound, const Limits& limits,
-            kernel::Time now) {
-  const kernel::Time::duration age = limits.trickle_age;
-  return now - arrived >= std::min(age, (bound - arrived) / 2);
+bool IsAged(kernel::Time arrived, kernel::Time queue_deadline,
+            const Limits& limits, kernel::Time now) {
+  const kernel::Time::duration age = limits.aging_threshold;
+  return now - arrived >= std::min(age, (queue_deadline - arrived) / 2);
 }
 
-Seconds TrickleBound(std::uint32_t classes, std::uint32_t slots,
-                     Seconds longest, Seconds release, const Limits& limits) {
+Seconds MaxStarvationTime(std::uint32_t classes, std::uint32_t slots,
+                          Seconds longest, Seconds release,
+                          const Limits& limits) {
   const double accrued = std::min(1.0, limits.trickle_share * slots);
-  return Seconds(limits.trickle_age) + classes * (longest / accrued + release);
+  return Seconds(limits.aging_threshold) +
+         classes * (longest / accrued + release);
 }
 
-std::uint32_t SlotsReserved(double higher_running, std::uint32_t slots,
+std::uint32_t ReservedSlots(double higher_running, std::uint32_t slots,
                             const Limits& limits) {
   if (limits.reserve_factor <= 0 || higher_running < 0.01) return 0;
   const double wanted = limits.reserve_factor * std::sqrt(higher_running);
-  const double most = limits.reserve_share_most * slots;
+  const double most = limits.max_reserve_ratio * slots;
   // Rounded down: of one or two slots none is kept, or lower tiers had none.
   return static_cast<std::uint32_t>(std::min(std::ceil(wanted), most));
 }
--- a/policy/tests/ladder_random_test.cc
+++ b/policy/tests/ladder_random_test.cc
@@ -27,9 +27,9 @@
 constexpr std::uint32_t kEndpoints = 5;
 constexpr std::uint32_t kClassCap = 6;
 constexpr std::uint32_t kAccountCap = 4;
-constexpr std::uint32_t kWaitingMost = 12;
+constexpr std::uint32_t kMaxQueueLength = 12;
 
-struct Model {
+struct ReferenceModel {
   ek::Random random;
   ek::PausedClock clock;
   const ep::SchedulerPlugin* plugin =
@@ -42,21 +42,21 @@
   std::array<bool, kEndpoints> available{};
   std::uint32_t zone_out = 99;
   std::uint64_t version = 0;
-  ep::RequestId next = 0;
+  ep::RequestId last_id = 0;
   ep::Actions out;
 
-  explicit Model(std::uint64_t seed) : random(seed) {
+  explicit ReferenceModel(std::uint64_t seed) : random(seed) {
     load.fleet = {2, kEndpoints, 3, 1, 4};
     load.classes = ep::load::AbayClasses();
     // Only caps and room decide here; time and the trickle have other tests.
     ep::Limits limits;
-    limits.waiting_most = kWaitingMost;
+    limits.waiting_most = kMaxQueueLength;
     limits.refuse_early = false;
     limits.reserve_factor = 0;
     limits.trickle_share = 0;
     limits.shift_start = 1;
     limits.slow_ratio = 0;
-    limits.failures_in_row = 1'000'000;
+    limits.failures_to_eject = 1'000'000;
     state = plugin->create({ep::ZoneHandle{0}, seed, limits});
     available.fill(true);
     SetRules();
@@ -72,70 +72,72 @@
     plugin->on_rules(*state, rules, clock.now, out);
   }
 
-  std::uint8_t TierOf(const ep::Request& request) const {
+  std::uint8_t GetTier(const ep::Request& request) const {
     return load.classes[request.cls.idx].tier;
   }
-  bool TakesWork(std::uint32_t endpoint) const {
+  bool CanTakeWork(std::uint32_t endpoint) const {
     return available[endpoint] && endpoint % 2 != zone_out;
   }
   std::uint32_t InFlight(std::uint32_t endpoint) const {
-    return static_cast<std::uint32_t>(
-        std::count_if(running.begin(), running.end(),
-                      [&](const auto& one) { return one.second == endpoint; }));
+    return static_cast<std::uint32_t>(std::count_if(
+        running.begin(), running.end(),
+        [&](const auto& entry) { return entry.second == endpoint; }));
   }
-  bool AnyFree() const {
+  bool HasFreeSlot() const {
     for (std::uint32_t i = 0; i < kEndpoints; ++i) {
-      if (TakesWork(i) && InFlight(i) < slots[i]) return true;
+      if (CanTakeWork(i) && InFlight(i) < slots[i]) return true;
     }
     return false;
   }
   template <typename Predicate>
   std::uint32_t CountWaiting(Predicate predicate) const {
-    return static_cast<std::uint32_t>(
-        std::count_if(waiting.begin(), waiting.end(),
-                      [&](const auto& one) { return predicate(one.second); }));
+    return static_cast<std::uint32_t>(std::count_if(
+        waiting.begin(), waiting.end(),
+        [&](const auto& entry) { return predicate(entry.second); }));
   }
 
   // What becomes of an arrival; nothing: it is let in.
-  std::optional<ep::RefuseReason> Expected(const ep::Request& request) const {
-    bool anywhere = false;
-    for (std::uint32_t i = 0; i < kEndpoints; ++i) anywhere |= TakesWork(i);
-    if (!anywhere) return ep::RefuseReason::kNoEndpoint;
-    if (AnyFree()) return std::nullopt;
-    const auto of_class = CountWaiting(
+  std::optional<ep::RefuseReason> ExpectedRefusal(
+      const ep::Request& request) const {
+    bool any_available = false;
+    for (std::uint32_t i = 0; i < kEndpoints; ++i)
+      any_available |= CanTakeWork(i);
+    if (!any_available) return ep::RefuseReason::kNoEndpoint;
+    if (HasFreeSlot()) return std::nullopt;
+    const auto waiting_of_class = CountWaiting(
         [&](const ep::Request& r) { return r.cls == request.cls; });
-    if (of_class >= kClassCap) return ep::RefuseReason::kClassCap;
-    const auto of_account = CountWaiting(
+    if (waiting_of_class >= kClassCap) return ep::RefuseReason::kClassCap;
+    const auto waiting_of_account = CountWaiting(
         [&](const ep::Request& r) { return r.account == request.account; });
-    if (of_account >= kAccountCap) return ep::RefuseReason::kAccountCap;
-    if (waiting.size() < kWaitingMost) return std::nullopt;
+    if (waiting_of_account >= kAccountCap) return ep::RefuseReason::kAccountCap;
+    if (waiting.size() < kMaxQueueLength) return std::nullopt;
     const auto lower = CountWaiting(
-        [&](const ep::Request& r) { return TierOf(r) > TierOf(request); });
-    if (lower > 0 || SomeoneIsOverShare(request)) return std::nullopt;
+        [&](const ep::Request& r) { return GetTier(r) > GetTier(request); });
+    if (lower > 0 || IsAnyAccountOverShare(request)) return std::nullopt;
     return ep::RefuseReason::kQueueFull;
   }
 
   // An account with more than twice as much in the class makes room.
-  bool SomeoneIsOverShare(const ep::Request& request) const {
+  bool IsAnyAccountOverShare(const ep::Request& request) const {
     std::array<std::uint32_t, 4> by_account{};
-    for (const auto& [id, one] : waiting) {
-      if (one.cls == request.cls) ++by_account[one.account.idx];
+    for (const auto& [id, entry] : waiting) {
+      if (entry.cls == request.cls) ++by_account[entry.account.idx];
     }
     const std::uint32_t own = by_account[request.account.idx];
     return *std::max_element(by_account.begin(), by_account.end()) >
            2 * (own + 1);
   }
 
-  void Apply() {
+  void ApplyActions() {
     for (const ep::Action& action : out) {
       if (const auto* dispatch = std::get_if<ep::Dispatch>(&action)) {
         const std::uint32_t endpoint = dispatch->endpoint.idx;
         const auto it = waiting.find(dispatch->request);
         CHECK_TRUE(it != waiting.end());
-        CHECK_TRUE(TakesWork(endpoint));
+        CHECK_TRUE(CanTakeWork(endpoint));
         CHECK_TRUE(InFlight(endpoint) < slots[endpoint]);
         const auto higher = CountWaiting([&](const ep::Request& r) {
-          return TierOf(r) < TierOf(it->second);
+          return GetTier(r) < GetTier(it->second);
         });
         CHECK_EQUAL(0U, higher);
         waiting.erase(it);
@@ -145,7 +147,7 @@
         CHECK_TRUE(it != waiting.end());
         if (refuse->reason == ep::RefuseReason::kShedForHigherTier) {
           const auto lower = CountWaiting([&](const ep::Request& r) {
-            return TierOf(r) > TierOf(it->second);
+            return GetTier(r) > GetTier(it->second);
           });
           CHECK_EQUAL(0U, lower);
         }
@@ -155,31 +157,32 @@
       }
     }
     out.clear();
-    CHECK_TRUE(waiting.empty() || !AnyFree());  // Nothing waits for no reason.
+    CHECK_TRUE(waiting.empty() ||
+               !HasFreeSlot());  // Nothing waits for no reason.
   }
 
   void Arrive() {
     ep::Request request;
-    request.id = ++next;
+    request.id = ++last_id;
     request.cls.idx = static_cast<std::uint32_t>(ek::Below(random, 4));
     request.account.idx = static_cast<std::uint32_t>(ek::Below(random, 4));
     request.target.idx = 0;
     request.arrived = clock.now;
     request.deadline = clock.now + load.classes[request.cls.idx].first_token;
-    const auto expected = Expected(request);
+    const auto expected = ExpectedRefusal(request);
     waiting[request.id] = request;
     plugin->on_arrival(*state, request, clock.now, out);
-    std::optional<ep::RefuseReason> got;
+    std::optional<ep::RefuseReason> actual;
     for (const ep::Action& action : out) {
       const auto* refuse = std::get_if<ep::Refuse>(&action);
       if (refuse != nullptr && refuse->request == request.id) {
-        got = refuse->reason;
+        actual = refuse->reason;
       }
     }
-    CHECK_TRUE(got == expected);
+    CHECK_TRUE(actual == expected);
   }
 
-  void EndOne() {
+  void EndRandomAttempt() {
     if (running.empty()) return;
     auto it = running.begin();
     std::advance(
@@ -193,7 +196,7 @@
                    clock.now, out);
   }
 
-  void Step() {
+  void RunRandomStep() {
     const auto endpoint =
         static_cast<std::uint32_t>(ek::Below(random, kEndpoints));
     switch (ek::Below(random, 16)) {
@@ -221,7 +224,7 @@
       case 7:
       case 8:
       case 9:
-        return EndOne();
+        return EndRandomAttempt();
       default:
         return Arrive();
     }
@@ -234,21 +237,21 @@
 
 // Zones come and go while endpoints die, leases shrink and callers leave. A
 // request that falls between the tables is never answered.
-TEST(LadderRandom, AgreesWithAPlainModelOverManySeeds) {
+TEST(LadderRandom, AgreesWithReferenceModelOverManySeeds) {
   for (std::uint64_t seed = 1; seed <= 80; ++seed) {
-    Model model(seed);
+    ReferenceModel model(seed);
     for (int step = 0; step < 600; ++step) {
-      model.Step();
-      model.Apply();
+      model.RunRandomStep();
+      model.ApplyActions();
     }
-    std::uint32_t waits = 0;
-    std::uint32_t runs = 0;
+    std::uint32_t waiting_in_view = 0;
+    std::uint32_t running_in_view = 0;
     for (const ep::ClassView& cls :
          model.plugin->view(*model.state, model.clock.now).classes) {
-      waits += cls.waiting;
-      runs += cls.running;
+      waiting_in_view += cls.waiting;
+      running_in_view += cls.running;
     }
-    CHECK_EQUAL(model.waiting.size(), waits);
-    CHECK_EQUAL(model.running.size(), runs);
+    CHECK_EQUAL(model.waiting.size(), waiting_in_view);
+    CHECK_EQUAL(model.running.size(), running_in_view);
   }
 }
--- a/policy/tests/ladder_test.cc
+++ b/policy/tests/ladder_test.cc
@@ -25,7 +25,7 @@
   ep::load::Load load_{"", 1, {2, 4, 2, 1, 4}, ep::load::AbayClasses(), {}};
   ep::Actions out_;
   std::uint64_t version_ = 0;
-  ep::RequestId next_ = 0;
+  ep::RequestId last_id_ = 0;
 
   void setup() override { Start({}); }
 
@@ -35,25 +35,25 @@
     for (std::uint32_t i = 0; i < 4; ++i) SetSlots(i, 2);
   }
   void SetRules(const std::vector<std::uint32_t>& zones_out) {
-    Use(ep::load::MakeRules(load_, ++version_, zones_out));
+    ApplyRules(ep::load::MakeRules(load_, ++version_, zones_out));
   }
-  void Use(er::RulesPtr rules) {
+  void ApplyRules(er::RulesPtr rules) {
     plugin_->on_rules(*state_, std::move(rules), clock_.now, out_);
   }
-  std::shared_ptr<er::Rules> Copy() {
+  std::shared_ptr<er::Rules> CopyRules() {
     return std::make_shared<er::Rules>(
         *ep::load::MakeRules(load_, ++version_, {}));
   }
   void SetSlots(std::uint32_t endpoint, std::uint32_t slots) {
     plugin_->on_slots(*state_, {endpoint}, slots, clock_.now, out_);
   }
-  ep::Request Make(std::uint32_t cls, std::uint32_t account = 0) {
+  ep::Request MakeRequest(std::uint32_t cls, std::uint32_t account = 0) {
     ep::Request request;
-    request.id = ++next_;
+    request.id = ++last_id_;
     request.cls.idx = cls;
     request.account.idx = account;
     request.target.idx = 0;
-    request.fingerprint = next_;
+    request.fingerprint = last_id_;
     request.arrived = clock_.now;
     request.deadline = clock_.now + load_.classes[cls].first_token;
     return request;
@@ -63,7 +63,7 @@
     return request.id;
   }
   ep::RequestId Arrive(std::uint32_t cls, std::uint32_t account = 0) {
-    return Arrive(Make(cls, account));
+    return Arrive(MakeRequest(cls, account));
   }
   void Tick(std::chrono::milliseconds step) {
     ek::Advance(clock_, step);
@@ -72,183 +72,184 @@
   void End(ep::RequestId id, ep::EndKind kind = ep::EndKind::kDone) {
     plugin_->on_end(*state_, id, kind, clock_.now, out_);
   }
-  std::vector<ep::Dispatch> Dispatched() {
+  std::vector<ep::Dispatch> Dispatches() {
     std::vector<ep::Dispatch> list;
     for (const ep::Action& action : out_) {
-      const auto* one = std::get_if<ep::Dispatch>(&action);
-      if (one != nullptr) list.push_back(*one);
+      const auto* dispatch = std::get_if<ep::Dispatch>(&action);
+      if (dispatch != nullptr) list.push_back(*dispatch);
     }
     return list;
   }
-  const ep::Refuse* RefusalOf(ep::RequestId id) {
+  const ep::Refuse* FindRefusal(ep::RequestId id) {
     for (const ep::Action& action : out_) {
-      const auto* one = std::get_if<ep::Refuse>(&action);
-      if (one != nullptr && one->request == id) return one;
+      const auto* dispatch = std::get_if<ep::Refuse>(&action);
+      if (dispatch != nullptr && dispatch->request == id) return dispatch;
     }
     return nullptr;
   }
   // Takes all eight slots with work that doesn't end.
-  void Fill(std::uint32_t cls = 0) {
+  void FillAllSlots(std::uint32_t cls = 0) {
     for (int i = 0; i < 8; ++i) Arrive(cls);
-    CHECK_EQUAL(8U, Dispatched().size());
+    CHECK_EQUAL(8U, Dispatches().size());
     out_.clear();
   }
 };
 
 // A node that has no lease yet must not start work: it may be one of many that
 // just started before the same cold endpoint.
-TEST(Ladder, NothingStartsWithoutSlots) {
+TEST(Ladder, NothingStartsWithoutALease) {
   state_ = plugin_->create({ep::ZoneHandle{0}, 1, {}});
   SetRules({});
   Arrive(0);
   CHECK_EQUAL(0U, out_.size());
   SetSlots(2, 1);
-  CHECK_EQUAL(1U, Dispatched().size());
-  CHECK_EQUAL(2U, Dispatched()[0].endpoint.idx);
+  CHECK_EQUAL(1U, Dispatches().size());
+  CHECK_EQUAL(2U, Dispatches()[0].endpoint.idx);
 }
 
 // Operators take a zone out, an endpoint is leaving and another one died. Work
 // sent there would be cut off.
-TEST(Ladder, NoNewWorkInAZoneThatIsOutNorAtLeavingOrDeadEndpoints) {
-  auto rules = Copy();
+TEST(Ladder, NoNewWorkInZonesOutOrAtLeavingOrDeadEndpoints) {
+  auto rules = CopyRules();
   rules->zones[0].out = true;  // Endpoints 0 and 2.
   rules->endpoints[1].leaving = true;
-  Use(rules);
+  ApplyRules(rules);
   for (int i = 0; i < 6; ++i) Arrive(0);
-  CHECK_EQUAL(2U, Dispatched().size());
-  for (const ep::Dispatch& one : Dispatched()) {
-    CHECK_EQUAL(3U, one.endpoint.idx);
+  CHECK_EQUAL(2U, Dispatches().size());
+  for (const ep::Dispatch& dispatch : Dispatches()) {
+    CHECK_EQUAL(3U, dispatch.endpoint.idx);
   }
   out_.clear();
   plugin_->on_available(*state_, {3}, false, clock_.now, out_);
   End(1);
   End(2);
-  CHECK_EQUAL(0U, Dispatched().size());
-  const ep::Refuse* refusal = RefusalOf(Arrive(0));
+  CHECK_EQUAL(0U, Dispatches().size());
+  const ep::Refuse* refusal = FindRefusal(Arrive(0));
   CHECK_TRUE(refusal != nullptr);
   CHECK(refusal->reason == ep::RefuseReason::kNoEndpoint);
   SetRules({});
-  CHECK_EQUAL(4U, Dispatched().size());
+  CHECK_EQUAL(4U, Dispatches().size());
 }
 
 // The last endpoint of a model is removed. Its callers would wait in vain.
-TEST(Ladder, WaitingWorkThatNothingServesIsRefused) {
-  Fill();
+TEST(Ladder, WaitingRequestsWithoutAnEndpointAreRefused) {
+  FillAllSlots();
   const ep::RequestId id = Arrive(3);
-  auto rules = Copy();
+  auto rules = CopyRules();
   for (er::Endpoint& endpoint : rules->endpoints) endpoint.serves.clear();
-  Use(rules);
-  CHECK(RefusalOf(id)->reason == ep::RefuseReason::kNoEndpoint);
+  ApplyRules(rules);
+  CHECK(FindRefusal(id)->reason == ep::RefuseReason::kNoEndpoint);
 }
 
 // The queue is full of bulk work when a buyer asks.
-TEST(Ladder, LowestTierMakesRoomAndAHigherOneIsNeverShedForIt) {
+TEST(Ladder, FullQueueShedsOnlyLowerTiers) {
   ep::Limits limits;
   limits.waiting_most = 4;
   Start(limits);
-  Fill();
+  FillAllSlots();
   const ep::RequestId quote = Arrive(1);
   const ep::RequestId check = Arrive(2);
   const ep::RequestId first = Arrive(3);
   const ep::RequestId second = Arrive(3);
   const ep::RequestId buyer = Arrive(0);
-  CHECK(RefusalOf(second)->reason == ep::RefuseReason::kShedForHigherTier);
-  CHECK_TRUE(RefusalOf(buyer) == nullptr);
+  CHECK(FindRefusal(second)->reason == ep::RefuseReason::kShedForHigherTier);
+  CHECK_TRUE(FindRefusal(buyer) == nullptr);
   Arrive(0);
-  CHECK(RefusalOf(first)->reason == ep::RefuseReason::kShedForHigherTier);
+  CHECK(FindRefusal(first)->reason == ep::RefuseReason::kShedForHigherTier);
   Arrive(1);
-  CHECK(RefusalOf(check)->reason == ep::RefuseReason::kShedForHigherTier);
+  CHECK(FindRefusal(check)->reason == ep::RefuseReason::kShedForHigherTier);
   const ep::RequestId late = Arrive(3);
-  CHECK(RefusalOf(late)->reason == ep::RefuseReason::kQueueFull);
-  CHECK_TRUE(RefusalOf(quote) == nullptr);
+  CHECK(FindRefusal(late)->reason == ep::RefuseReason::kQueueFull);
+  CHECK_TRUE(FindRefusal(quote) == nullptr);
 }
 
 // A broker may run two checks at a time by its contract. The others of its
 // class must not wait behind the ones that are held back.
-TEST(Ladder, RunningCapsHoldOneAccountOnly) {
-  auto rules = Copy();
+TEST(Ladder, RunningCapsDoNotBlockOtherAccounts) {
+  auto rules = CopyRules();
   rules->accounts[0].running = 2;
   rules->classes[1].running = 3;
-  Use(rules);
+  ApplyRules(rules);
   for (int i = 0; i < 4; ++i) Arrive(2, 0);
-  CHECK_EQUAL(2U, Dispatched().size());
+  CHECK_EQUAL(2U, Dispatches().size());
   const ep::RequestId other = Arrive(2, 1);
-  CHECK_EQUAL(other, Dispatched().back().request);
+  CHECK_EQUAL(other, Dispatches().back().request);
   for (int i = 0; i < 4; ++i) Arrive(1, 1);
-  CHECK_EQUAL(6U, Dispatched().size());
+  CHECK_EQUAL(6U, Dispatches().size());
   out_.clear();
   End(1);
-  CHECK_EQUAL(1U, Dispatched().size());
+  CHECK_EQUAL(1U, Dispatches().size());
 }
 
 // A body crashed two endpoints. Sent on, it crashes the next one.
-TEST(Ladder, QuarantinedBodiesGetNoEndpoint) {
-  Fill();
+TEST(Ladder, QuarantinedBodiesAreRefused) {
+  FillAllSlots();
   const ep::RequestId waiting = Arrive(0);
   plugin_->on_quarantine(*state_, waiting, clock_.now + 10min, clock_.now,
                          out_);
-  CHECK(RefusalOf(waiting)->reason == ep::RefuseReason::kQuarantined);
-  ep::Request again = Make(0);
-  again.fingerprint = waiting;
-  Arrive(again);
-  CHECK(RefusalOf(again.id)->reason == ep::RefuseReason::kQuarantined);
-  CHECK_TRUE(RefusalOf(again.id)->retry_after > 1s);
+  CHECK(FindRefusal(waiting)->reason == ep::RefuseReason::kQuarantined);
+  ep::Request retry = MakeRequest(0);
+  retry.fingerprint = waiting;
+  Arrive(retry);
+  CHECK(FindRefusal(retry.id)->reason == ep::RefuseReason::kQuarantined);
+  CHECK_TRUE(FindRefusal(retry.id)->retry_after > 1s);
 }
 
 // An engine that must load a model first keeps the caller waiting for minutes.
-TEST(Ladder, WorkGoesWhereTheModelIsLoaded) {
-  auto rules = Copy();
+TEST(Ladder, RequestsGoWhereTheModelIsLoaded) {
+  auto rules = CopyRules();
   rules->targets.push_back({{"other", "load", 1, true}});
   for (er::Endpoint& endpoint : rules->endpoints) {
     endpoint.serves.push_back({1});
   }
-  Use(rules);
+  ApplyRules(rules);
   for (std::uint32_t i = 0; i < 4; ++i) {
     ep::EngineReport report;
     report.loaded = {ep::TargetHandle{i == 2 ? 0U : 1U}};
     plugin_->on_report(*state_, {i}, report, clock_.now);
   }
   for (int i = 0; i < 4; ++i) Arrive(0);
-  CHECK_EQUAL(2U, Dispatched().size());
-  CHECK_EQUAL(2U, Dispatched()[0].endpoint.idx);
-  ep::EngineReport lost;  // The only holder lost it: any is better than none.
-  lost.loaded = {ep::TargetHandle{1}};
-  plugin_->on_report(*state_, {2}, lost, clock_.now);
+  CHECK_EQUAL(2U, Dispatches().size());
+  CHECK_EQUAL(2U, Dispatches()[0].endpoint.idx);
+  ep::EngineReport
+      unloaded;  // The only holder lost it: any is better than none.
+  unloaded.loaded = {ep::TargetHandle{1}};
+  plugin_->on_report(*state_, {2}, unloaded, clock_.now);
   Tick(10ms);
-  CHECK_EQUAL(4U, Dispatched().size());
+  CHECK_EQUAL(4U, Dispatches().size());
 }
 
 // An attempt failed at one endpoint. The next one there fails as well.
-TEST(Ladder, ARetryAvoidsWhereItFailed) {
+TEST(Ladder, RetryAvoidsTheFailedEndpoint) {
   for (int i = 0; i < 4; ++i) {
-    ep::Request request = Make(0);
+    ep::Request request = MakeRequest(0);
     request.attempt = 2;
     request.avoid.idx = 0;
     Arrive(request);
   }
-  for (const ep::Dispatch& one : Dispatched()) {
-    CHECK_TRUE(one.endpoint.idx != 0);
+  for (const ep::Dispatch& dispatch : Dispatches()) {
+    CHECK_TRUE(dispatch.endpoint.idx != 0);
   }
 }
 
 // Two bodies are suspects for a crash. On one endpoint together, a second death
 // would not tell which it was.
-TEST(Ladder, SuspectsRunApart) {
+TEST(Ladder, SuspectsRunOnDifferentEndpoints) {
   std::vector<std::uint32_t> used;
   for (int i = 0; i < 4; ++i) {
-    ep::Request request = Make(0);
+    ep::Request request = MakeRequest(0);
     request.suspect = true;
     Arrive(request);
-    used.push_back(Dispatched().back().endpoint.idx);
+    used.push_back(Dispatches().back().endpoint.idx);
   }
   std::sort(used.begin(), used.end());
   CHECK_TRUE(std::unique(used.begin(), used.end()) == used.end());
 }
 
 // Callers go away while they wait, and events come twice or too late.
-TEST(Ladder, UnknownAndRepeatedEventsDoNoHarm) {
-  Fill();
-  const ep::Request request = Make(0);
+TEST(Ladder, UnknownAndRepeatedEventsAreIgnored) {
+  FillAllSlots();
+  const ep::Request request = MakeRequest(0);
   Arrive(request);
   Arrive(request);
   plugin_->on_gone(*state_, request.id, clock_.now);
@@ -267,15 +268,15 @@
 
 // Slots shrink below what runs. Nothing is cut off, and nothing new starts
 // until enough has ended.
-TEST(Ladder, ShrunkSlotsDrain) {
-  Fill();
+TEST(Ladder, ShrunkSlotsDrainWithoutCancelling) {
+  FillAllSlots();
   for (std::uint32_t i = 0; i < 4; ++i) SetSlots(i, 1);
   Arrive(0);
   End(1);
   End(2);
   End(3);
   End(4);
-  const std::size_t running = 4 + Dispatched().size();
+  const std::size_t running = 4 + Dispatches().size();
   CHECK_TRUE(running <= 5);
   for (const ep::EndpointView& endpoint :
        plugin_->view(*state_, clock_.now).endpoints) {
@@ -284,12 +285,12 @@
 }
 
 // A caller waits past what its class allows. It must be told, with a time.
-TEST(Ladder, WaitsEndAtTheBound) {
-  Fill();
+TEST(Ladder, WaitsEndAtTheQueueDeadline) {
+  FillAllSlots();
   const ep::RequestId id = Arrive(0);
   Tick(1700ms);
-  CHECK_TRUE(RefusalOf(id) == nullptr);
+  CHECK_TRUE(FindRefusal(id) == nullptr);
   Tick(200ms);
-  CHECK(RefusalOf(id)->reason == ep::RefuseReason::kWaitedTooLong);
-  CHECK_TRUE(RefusalOf(id)->retry_after > 0ms);
+  CHECK(FindRefusal(id)->reason == ep::RefuseReason::kWaitedTooLong);
+  CHECK_TRUE(FindRefusal(id)->retry_after > 0ms);
 }
--- a/policy/tests/load_engine.h
+++ b/policy/tests/load_engine.h
@@ -9,51 +9,54 @@
 namespace egretladder::policy::load {
 
 inline constexpr std::uint32_t kAnswersToWarm = 24;
-inline constexpr double kColdTimes = 3;
-inline constexpr std::size_t kCachedMost = 24;
-inline constexpr double kCachedTimes = 0.3;
+inline constexpr double kColdSlowdown = 3;
+inline constexpr std::size_t kMaxCachedPrefixes = 24;
+inline constexpr double kCachedPrefixFactor = 0.3;
 
 /// What an attempt will do that starts now.
-struct Course {
-  bool fails = false;  ///< A cold engine that has more than it bears.
-  Span first{0};       ///< From the start to the first token.
-  Span token{0};       ///< From one token to the next.
+struct AttemptTiming {
+  bool fails = false;           ///< A cold engine that has more than it bears.
+  Span time_to_first_token{0};  ///< From the start to the first token.
+  Span time_per_token{0};       ///< From one token to the next.
 };
 
 /// A larger batch makes each of its answers slower.
-inline double Crowding(const Engine& engine, const FleetSpec& fleet) {
-  const double load = engine.in_flight + engine.others;
+inline double BatchSlowdown(const Engine& engine, const FleetSpec& fleet) {
+  const double load = engine.in_flight + engine.other_nodes_in_flight;
   return 0.7 + 0.3 * load / fleet.bears;
 }
 
 /// Notes the prefix in the cache. Returns the part of the work that is left.
-inline double UseCache(Engine& engine, std::uint64_t prefix) {
+inline double LookUpPrefix(Engine& engine, std::uint64_t prefix) {
   if (prefix == 0) return 1;
   const auto found =
       std::find(engine.cached.begin(), engine.cached.end(), prefix);
   const bool hit = found != engine.cached.end();
   if (hit) engine.cached.erase(found);
   engine.cached.push_front(prefix);
-  if (engine.cached.size() > kCachedMost) engine.cached.pop_back();
-  return hit ? kCachedTimes : 1;
+  if (engine.cached.size() > kMaxCachedPrefixes) engine.cached.pop_back();
+  return hit ? kCachedPrefixFactor : 1;
 }
 
-inline bool FallsOver(const Engine& engine, const FleetSpec& fleet) {
-  if (engine.cold_answers == 0) return false;
-  const std::uint32_t answered = kAnswersToWarm - engine.cold_answers;
+inline bool IsOverloadedWhileCold(const Engine& engine,
+                                  const FleetSpec& fleet) {
+  if (engine.answers_until_warm == 0) return false;
+  const std::uint32_t answered = kAnswersToWarm - engine.answers_until_warm;
   return engine.in_flight > fleet.cold_bears &&
          engine.in_flight > 2 * fleet.cold_bears + answered;
 }
 
 /// The course of an attempt that is in flight at `engine` already.
-inline Course CourseOf(Engine& engine, const FleetSpec& fleet, const Work& work,
-                       std::uint64_t prefix) {
-  if (FallsOver(engine, fleet)) return {true};
-  const double cached = UseCache(engine, prefix);
-  const double slowed = engine.slow * Crowding(engine, fleet);
-  const double cold = engine.cold_answers > 0 ? kColdTimes : 1.0;
-  return {false, work.first_token * slowed * cached * cold,
-          kBetweenTokens * slowed};
+inline AttemptTiming PlanAttempt(Engine& engine, const FleetSpec& fleet,
+                                 const WorkModel& work_model,
+                                 std::uint64_t prefix) {
+  if (IsOverloadedWhileCold(engine, fleet)) return {true};
+  const double cache_factor = LookUpPrefix(engine, prefix);
+  const double slowdown = engine.slowdown * BatchSlowdown(engine, fleet);
+  const double cold_factor =
+      engine.answers_until_warm > 0 ? kColdSlowdown : 1.0;
+  return {false, work_model.first_token * slowdown * cache_factor * cold_factor,
+          kTimePerToken * slowdown};
 }
 
 }  // namespace egretladder::policy::load
--- a/policy/tests/load_loads.h
+++ b/policy/tests/load_loads.h
@@ -9,29 +9,31 @@
 namespace egretladder::policy::load {
 
 /// Accounts 2 to 9 with equal weights: the shops and charter operators.
-inline std::vector<double> Shops() { return {0, 0, 1, 1, 1, 1, 1, 1, 1, 1}; }
-inline std::vector<double> Brokers() { return {1, 1}; }
+inline std::vector<double> ShopWeights() {
+  return {0, 0, 1, 1, 1, 1, 1, 1, 1, 1};
+}
+inline std::vector<double> BrokerWeights() { return {1, 1}; }
 
 /// An ordinary hour: three quarters of capacity.
-inline Load Ordinary(double times = 1) {
+inline Load OrdinaryLoad(double factor = 1) {
   Load load{"ordinary", 1, {}, AbayClasses(), {}, 120s};
-  load.streams = {{0, 0.30 * times, 0s, 120s, Shops()},
-                  {1, 0.15 * times, 0s, 120s, Shops()},
-                  {2, 0.10 * times, 0s, 120s, Brokers()},
-                  {3, 0.20 * times, 0s, 120s, Shops()}};
+  load.streams = {{0, 0.30 * factor, 0s, 120s, ShopWeights()},
+                  {1, 0.15 * factor, 0s, 120s, ShopWeights()},
+                  {2, 0.10 * factor, 0s, 120s, BrokerWeights()},
+                  {3, 0.20 * factor, 0s, 120s, ShopWeights()}};
   return load;
 }
 
 /// The same mix at some times what the fleet bears.
-inline Load AtCapacity(double times) {
-  Load load = Ordinary(times / 0.75);
-  load.name = times > 1 ? "twice capacity" : "at capacity";
+inline Load AtCapacity(double factor) {
+  Load load = OrdinaryLoad(factor / 0.75);
+  load.name = factor > 1 ? "twice capacity" : "at capacity";
   return load;
 }
 
 /// A broker sends record checks of 10 times the capacity for 30 s.
 inline Load BrokerBurst() {
-  Load load = Ordinary();
+  Load load = OrdinaryLoad();
   load.name = "broker burst";
   load.streams.push_back({2, 10, 30s, 60s, {1}});
   return load;
@@ -43,10 +45,10 @@
   load.classes = {{"enrol", 1, 1500ms, 1500ms, {40, 0.4}},
                   {"lookup", 2, 2500ms, 4000ms, {40, 0.5}},
                   {"report", 4, 60s, 5min, {400, 0.8}}};
-  load.streams = {{0, 0.15, 0s, 90s, Shops()},
-                  {1, 0.25, 0s, 90s, Shops()},
-                  {1, 3.0, 30s, 50s, Shops()},
-                  {2, 0.40, 0s, 90s, Brokers()}};
+  load.streams = {{0, 0.15, 0s, 90s, ShopWeights()},
+                  {1, 0.25, 0s, 90s, ShopWeights()},
+                  {1, 3.0, 30s, 50s, ShopWeights()},
+                  {2, 0.40, 0s, 90s, BrokerWeights()}};
   return load;
 }
 
@@ -55,40 +57,40 @@
   Load load{"few take most", 3, {}, AbayClasses(), {}, 90s};
   const std::vector<double> skewed = {40, 40, 1, 1, 1, 1, 1, 1, 1, 1};
   load.streams = {{1, 1.2, 0s, 90s, skewed, 200, 0.6},
-                  {3, 0.2, 0s, 90s, Shops()}};
+                  {3, 0.2, 0s, 90s, ShopWeights()}};
   return load;
 }
 
 /// Long records as prompts, with shared prefixes, at capacity without caches.
 inline Load SharedPrefixes() {
   Load load{"shared prefixes", 4, {}, AbayClasses(), {}, 60s};
-  load.classes[0].work = {40, 0.5, 0, 1, Span(1.2)};
-  load.streams = {{0, 1.0, 0s, 60s, Shops(), 150, 0.3}};
+  load.classes[0].work_model = {40, 0.5, 0, 1, Span(1.2)};
+  load.streams = {{0, 1.0, 0s, 60s, ShopWeights(), 150, 0.3}};
   return load;
 }
 
 /// 2 in 100 answers are 20 times longer than the rest.
 inline Load LongAmongShort() {
-  Load load = Ordinary(1.6);
+  Load load = OrdinaryLoad(1.6);
   load.name = "long among short";
   load.seed = 5;
-  for (ClassSpec& cls : load.classes) cls.work.long_share = 0.02;
+  for (ClassSpec& cls : load.classes) cls.work_model.long_share = 0.02;
   return load;
 }
 
 /// An hour at 1.5 times capacity by the top tier alone, on a small fleet.
 inline Load SaturatedHour(Span length = 3600s) {
   Load load{"saturated hour", 6, {3, 3, 4, 1, 10}, AbayClasses(), {}, length};
-  load.streams = {{0, 1.5, 0s, length, Shops()},
-                  {1, 0.1, 0s, length, Shops()},
-                  {2, 0.1, 0s, length, Brokers()},
-                  {3, 0.1, 0s, length, Shops()}};
+  load.streams = {{0, 1.5, 0s, length, ShopWeights()},
+                  {1, 0.1, 0s, length, ShopWeights()},
+                  {2, 0.1, 0s, length, BrokerWeights()},
+                  {3, 0.1, 0s, length, ShopWeights()}};
   return load;
 }
 
 /// The whole fleet starts cold under its ordinary load.
 inline Load AllCold() {
-  Load load = Ordinary();
+  Load load = OrdinaryLoad();
   load.name = "all cold";
   load.seed = 7;
   load.fleet.starts_cold = true;
@@ -97,7 +99,7 @@
 
 /// A zone of three out for 30 s, and back with cold caches.
 inline Load ZoneOutAndBack() {
-  Load load = Ordinary(0.9);
+  Load load = OrdinaryLoad(0.9);
   load.name = "zone out and back";
   load.seed = 8;
   return load;
@@ -107,13 +109,14 @@
 inline Load BatchOnFewSlots() {
   Load load{"batch on few slots", 10, {2, 2, 4, 1, 10},
             AbayClasses(),        {}, 600s};
-  load.streams = {{0, 0.08, 0s, 600s, Shops()}, {3, 1.5, 0s, 600s, Brokers()}};
+  load.streams = {{0, 0.08, 0s, 600s, ShopWeights()},
+                  {3, 1.5, 0s, 600s, BrokerWeights()}};
   return load;
 }
 
 /// Half of the engines die one after the other, and come back cold.
 inline Load EnginesDie() {
-  Load load = Ordinary();
+  Load load = OrdinaryLoad();
   load.name = "engines die";
   load.seed = 13;
   return load;
@@ -121,16 +124,16 @@
 
 /// A body that crashes engines is sent again, some twenty times in all.
 inline Load PoisonSentAgain() {
-  Load load = Ordinary();
+  Load load = OrdinaryLoad();
   load.name = "poison";
   load.seed = 14;
-  load.poison_every = 151;
+  load.poison_interval = 151;
   return load;
 }
 
 /// A zone comes back warm but 5 times slower for 20 s.
 inline Load ZoneBackUnwell() {
-  Load load = Ordinary(0.8);
+  Load load = OrdinaryLoad(0.8);
   load.name = "zone back unwell";
   load.seed = 11;
   return load;
@@ -138,7 +141,7 @@
 
 /// Other nodes crowd a third of the engines; reports of it are a second old.
 inline Load UnevenOthers() {
-  Load load = Ordinary(0.8);
+  Load load = OrdinaryLoad(0.8);
   load.name = "uneven others";
   load.seed = 12;
   load.classes[0].first_token = 1000ms;
@@ -147,7 +150,7 @@
 }
 
 inline Load OneSlow() {
-  Load load = Ordinary();
+  Load load = OrdinaryLoad();
   load.name = "one slow";
   load.seed = 9;
   return load;
@@ -155,49 +158,54 @@
 
 inline Result Play(std::string_view scheduler, const Load& load,
                    const Limits& limits = {}) {
-  Run run(scheduler, load, limits);
+  Simulation simulation(scheduler, load, limits);
   if (load.name == "one slow") {
-    run.Change(10s, [](Run& r) { r.SetSlow(0, 5); });
+    simulation.ScheduleChange(10s,
+                              [](Simulation& sim) { sim.SetSlowdown(0, 5); });
   }
   if (load.name == "engines die") {
     for (std::uint32_t i = 0; i < 6; ++i) {
-      run.Change(Span(20 + 12 * i), [i](Run& r) { r.Crash(2 * i, Span(10)); });
+      simulation.ScheduleChange(Span(20 + 12 * i), [i](Simulation& sim) {
+        sim.Crash(2 * i, Span(10));
+      });
     }
   }
   if (load.name == "uneven others") {
     for (std::uint32_t second = 0; second < 120; second += 10) {
-      run.Change(Span(second), [second](Run& r) {
+      simulation.ScheduleChange(Span(second), [second](Simulation& sim) {
         for (std::uint32_t i = 0; i < 12; ++i) {
-          r.SetOthers(i, (i + second / 10) % 3 == 0 ? 24 : 0);
+          sim.SetOtherNodesInFlight(i, (i + second / 10) % 3 == 0 ? 24 : 0);
         }
       });
     }
   }
   if (load.name == "zone back unwell") {
-    run.WatchZone(0);
-    run.Change(40s, [](Run& r) { r.SetZonesOut({0}); });
-    run.Change(70s, [](Run& r) {
-      for (std::uint32_t i = 0; i < 12; i += 3) r.SetSlow(i, 5);
-      r.SetZonesOut({});
+    simulation.RecordStartsInZone(0);
+    simulation.ScheduleChange(40s,
+                              [](Simulation& sim) { sim.SetZonesOut({0}); });
+    simulation.ScheduleChange(70s, [](Simulation& sim) {
+      for (std::uint32_t i = 0; i < 12; i += 3) sim.SetSlowdown(i, 5);
+      sim.SetZonesOut({});
     });
-    run.Change(90s, [](Run& r) {
-      for (std::uint32_t i = 0; i < 12; i += 3) r.SetSlow(i, 1);
+    simulation.ScheduleChange(90s, [](Simulation& sim) {
+      for (std::uint32_t i = 0; i < 12; i += 3) sim.SetSlowdown(i, 1);
     });
   }
   if (load.name == "zone out and back") {
-    run.WatchZone(0);
-    run.Change(40s, [](Run& r) { r.SetZonesOut({0}); });
-    run.Change(70s, [](Run& r) {
-      for (std::uint32_t i = 0; i < 12; i += 3) r.TurnCold(i, true);
-      r.SetZonesOut({});
+    simulation.RecordStartsInZone(0);
+    simulation.ScheduleChange(40s,
+                              [](Simulation& sim) { sim.SetZonesOut({0}); });
+    simulation.ScheduleChange(70s, [](Simulation& sim) {
+      for (std::uint32_t i = 0; i < 12; i += 3) sim.MakeCold(i, true);
+      sim.SetZonesOut({});
     });
   }
-  return run.Play();
+  return simulation.Play();
 }
 
 /// All loads, in the order in which results list them.
 inline std::vector<Load> AllLoads() {
-  return {Ordinary(),       BrokerBurst(),     NightBurst(),
+  return {OrdinaryLoad(),   BrokerBurst(),     NightBurst(),
           FewTakeMost(),    SharedPrefixes(),  OneSlow(),
           LongAmongShort(), SaturatedHour(),   AllCold(),
           ZoneOutAndBack(), ZoneBackUnwell(),  UnevenOthers(),
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -19,27 +19,28 @@
 using namespace std::chrono_literals;
 
 inline constexpr Time kStart{std::chrono::hours(1)};
-inline constexpr Span kBetweenTokens{0.02};
-inline constexpr Span kFirstToken{0.5};
+inline constexpr Span kTimePerToken{0.02};
+inline constexpr Span kUnloadedTimeToFirstToken{0.5};
 
 /// How long the answers of a class are.
-struct Work {
+struct WorkModel {
   double mean_tokens = 80;
   double spread = 0.5;    ///< Sigma of the logarithm.
   double long_share = 0;  ///< Part of requests that are `long_times` longer.
-  double long_times = 20;
-  Span first_token = kFirstToken;  ///< Unloaded, without a cached prefix.
+  double long_factor = 20;
+  Span first_token =
+      kUnloadedTimeToFirstToken;  ///< Unloaded, without a cached prefix.
 };
 
 /// Requests of one class from some accounts.
-struct Stream {
+struct ArrivalStream {
   std::uint32_t cls = 0;
   double load = 0;  ///< Of the fleet's slots.
   Span from{0};
   Span to{60};
   std::vector<double> accounts = {1};  ///< Weights.
   std::uint32_t prefixes = 0;          ///< 0: none.
-  double hot_prefixes = 0;             ///< Part of requests with 3 prefixes.
+  double hot_prefix_ratio = 0;         ///< Part of requests with 3 prefixes.
 };
 
 struct ClassSpec {
@@ -47,7 +48,7 @@
   std::uint8_t tier = 1;
   std::chrono::milliseconds first_token{1800};
   std::chrono::milliseconds max_wait{1800};
-  Work work;
+  WorkModel work_model;
 };
 
 struct FleetSpec {
@@ -64,10 +65,10 @@
   std::uint64_t seed = 1;
   FleetSpec fleet;
   std::vector<ClassSpec> classes;
-  std::vector<Stream> streams;
+  std::vector<ArrivalStream> streams;
   Span length{60};
   /// Each so-manieth request is one and the same body that crashes engines.
-  std::uint64_t poison_every = 0;
+  std::uint64_t poison_interval = 0;
 };
 
 inline constexpr std::uint64_t kPoisonBody = ~std::uint64_t{0};
@@ -81,29 +82,33 @@
 }
 
 /// One request as the world knows it; the scheduler doesn't see `tokens`.
-struct Planned {
+struct PlannedRequest {
   Request request;
   std::uint32_t tokens = 1;
 };
 
-inline double Normal(kernel::Random& random) {
+inline double DrawNormal(kernel::Random& random) {
   const double u = 1.0 - kernel::Fraction(random);
   const double v = kernel::Fraction(random);
   return std::sqrt(-2 * std::log(u)) * std::cos(2 * 3.141592653589793 * v);
 }
 
-inline std::uint32_t DrawTokens(kernel::Random& random, const Work& work) {
-  const double at_median = std::exp(work.spread * Normal(random));
-  const double correction = std::exp(-work.spread * work.spread / 2);
-  double tokens = work.mean_tokens * at_median * correction;
-  if (kernel::Fraction(random) < work.long_share) tokens *= work.long_times;
+inline std::uint32_t DrawTokens(kernel::Random& random,
+                                const WorkModel& work_model) {
+  const double at_median = std::exp(work_model.spread * DrawNormal(random));
+  const double correction =
+      std::exp(-work_model.spread * work_model.spread / 2);
+  double tokens = work_model.mean_tokens * at_median * correction;
+  if (kernel::Fraction(random) < work_model.long_share)
+    tokens *= work_model.long_factor;
   return static_cast<std::uint32_t>(std::clamp(tokens, 1.0, 20'000.0));
 }
 
-inline double SlotSeconds(const Work& work) {
-  const double times = 1 + work.long_share * (work.long_times - 1);
-  return work.first_token.count() +
-         work.mean_tokens * times * kBetweenTokens.count();
+inline double MeanSlotSeconds(const WorkModel& work_model) {
+  const double factor =
+      1 + work_model.long_share * (work_model.long_factor - 1);
+  return work_model.first_token.count() +
+         work_model.mean_tokens * factor * kTimePerToken.count();
 }
 
 inline std::uint32_t DrawAccount(kernel::Random& random,
@@ -118,44 +123,46 @@
   return static_cast<std::uint32_t>(weights.size() - 1);
 }
 
-inline std::uint64_t DrawPrefix(kernel::Random& random, const Stream& stream) {
+inline std::uint64_t DrawPrefix(kernel::Random& random,
+                                const ArrivalStream& stream) {
   if (stream.prefixes == 0) return 0;
-  const bool hot = kernel::Fraction(random) < stream.hot_prefixes;
-  const std::uint64_t number = hot ? kernel::Below(random, 3)
+  const bool is_hot = kernel::Fraction(random) < stream.hot_prefix_ratio;
+  const std::uint64_t number = is_hot
+                                   ? kernel::Below(random, 3)
                                    : 3 + kernel::Below(random, stream.prefixes);
   return kernel::HashOf("prefix " + std::to_string(number));
 }
 
-inline Time At(Span since_start) {
+inline Time TimeAt(Span since_start) {
   return kStart +
          std::chrono::duration_cast<std::chrono::nanoseconds>(since_start);
 }
 
 /// Draws the arrivals of all streams (Poisson), in order of time.
-inline std::vector<Planned> PlanArrivals(const Load& load) {
+inline std::vector<PlannedRequest> PlanArrivals(const Load& load) {
   kernel::Random random(load.seed);
-  std::vector<Planned> planned;
+  std::vector<PlannedRequest> planned;
   const double slots = load.fleet.endpoints * load.fleet.bears;
-  for (const Stream& stream : load.streams) {
+  for (const ArrivalStream& stream : load.streams) {
     const ClassSpec& cls = load.classes[stream.cls];
-    const double rate = stream.load * slots / SlotSeconds(cls.work);
+    const double rate = stream.load * slots / MeanSlotSeconds(cls.work_model);
     Span at = stream.from;
     while (rate > 0) {
       at += Span(-std::log(1.0 - kernel::Fraction(random)) / rate);
       if (at >= stream.to) break;
-      Planned one;
-      one.request.cls.idx = stream.cls;
-      one.request.account.idx = DrawAccount(random, stream.accounts);
-      one.request.target.idx = 0;
-      one.request.prefix = DrawPrefix(random, stream);
-      one.request.arrived = At(at);
-      one.request.deadline = one.request.arrived + cls.first_token;
-      one.tokens = DrawTokens(random, cls.work);
-      planned.push_back(one);
+      PlannedRequest arrival;
+      arrival.request.cls.idx = stream.cls;
+      arrival.request.account.idx = DrawAccount(random, stream.accounts);
+      arrival.request.target.idx = 0;
+      arrival.request.prefix = DrawPrefix(random, stream);
+      arrival.request.arrived = TimeAt(at);
+      arrival.request.deadline = arrival.request.arrived + cls.first_token;
+      arrival.tokens = DrawTokens(random, cls.work_model);
+      planned.push_back(arrival);
     }
   }
   std::stable_sort(planned.begin(), planned.end(),
-                   [](const Planned& left, const Planned& right) {
+                   [](const PlannedRequest& left, const PlannedRequest& right) {
                      return left.request.arrived < right.request.arrived;
                    });
   for (std::size_t i = 0; i < planned.size(); ++i) {
@@ -168,27 +175,27 @@
 /// The rules of a load, with some zones taken out.
 inline rules::RulesPtr MakeRules(const Load& load, std::uint64_t version,
                                  const std::vector<std::uint32_t>& zones_out) {
-  auto made = std::make_shared<rules::Rules>();
-  made->version = version;
+  auto new_rules = std::make_shared<rules::Rules>();
+  new_rules->version = version;
   for (std::uint32_t i = 0; i < load.fleet.zones; ++i) {
     const bool out =
         std::find(zones_out.begin(), zones_out.end(), i) != zones_out.end();
-    made->zones.push_back(
+    new_rules->zones.push_back(
         {{"zone-" + std::to_string(i), "load", 1, true}, "addis", out});
   }
-  made->targets.push_back({{"model", "load", 1, true}});
+  new_rules->targets.push_back({{"model", "load", 1, true}});
   for (const ClassSpec& spec : load.classes) {
     rules::Class cls;
     cls.source = {spec.name, "load", 1, true};
     cls.tier = spec.tier;
     cls.first_token = spec.first_token;
     cls.max_wait = spec.max_wait;
-    made->classes.push_back(cls);
+    new_rules->classes.push_back(cls);
   }
   for (std::uint32_t i = 0; i < load.fleet.accounts; ++i) {
     rules::Account account;
     account.source = {"account-" + std::to_string(i), "load", 1, true};
-    made->accounts.push_back(account);
+    new_rules->accounts.push_back(account);
   }
   for (std::uint32_t i = 0; i < load.fleet.endpoints; ++i) {
     rules::Endpoint endpoint;
@@ -197,9 +204,9 @@
     endpoint.serves = {TargetHandle{0}};
     endpoint.bears = load.fleet.bears;
     endpoint.cold_bears = load.fleet.cold_bears;
-    made->endpoints.push_back(endpoint);
+    new_rules->endpoints.push_back(endpoint);
   }
-  return made;
+  return new_rules;
 }
 
 }  // namespace egretladder::policy::load
--- a/policy/tests/load_parts.h
+++ b/policy/tests/load_parts.h
@@ -12,52 +12,52 @@
 /// An engine as it is, whatever it reports.
 struct Engine {
   std::uint32_t in_flight = 0;
-  std::uint32_t others = 0;  ///< In flight by other nodes.
-  double slow = 1;
-  std::uint32_t cold_answers = 0;  ///< Answers until it is warm.
+  std::uint32_t other_nodes_in_flight = 0;  ///< In flight by other nodes.
+  double slowdown = 1;
+  std::uint32_t answers_until_warm = 0;  ///< Answers until it is warm.
   std::uint64_t boot = 1;
   bool takes_work = true;  ///< By rules and availability.
-  std::uint32_t leased = 0;
+  std::uint32_t leased_slots = 0;
   std::list<std::uint64_t> cached;  ///< Prefixes, newest first.
   SlotState slots;
   SlotEvidence evidence;
 };
 
-enum class StepKind : std::uint8_t {
-  kArrive,
-  kFirst,
+enum class EventKind : std::uint8_t {
+  kArrival,
+  kFirstToken,
   kTokens,
   kEnd,
   kRetry,
   kTick,
-  kFleet,
-  kChange,
+  kFleetUpdate,
+  kPlannedChange,
 };
 
-struct Step {
+struct Event {
   Time at{};
   std::uint64_t number = 0;
-  StepKind kind = StepKind::kTick;
+  EventKind kind = EventKind::kTick;
   std::uint64_t id = 0;
   std::uint32_t attempt = 0;
-  bool operator>(const Step& other) const {
+  bool operator>(const Event& other) const {
     return at != other.at ? at > other.at : number > other.number;
   }
 };
 
 /// One request in the run.
-struct Life {
-  Planned planned;
+struct SimRequest {
+  PlannedRequest planned;
   bool waiting = false;
   bool running = false;
   bool ended = false;
   bool first_token = false;
-  bool trickle = false;
+  bool by_aging_quota = false;
   std::uint32_t attempt = 1;
   std::uint32_t engine = 0;
-  std::uint32_t told_tokens = 0;
+  std::uint32_t reported_tokens = 0;
   Time started{};
-  Time first_at{};
+  Time first_token_at{};
 };
 
 }  // namespace egretladder::policy::load
--- a/policy/tests/load_result.h
+++ b/policy/tests/load_result.h
@@ -29,11 +29,12 @@
   double tokens_in_time = 0;
   double slot_seconds = 0;
   double wasted_slot_seconds = 0;
-  double trickle_slot_seconds = 0;
-  Span longest_trickle{0};
+  double aged_slot_seconds = 0;
+  Span longest_aged_attempt{0};
   std::uint32_t preempted = 0;
   std::uint32_t poison_deaths = 0;
-  std::uint32_t to_slow = 0;  ///< Started at engines slower than the others.
+  std::uint32_t starts_at_slow_engines =
+      0;  ///< Started at engines slower than the others.
   /// Broken rules: any scheduler must have none.
   std::uint32_t broken = 0;
   std::string first_broken;
@@ -43,12 +44,15 @@
   /// By class and account: produced in time, and asked for.
   std::vector<std::vector<double>> tokens;
   std::vector<std::vector<double>> demand;
-  std::vector<std::uint32_t> first_wave;  ///< Starts in a zone by second.
+  std::vector<std::uint32_t>
+      zone_starts_by_second;  ///< Starts in a zone by second.
 };
 
 inline double Attainment(const Result& result, std::uint32_t cls) {
-  const ClassResult& of = result.classes[cls];
-  return of.offered == 0 ? 1 : static_cast<double>(of.in_time) / of.offered;
+  const ClassResult& class_result = result.classes[cls];
+  return class_result.offered == 0
+             ? 1
+             : static_cast<double>(class_result.in_time) / class_result.offered;
 }
 
 inline double MeanFirstToken(const Result& result, std::uint32_t cls) {
@@ -78,29 +82,29 @@
 
 /// What each account would get of `total` by equal parts, none more than it
 /// asked for.
-inline std::vector<double> FairParts(const std::vector<double>& demand,
-                                     double total) {
-  std::vector<double> parts(demand.size(), 0);
-  std::vector<std::size_t> open;
+inline std::vector<double> FairShares(const std::vector<double>& demand,
+                                      double total) {
+  std::vector<double> shares(demand.size(), 0);
+  std::vector<std::size_t> pending;
   for (std::size_t i = 0; i < demand.size(); ++i) {
-    if (demand[i] > 0) open.push_back(i);
+    if (demand[i] > 0) pending.push_back(i);
   }
-  while (!open.empty()) {
-    const double each = total / static_cast<double>(open.size());
-    const auto small =
-        std::partition(open.begin(), open.end(),
-                       [&](std::size_t i) { return demand[i] > each; });
-    if (small == open.end()) {
-      for (const std::size_t i : open) parts[i] = each;
+  while (!pending.empty()) {
+    const double equal_share = total / static_cast<double>(pending.size());
+    const auto satisfied =
+        std::partition(pending.begin(), pending.end(),
+                       [&](std::size_t i) { return demand[i] > equal_share; });
+    if (satisfied == pending.end()) {
+      for (const std::size_t i : pending) shares[i] = equal_share;
       break;
     }
-    for (auto it = small; it != open.end(); ++it) {
-      parts[*it] = demand[*it];
+    for (auto it = satisfied; it != pending.end(); ++it) {
+      shares[*it] = demand[*it];
       total -= demand[*it];
     }
-    open.erase(small, open.end());
+    pending.erase(satisfied, pending.end());
   }
-  return parts;
+  return shares;
 }
 
 /// Jain's index over what the accounts of a class got in time against their
@@ -108,15 +112,15 @@
 inline double Jain(const Result& result, std::uint32_t cls) {
   double total = 0;
   for (const double tokens : result.tokens[cls]) total += tokens;
-  const std::vector<double> fair = FairParts(result.demand[cls], total);
+  const std::vector<double> fair = FairShares(result.demand[cls], total);
   double sum = 0;
   double squares = 0;
   double accounts = 0;
   for (std::size_t i = 0; i < fair.size(); ++i) {
     if (fair[i] <= 0) continue;
-    const double got = result.tokens[cls][i] / fair[i];
-    sum += got;
-    squares += got * got;
+    const double ratio = result.tokens[cls][i] / fair[i];
+    sum += ratio;
+    squares += ratio * ratio;
     accounts += 1;
   }
   return squares <= 0 ? 1 : sum * sum / (accounts * squares);
--- a/policy/tests/load_run.h
+++ b/policy/tests/load_run.h
@@ -23,113 +23,115 @@
 
 namespace egretladder::policy::load {
 
-class Run {
+class Simulation {
  public:
-  Run(std::string_view scheduler, Load load, const Limits& limits = {})
+  Simulation(std::string_view scheduler, Load load, const Limits& limits = {})
       : load_(std::move(load)),
         plugin_(kernel::FindPlugin<SchedulerPlugin>(scheduler)),
         random_(load_.seed + 1),
-        waiting_(NoneWaiting(load_.classes.size())) {
+        wait_counts_(MakeWaitCounts(load_.classes.size())) {
     result_.scheduler = scheduler;
     result_.classes.resize(load_.classes.size());
     result_.tokens.assign(load_.classes.size(),
                           std::vector<double>(load_.fleet.accounts));
     result_.demand = result_.tokens;
-    result_.first_wave.resize(static_cast<std::size_t>(load_.length.count()) +
-                              1);
+    result_.zone_starts_by_second.resize(
+        static_cast<std::size_t>(load_.length.count()) + 1);
     engines_.resize(load_.fleet.endpoints);
     state_ = plugin_->create({ZoneHandle{0}, load_.seed, limits});
   }
 
   /// Does something to the run at a moment, such as taking a zone out.
-  void Change(Span at, std::function<void(Run&)> change) {
+  void ScheduleChange(Span at, std::function<void(Simulation&)> change) {
     changes_.emplace_back(at, std::move(change));
   }
   /// New rules take these zones out, and all others back in.
   void SetZonesOut(const std::vector<std::uint32_t>& zones);
   /// An engine takes `slow` times as long for everything; 1 is as it should.
-  void SetSlow(std::uint32_t engine, double slow) {
-    engines_[engine].slow = slow;
+  void SetSlowdown(std::uint32_t engine, double slowdown) {
+    engines_[engine].slowdown = slowdown;
   }
   /// So many requests of other nodes run at an engine.
-  void SetOthers(std::uint32_t engine, std::uint32_t others) {
-    engines_[engine].others = others;
+  void SetOtherNodesInFlight(std::uint32_t engine,
+                             std::uint32_t other_nodes_in_flight) {
+    engines_[engine].other_nodes_in_flight = other_nodes_in_flight;
   }
   /// Restarts an engine's cache and compiled state; its boot changes if `boot`.
-  void TurnCold(std::uint32_t engine, bool boot);
+  void MakeCold(std::uint32_t engine, bool boot);
   /// The engine dies with what runs on it and is back, cold, after `away`.
-  void Crash(std::uint32_t engine, Span away);
+  void Crash(std::uint32_t engine, Span downtime);
   /// The zone whose starts go to `first_wave`.
-  void WatchZone(std::uint32_t zone) { watched_zone_ = zone; }
+  void RecordStartsInZone(std::uint32_t zone) { recorded_zone_ = zone; }
   /// Plays the load to its end. Call it once.
   Result Play();
 
  private:
-  static constexpr Span kFailsAfter{1.0};
-  static constexpr std::uint32_t kTokensAStep = 50;
-  static constexpr std::chrono::milliseconds kFleetStep{500};
+  static constexpr Span kFailureDelay{1.0};
+  static constexpr std::uint32_t kTokensPerEvent = 50;
+  static constexpr std::chrono::milliseconds kFleetInterval{500};
 
-  void Begin();
-  void Do(const Step& step);
-  void RunChange(std::uint64_t number);
-  void Finish();
+  void Start();
+  void HandleEvent(const Event& event);
+  void ApplyChange(std::uint64_t number);
+  void CheckAllFinished();
 
-  void Arrive(std::uint64_t id);
-  void FirstToken(const Step& step);
-  void Tokens(const Step& step);
-  void End(const Step& step);
-  void NoteAnswer(const Life& life);
-  void BreakOff(std::uint64_t id, EndKind kind);
-  void RepeatOrFail(std::uint64_t id, EndKind kind);
-  void Leave(Life& life);
-  void Close(Life& life);
+  void HandleArrival(std::uint64_t id);
+  void HandleFirstToken(const Event& event);
+  void HandleTokens(const Event& event);
+  void HandleEnd(const Event& event);
+  void RecordAnswer(const SimRequest& sim_request);
+  void AbortAttempt(std::uint64_t id, EndKind kind);
+  void RetryOrFail(std::uint64_t id, EndKind kind);
+  void ReleaseSlot(SimRequest& sim_request);
+  void FinishRequest(SimRequest& sim_request);
 
-  void Poison(std::uint64_t id);
+  void HandlePoison(std::uint64_t id);
   void SetAvailable(std::uint32_t engine, bool available);
-  void Fleet();
-  void Restart(std::uint32_t engine);
-  void Lease(std::uint32_t engine);
+  void UpdateFleet();
+  void RestartSlots(std::uint32_t engine);
+  void UpdateLease(std::uint32_t engine);
 
-  void Take(const Dispatch& dispatch);
-  void Take(const Refuse& refuse);
-  void Take(const Preempt& preempt);
-  void NoteStart(const Life& life);
-  void Schedule(std::uint64_t id, const Life& life);
-  void Stop(Life& life);
+  void Apply(const Dispatch& dispatch);
+  void Apply(const Refuse& refuse);
+  void Apply(const Preempt& preempt);
+  void RecordStart(const SimRequest& sim_request);
+  void ScheduleAttempt(std::uint64_t id, const SimRequest& sim_request);
+  void LeaveQueue(SimRequest& sim_request);
 
   template <typename Call>
-  void Act(Call call) {
+  void CallScheduler(Call call) {
     Actions out;
     call(out);
     for (const Action& action : out) {
-      std::visit([&](const auto& one) { Take(one); }, action);
+      std::visit([&](const auto& decision) { Apply(decision); }, action);
     }
     for (const Engine& engine : engines_) {
-      Check(engine.in_flight <= std::max(engine.leased, load_.fleet.bears),
-            "more in flight than the engine bears");
+      Check(
+          engine.in_flight <= std::max(engine.leased_slots, load_.fleet.bears),
+          "more in flight than the engine bears");
     }
   }
 
-  static double& Account(std::vector<std::vector<double>>& table,
-                         const Planned& planned) {
+  static double& CellOf(std::vector<std::vector<double>>& table,
+                        const PlannedRequest& planned) {
     return table[planned.request.cls.idx][planned.request.account.idx];
   }
-  const ClassSpec& ClassOfLife(const Life& life) const {
-    return load_.classes[life.planned.request.cls.idx];
+  const ClassSpec& GetClass(const SimRequest& sim_request) const {
+    return load_.classes[sim_request.planned.request.cls.idx];
   }
-  std::uint8_t TierOf(const Request& request) const {
+  std::uint8_t GetTier(const Request& request) const {
     return load_.classes[request.cls.idx].tier;
   }
   void Check(bool holds, const char* rule) {
     if (holds) return;
     if (result_.broken++ == 0) result_.first_broken = rule;
   }
-  static std::chrono::nanoseconds Cast(Span span) {
+  static std::chrono::nanoseconds ToNanoseconds(Span span) {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(span);
   }
-  void Add(Time at, StepKind kind, std::uint64_t id,
-           std::uint32_t attempt = 0) {
-    steps_.push({at, ++numbers_, kind, id, attempt});
+  void AddEvent(Time at, EventKind kind, std::uint64_t id,
+                std::uint32_t attempt = 0) {
+    events_.push({at, ++last_event_number_, kind, id, attempt});
   }
 
   Load load_;
@@ -138,16 +140,16 @@
   kernel::Random random_;
   Time now_{};
   std::uint64_t version_ = 0;
-  std::uint64_t numbers_ = 0;
-  std::size_t open_ = 0;
-  std::uint32_t watched_zone_ = 0xffffffffU;
+  std::uint64_t last_event_number_ = 0;
+  std::size_t unfinished_ = 0;
+  std::uint32_t recorded_zone_ = 0xffffffffU;
   RetryBudget budget_;
   PoisonState poison_;
   std::vector<Engine> engines_;
-  std::unordered_map<std::uint64_t, Life> lives_;
-  Waiting waiting_;
-  std::vector<std::pair<Span, std::function<void(Run&)>>> changes_;
-  std::priority_queue<Step, std::vector<Step>, std::greater<>> steps_;
+  std::unordered_map<std::uint64_t, SimRequest> sim_requests_;
+  WaitCounts wait_counts_;
+  std::vector<std::pair<Span, std::function<void(Simulation&)>>> changes_;
+  std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   Result result_;
 };
 
--- a/policy/tests/load_run_actions.h
+++ b/policy/tests/load_run_actions.h
@@ -5,90 +5,99 @@
 
 namespace egretladder::policy::load {
 
-inline void Run::Take(const Dispatch& dispatch) {
-  Life& life = lives_[dispatch.request];
+inline void Simulation::Apply(const Dispatch& dispatch) {
+  SimRequest& sim_request = sim_requests_[dispatch.request];
   Engine& engine = engines_[dispatch.endpoint.idx];
-  const Request& request = life.planned.request;
-  Check(life.waiting && !life.running, "started what did not wait");
+  const Request& request = sim_request.planned.request;
+  Check(sim_request.waiting && !sim_request.running,
+        "started what did not wait");
   Check(engine.takes_work, "started at an endpoint that takes no work");
-  Check(engine.in_flight < engine.leased, "more in flight than slots");
-  Stop(life);
-  const bool trickle = dispatch.reason == PickReason::kTrickle;
-  if (!trickle && HigherWaits(waiting_, TierOf(request))) {
+  Check(engine.in_flight < engine.leased_slots, "more in flight than slots");
+  LeaveQueue(sim_request);
+  const bool by_aging_quota = dispatch.reason == PickReason::kAgedWork;
+  if (!by_aging_quota && IsHigherTierWaiting(wait_counts_, GetTier(request))) {
     ++result_.tier_inversions;
   }
-  life.running = true;
-  life.trickle = trickle;
-  life.engine = dispatch.endpoint.idx;
-  life.started = now_;
-  NoteStart(life);
+  sim_request.running = true;
+  sim_request.by_aging_quota = by_aging_quota;
+  sim_request.engine = dispatch.endpoint.idx;
+  sim_request.started = now_;
+  RecordStart(sim_request);
   ++engine.in_flight;
-  Schedule(dispatch.request, life);
+  ScheduleAttempt(dispatch.request, sim_request);
 }
 
-inline void Run::NoteStart(const Life& life) {
-  const Request& request = life.planned.request;
-  if (engines_[life.engine].slow > 1) ++result_.to_slow;
+inline void Simulation::RecordStart(const SimRequest& sim_request) {
+  const Request& request = sim_request.planned.request;
+  if (engines_[sim_request.engine].slowdown > 1)
+    ++result_.starts_at_slow_engines;
   const auto second = static_cast<std::size_t>(Span(now_ - kStart).count());
-  if (life.engine % load_.fleet.zones == watched_zone_ &&
-      second < result_.first_wave.size()) {
-    ++result_.first_wave[second];
+  if (sim_request.engine % load_.fleet.zones == recorded_zone_ &&
+      second < result_.zone_starts_by_second.size()) {
+    ++result_.zone_starts_by_second[second];
   }
   ClassResult& cls = result_.classes[request.cls.idx];
   cls.worst_wait = std::max<Span>(cls.worst_wait, now_ - request.arrived);
-  EndUnserved(waiting_, request.cls.idx, now_, cls.longest_unserved);
+  EndUnservedSpan(wait_counts_, request.cls.idx, now_, cls.longest_unserved);
 }
 
-inline void Run::Take(const Refuse& refuse) {
-  Life& life = lives_[refuse.request];
-  const Request& request = life.planned.request;
-  Check(life.waiting, "refused what did not wait");
+inline void Simulation::Apply(const Refuse& refuse) {
+  SimRequest& sim_request = sim_requests_[refuse.request];
+  const Request& request = sim_request.planned.request;
+  Check(sim_request.waiting, "refused what did not wait");
   Check(refuse.retry_after > 0ms, "a refusal without a time to come back");
-  Stop(life);
-  const bool for_room = refuse.reason == RefuseReason::kQueueFull ||
-                        refuse.reason == RefuseReason::kShedForHigherTier;
-  if (for_room && LowerWaits(waiting_, TierOf(request))) {
+  LeaveQueue(sim_request);
+  const bool to_make_room = refuse.reason == RefuseReason::kQueueFull ||
+                            refuse.reason == RefuseReason::kShedForHigherTier;
+  if (to_make_room && IsLowerTierWaiting(wait_counts_, GetTier(request))) {
     ++result_.tier_inversions;
   }
   ClassResult& cls = result_.classes[request.cls.idx];
   ++cls.refused;
   cls.refusal_waits += now_ - request.arrived;
   cls.worst_refusal = std::max<Span>(cls.worst_refusal, now_ - request.arrived);
-  Close(life);
+  FinishRequest(sim_request);
 }
 
-inline void Run::Take(const Preempt& preempt) {
-  Life& life = lives_[preempt.request];
-  Check(life.running && !life.first_token, "preempted after a first token");
-  Check(HigherWaits(waiting_, TierOf(life.planned.request)),
+inline void Simulation::Apply(const Preempt& preempt) {
+  SimRequest& sim_request = sim_requests_[preempt.request];
+  Check(sim_request.running && !sim_request.first_token,
+        "preempted after a first token");
+  Check(IsHigherTierWaiting(wait_counts_, GetTier(sim_request.planned.request)),
         "preempted for no higher tier");
   ++result_.preempted;
-  BreakOff(preempt.request, EndKind::kCancelled);
+  AbortAttempt(preempt.request, EndKind::kCancelled);
 }
 
-inline void Run::Schedule(std::uint64_t id, const Life& life) {
-  const Course course =
-      CourseOf(engines_[life.engine], load_.fleet, ClassOfLife(life).work,
-               life.planned.request.prefix);
-  if (course.fails) {
-    return Add(now_ + Cast(kFailsAfter), StepKind::kEnd, id, life.attempt);
+inline void Simulation::ScheduleAttempt(std::uint64_t id,
+                                        const SimRequest& sim_request) {
+  const AttemptTiming timing = PlanAttempt(
+      engines_[sim_request.engine], load_.fleet,
+      GetClass(sim_request).work_model, sim_request.planned.request.prefix);
+  if (timing.fails) {
+    return AddEvent(now_ + ToNanoseconds(kFailureDelay), EventKind::kEnd, id,
+                    sim_request.attempt);
   }
-  Add(now_ + Cast(course.first), StepKind::kFirst, id, life.attempt);
-  const std::uint32_t tokens = life.planned.tokens;
-  for (std::uint32_t told = 0; told < tokens; told += kTokensAStep) {
-    const std::uint32_t up_to = std::min(tokens, told + kTokensAStep);
-    Add(now_ + Cast(course.first + course.token * up_to), StepKind::kTokens, id,
-        life.attempt);
+  AddEvent(now_ + ToNanoseconds(timing.time_to_first_token),
+           EventKind::kFirstToken, id, sim_request.attempt);
+  const std::uint32_t tokens = sim_request.planned.tokens;
+  for (std::uint32_t reported = 0; reported < tokens;
+       reported += kTokensPerEvent) {
+    const std::uint32_t up_to = std::min(tokens, reported + kTokensPerEvent);
+    AddEvent(now_ + ToNanoseconds(timing.time_to_first_token +
+                                  timing.time_per_token * up_to),
+             EventKind::kTokens, id, sim_request.attempt);
   }
-  Add(now_ + Cast(course.first + course.token * tokens), StepKind::kEnd, id,
-      life.attempt);
+  AddEvent(now_ + ToNanoseconds(timing.time_to_first_token +
+                                timing.time_per_token * tokens),
+           EventKind::kEnd, id, sim_request.attempt);
 }
 
-inline void Run::Stop(Life& life) {
-  life.waiting = false;
-  const Request& request = life.planned.request;
-  StopWaiting(waiting_, request.cls.idx, TierOf(request), now_,
-              result_.classes[request.cls.idx].longest_unserved);
+inline void Simulation::LeaveQueue(SimRequest& sim_request) {
+  sim_request.waiting = false;
+  const Request& request = sim_request.planned.request;
+  RemoveWaiting(wait_counts_, request.cls.idx, GetTier(request), now_,
+                result_.classes[request.cls.idx].longest_unserved);
 }
 
 }  // namespace egretladder::policy::load
--- a/policy/tests/load_run_engines.h
+++ b/policy/tests/load_run_engines.h
@@ -5,101 +5,104 @@
 
 namespace egretladder::policy::load {
 
-inline void Run::SetZonesOut(const std::vector<std::uint32_t>& zones) {
+inline void Simulation::SetZonesOut(const std::vector<std::uint32_t>& zones) {
   for (std::uint32_t i = 0; i < engines_.size(); ++i) {
     engines_[i].takes_work = std::find(zones.begin(), zones.end(),
                                        i % load_.fleet.zones) == zones.end();
   }
-  Act([&](Actions& out) {
+  CallScheduler([&](Actions& out) {
     plugin_->on_rules(*state_, MakeRules(load_, ++version_, zones), now_, out);
   });
 }
 
-inline void Run::TurnCold(std::uint32_t engine, bool boot) {
+inline void Simulation::MakeCold(std::uint32_t engine, bool boot) {
   Engine& cold = engines_[engine];
-  cold.cold_answers = kAnswersToWarm;
+  cold.answers_until_warm = kAnswersToWarm;
   cold.cached.clear();
   if (!boot) return;
   ++cold.boot;
-  Restart(engine);
+  RestartSlots(engine);
 }
 
-inline void Run::Crash(std::uint32_t engine, Span away) {
+inline void Simulation::Crash(std::uint32_t engine, Span downtime) {
   engines_[engine].takes_work = false;
   SetAvailable(engine, false);
   std::vector<std::uint64_t> ids;
-  for (const auto& [id, life] : lives_) {
-    if (life.running && life.engine == engine) ids.push_back(id);
+  for (const auto& [id, sim_request] : sim_requests_) {
+    if (sim_request.running && sim_request.engine == engine) ids.push_back(id);
   }
   std::sort(ids.begin(), ids.end());
-  for (const std::uint64_t id : ids) BreakOff(id, EndKind::kDied);
-  changes_.emplace_back(Span(now_ - kStart) + away, [engine](Run& run) {
-    run.engines_[engine].takes_work = true;
-    run.TurnCold(engine, true);
-    run.SetAvailable(engine, true);
-  });
-  Add(now_ + Cast(away), StepKind::kChange, changes_.size() - 1);
+  for (const std::uint64_t id : ids) AbortAttempt(id, EndKind::kDied);
+  changes_.emplace_back(Span(now_ - kStart) + downtime,
+                        [engine](Simulation& simulation) {
+                          simulation.engines_[engine].takes_work = true;
+                          simulation.MakeCold(engine, true);
+                          simulation.SetAvailable(engine, true);
+                        });
+  AddEvent(now_ + ToNanoseconds(downtime), EventKind::kPlannedChange,
+           changes_.size() - 1);
 }
 
 // One body crashes every engine that runs it, and its caller sends it again.
-inline void Run::Poison(std::uint64_t id) {
-  const std::uint32_t engine = lives_[id].engine;
+inline void Simulation::HandlePoison(std::uint64_t id) {
+  const std::uint32_t engine = sim_requests_[id].engine;
   ++result_.poison_deaths;
   std::vector<std::uint64_t> running;
-  for (const auto& [other, life] : lives_) {
-    if (life.running && life.engine == engine) {
-      running.push_back(life.planned.request.fingerprint);
+  for (const auto& [other, sim_request] : sim_requests_) {
+    if (sim_request.running && sim_request.engine == engine) {
+      running.push_back(sim_request.planned.request.fingerprint);
     }
   }
-  for (const Quarantined& held : OnEndpointDied(poison_, running, now_)) {
-    const bool innocent = held.fingerprint != kPoisonBody;
-    Check(!innocent, "an innocent body was quarantined");
-    Act([&](Actions& out) {
-      plugin_->on_quarantine(*state_, held.fingerprint, now_ + held.left, now_,
-                             out);
+  for (const Quarantined& notice : OnEndpointDied(poison_, running, now_)) {
+    const bool is_innocent = notice.fingerprint != kPoisonBody;
+    Check(!is_innocent, "an innocent body was quarantined");
+    CallScheduler([&](Actions& out) {
+      plugin_->on_quarantine(*state_, notice.fingerprint, now_ + notice.left,
+                             now_, out);
     });
   }
   Crash(engine, Span(10));
 }
 
-inline void Run::SetAvailable(std::uint32_t engine, bool available) {
-  Act([&](Actions& out) {
+inline void Simulation::SetAvailable(std::uint32_t engine, bool available) {
+  CallScheduler([&](Actions& out) {
     plugin_->on_available(*state_, EndpointHandle{engine}, available, now_,
                           out);
   });
 }
 
 // The keeper's part: slots from evidence, reports a second old.
-inline void Run::Fleet() {
+inline void Simulation::UpdateFleet() {
   for (std::uint32_t i = 0; i < engines_.size(); ++i) {
     Engine& engine = engines_[i];
     engine.evidence.boot = engine.boot;
     const SlotReason reason = OnEvidence(engine.slots, engine.evidence, now_);
     engine.evidence = {};
-    if (reason != SlotReason::kUnchanged) Lease(i);
+    if (reason != SlotReason::kUnchanged) UpdateLease(i);
     EngineReport report;
     report.age = 1000ms;
     report.boot = engine.boot;
-    report.running = engine.in_flight + engine.others;
+    report.running = engine.in_flight + engine.other_nodes_in_flight;
     report.loaded = {TargetHandle{0}};
     plugin_->on_report(*state_, EndpointHandle{i}, report, now_);
   }
 }
 
-inline void Run::Restart(std::uint32_t engine) {
+inline void Simulation::RestartSlots(std::uint32_t engine) {
   Engine& started = engines_[engine];
-  const std::uint32_t cold =
-      started.cold_answers > 0 ? load_.fleet.cold_bears : load_.fleet.bears;
+  const std::uint32_t cold = started.answers_until_warm > 0
+                                 ? load_.fleet.cold_bears
+                                 : load_.fleet.bears;
   (void)StartSlots(started.slots, cold, load_.fleet.bears, started.boot, now_);
   started.slots.cold_bears = load_.fleet.cold_bears;
-  Lease(engine);
+  UpdateLease(engine);
 }
 
-inline void Run::Lease(std::uint32_t engine) {
-  engines_[engine].leased = engines_[engine].slots.slots;
-  Act([&](Actions& out) {
-    plugin_->on_slots(*state_, EndpointHandle{engine}, engines_[engine].leased,
-                      now_, out);
+inline void Simulation::UpdateLease(std::uint32_t engine) {
+  engines_[engine].leased_slots = engines_[engine].slots.slots;
+  CallScheduler([&](Actions& out) {
+    plugin_->on_slots(*state_, EndpointHandle{engine},
+                      engines_[engine].leased_slots, now_, out);
   });
 }
 
