--- a/policy/tests/load_run_requests.h
+++ b/policy/tests/load_run_requests.h
@@ -5,121 +5,126 @@
 
 namespace egretladder::policy::load {
 
-inline void Run::Arrive(std::uint64_t id) {
-  Life& life = lives_[id];
-  life.waiting = true;
-  const Request& request = life.planned.request;
-  StartWaiting(waiting_, request.cls.idx, TierOf(request), now_);
-  Request copy = request;
-  copy.attempt = static_cast<std::uint8_t>(life.attempt);
-  copy.suspect = IsSuspect(poison_, request.fingerprint, now_);
-  Act([&](Actions& out) { plugin_->on_arrival(*state_, copy, now_, out); });
+inline void Simulation::HandleArrival(std::uint64_t id) {
+  SimRequest& sim_request = sim_requests_[id];
+  sim_request.waiting = true;
+  const Request& request = sim_request.planned.request;
+  AddWaiting(wait_counts_, request.cls.idx, GetTier(request), now_);
+  Request arrival = request;
+  arrival.attempt = static_cast<std::uint8_t>(sim_request.attempt);
+  arrival.suspect = IsSuspect(poison_, request.fingerprint, now_);
+  CallScheduler(
+      [&](Actions& out) { plugin_->on_arrival(*state_, arrival, now_, out); });
 }
 
-inline void Run::FirstToken(const Step& step) {
-  Life& life = lives_[step.id];
-  if (!life.running || life.attempt != step.attempt) return;
-  if (life.planned.request.fingerprint == kPoisonBody) {
-    return Poison(step.id);
+inline void Simulation::HandleFirstToken(const Event& event) {
+  SimRequest& sim_request = sim_requests_[event.id];
+  if (!sim_request.running || sim_request.attempt != event.attempt) return;
+  if (sim_request.planned.request.fingerprint == kPoisonBody) {
+    return HandlePoison(event.id);
   }
-  life.first_token = true;
-  life.first_at = now_;
-  const bool in_time = now_ - life.started <= ClassOfLife(life).first_token;
-  Engine& engine = engines_[life.engine];
+  sim_request.first_token = true;
+  sim_request.first_token_at = now_;
+  const bool in_time =
+      now_ - sim_request.started <= GetClass(sim_request).first_token;
+  Engine& engine = engines_[sim_request.engine];
   ++(in_time ? engine.evidence.in_time : engine.evidence.late);
-  plugin_->on_first_token(*state_, step.id, now_);
+  plugin_->on_first_token(*state_, event.id, now_);
 }
 
-inline void Run::Tokens(const Step& step) {
-  Life& life = lives_[step.id];
-  if (!life.running || life.attempt != step.attempt) return;
+inline void Simulation::HandleTokens(const Event& event) {
+  SimRequest& sim_request = sim_requests_[event.id];
+  if (!sim_request.running || sim_request.attempt != event.attempt) return;
   const std::uint32_t count =
-      std::min(kTokensAStep, life.planned.tokens - life.told_tokens);
-  life.told_tokens += count;
-  plugin_->on_tokens(*state_, step.id, count, now_);
+      std::min(kTokensPerEvent,
+               sim_request.planned.tokens - sim_request.reported_tokens);
+  sim_request.reported_tokens += count;
+  plugin_->on_tokens(*state_, event.id, count, now_);
 }
 
-inline void Run::End(const Step& step) {
-  Life& life = lives_[step.id];
-  if (!life.running || life.attempt != step.attempt) return;
-  Engine& engine = engines_[life.engine];
-  if (!life.first_token) {  // It failed.
+inline void Simulation::HandleEnd(const Event& event) {
+  SimRequest& sim_request = sim_requests_[event.id];
+  if (!sim_request.running || sim_request.attempt != event.attempt) return;
+  Engine& engine = engines_[sim_request.engine];
+  if (!sim_request.first_token) {  // It failed.
     ++engine.evidence.failed;
-    return BreakOff(step.id, EndKind::kFailed);
+    return AbortAttempt(event.id, EndKind::kFailed);
   }
-  if (engine.cold_answers > 0) --engine.cold_answers;
-  Leave(life);
-  Close(life);
-  NoteAnswer(life);
+  if (engine.answers_until_warm > 0) --engine.answers_until_warm;
+  ReleaseSlot(sim_request);
+  FinishRequest(sim_request);
+  RecordAnswer(sim_request);
   OnSuccess(budget_);
-  OnRanWell(poison_, life.planned.request.fingerprint);
-  Act([&](Actions& out) {
-    plugin_->on_end(*state_, step.id, EndKind::kDone, now_, out);
+  OnRanWell(poison_, sim_request.planned.request.fingerprint);
+  CallScheduler([&](Actions& out) {
+    plugin_->on_end(*state_, event.id, EndKind::kDone, now_, out);
   });
 }
 
-inline void Run::NoteAnswer(const Life& life) {
-  ClassResult& cls = result_.classes[life.planned.request.cls.idx];
+inline void Simulation::RecordAnswer(const SimRequest& sim_request) {
+  ClassResult& cls = result_.classes[sim_request.planned.request.cls.idx];
   cls.first_tokens.push_back(
-      Span(life.first_at - life.planned.request.arrived).count());
-  if (life.first_at <= life.planned.request.deadline) {
+      Span(sim_request.first_token_at - sim_request.planned.request.arrived)
+          .count());
+  if (sim_request.first_token_at <= sim_request.planned.request.deadline) {
     ++cls.in_time;
     // Work that a queue carries past the end is no goodput of the load.
-    if (now_ <= At(load_.length)) {
-      result_.tokens_in_time += life.planned.tokens;
+    if (now_ <= TimeAt(load_.length)) {
+      result_.tokens_in_time += sim_request.planned.tokens;
     }
-    Account(result_.tokens, life.planned) += life.planned.tokens;
+    CellOf(result_.tokens, sim_request.planned) += sim_request.planned.tokens;
   } else {
     ++cls.late;
   }
 }
 
 // An attempt ends without an answer; it may be repeated.
-inline void Run::BreakOff(std::uint64_t id, EndKind kind) {
-  Life& life = lives_[id];
-  result_.wasted_slot_seconds += Span(now_ - life.started).count();
-  Leave(life);
-  ++life.attempt;
-  life.first_token = false;
-  life.told_tokens = 0;
+inline void Simulation::AbortAttempt(std::uint64_t id, EndKind kind) {
+  SimRequest& sim_request = sim_requests_[id];
+  result_.wasted_slot_seconds += Span(now_ - sim_request.started).count();
+  ReleaseSlot(sim_request);
+  ++sim_request.attempt;
+  sim_request.first_token = false;
+  sim_request.reported_tokens = 0;
   if (kind == EndKind::kCancelled) {
-    Add(now_, StepKind::kRetry, id);
+    AddEvent(now_, EventKind::kRetry, id);
   } else {
-    RepeatOrFail(id, kind);
+    RetryOrFail(id, kind);
   }
-  Act([&](Actions& out) { plugin_->on_end(*state_, id, kind, now_, out); });
+  CallScheduler(
+      [&](Actions& out) { plugin_->on_end(*state_, id, kind, now_, out); });
 }
 
-inline void Run::RepeatOrFail(std::uint64_t id, EndKind kind) {
-  Life& life = lives_[id];
-  RetryQuestion question{kind, true};
-  question.blamed = kind == EndKind::kDied;
-  question.attempt = static_cast<std::uint8_t>(life.attempt - 1);
-  question.deadline = life.planned.request.deadline;
+inline void Simulation::RetryOrFail(std::uint64_t id, EndKind kind) {
+  SimRequest& sim_request = sim_requests_[id];
+  RetryQuestion context{kind, true};
+  context.blamed = kind == EndKind::kDied;
+  context.attempt = static_cast<std::uint8_t>(sim_request.attempt - 1);
+  context.deadline = sim_request.planned.request.deadline;
   const RetryAnswer answer =
-      DecideRetry(budget_, question, kernel::Fraction(random_), now_);
+      DecideRetry(budget_, context, kernel::Fraction(random_), now_);
   if (answer.again) {
-    Add(now_ + answer.delay, StepKind::kRetry, id);
+    AddEvent(now_ + answer.delay, EventKind::kRetry, id);
     return;
   }
-  ++result_.classes[life.planned.request.cls.idx].failed;
-  Close(life);
+  ++result_.classes[sim_request.planned.request.cls.idx].failed;
+  FinishRequest(sim_request);
 }
 
-inline void Run::Leave(Life& life) {
-  life.running = false;
-  --engines_[life.engine].in_flight;
-  const Span spent = now_ - life.started;
+inline void Simulation::ReleaseSlot(SimRequest& sim_request) {
+  sim_request.running = false;
+  --engines_[sim_request.engine].in_flight;
+  const Span spent = now_ - sim_request.started;
   result_.slot_seconds += spent.count();
-  if (!life.trickle) return;
-  result_.trickle_slot_seconds += spent.count();
-  result_.longest_trickle = std::max(result_.longest_trickle, spent);
+  if (!sim_request.by_aging_quota) return;
+  result_.aged_slot_seconds += spent.count();
+  result_.longest_aged_attempt = std::max(result_.longest_aged_attempt, spent);
 }
 
-inline void Run::Close(Life& life) {
-  Check(!life.ended, "a request ended twice");
-  life.ended = true;
-  --open_;
+inline void Simulation::FinishRequest(SimRequest& sim_request) {
+  Check(!sim_request.ended, "a request ended twice");
+  sim_request.ended = true;
+  --unfinished_;
 }
 
 }  // namespace egretladder::policy::load
--- a/policy/tests/load_run_steps.h
+++ b/policy/tests/load_run_steps.h
@@ -5,75 +5,77 @@
 
 namespace egretladder::policy::load {
 
-inline void Run::Begin() {
+inline void Simulation::Start() {
   now_ = kStart;
-  for (Planned& planned : PlanArrivals(load_)) {
-    if (load_.poison_every > 0 &&
-        planned.request.id % load_.poison_every == 0) {
+  for (PlannedRequest& planned : PlanArrivals(load_)) {
+    if (load_.poison_interval > 0 &&
+        planned.request.id % load_.poison_interval == 0) {
       planned.request.fingerprint = kPoisonBody;
     }
     ++result_.classes[planned.request.cls.idx].offered;
-    Account(result_.demand, planned) += planned.tokens;
-    Add(planned.request.arrived, StepKind::kArrive, planned.request.id);
-    lives_[planned.request.id].planned = planned;
+    CellOf(result_.demand, planned) += planned.tokens;
+    AddEvent(planned.request.arrived, EventKind::kArrival, planned.request.id);
+    sim_requests_[planned.request.id].planned = planned;
   }
-  open_ = lives_.size();
+  unfinished_ = sim_requests_.size();
   for (std::size_t i = 0; i < changes_.size(); ++i) {
-    Add(At(changes_[i].first), StepKind::kChange, i);
+    AddEvent(TimeAt(changes_[i].first), EventKind::kPlannedChange, i);
   }
   SetZonesOut({});
   for (std::uint32_t i = 0; i < engines_.size(); ++i) {
-    if (load_.fleet.starts_cold) engines_[i].cold_answers = kAnswersToWarm;
-    Restart(i);
+    if (load_.fleet.starts_cold)
+      engines_[i].answers_until_warm = kAnswersToWarm;
+    RestartSlots(i);
   }
-  Add(now_ + kSchedulerTick, StepKind::kTick, 0);
-  Add(now_ + kFleetStep, StepKind::kFleet, 0);
+  AddEvent(now_ + kSchedulerTick, EventKind::kTick, 0);
+  AddEvent(now_ + kFleetInterval, EventKind::kFleetUpdate, 0);
 }
 
-inline void Run::Do(const Step& step) {
-  switch (step.kind) {
-    case StepKind::kArrive:
-    case StepKind::kRetry:
-      return Arrive(step.id);
-    case StepKind::kFirst:
-      return FirstToken(step);
-    case StepKind::kTokens:
-      return Tokens(step);
-    case StepKind::kEnd:
-      return End(step);
-    case StepKind::kTick:
-      Act([&](Actions& out) { plugin_->on_tick(*state_, now_, out); });
-      return Add(now_ + kSchedulerTick, StepKind::kTick, 0);
-    case StepKind::kFleet:
-      Fleet();
-      return Add(now_ + kFleetStep, StepKind::kFleet, 0);
-    case StepKind::kChange:
-      return RunChange(step.id);
+inline void Simulation::HandleEvent(const Event& event) {
+  switch (event.kind) {
+    case EventKind::kArrival:
+    case EventKind::kRetry:
+      return HandleArrival(event.id);
+    case EventKind::kFirstToken:
+      return HandleFirstToken(event);
+    case EventKind::kTokens:
+      return HandleTokens(event);
+    case EventKind::kEnd:
+      return HandleEnd(event);
+    case EventKind::kTick:
+      CallScheduler(
+          [&](Actions& out) { plugin_->on_tick(*state_, now_, out); });
+      return AddEvent(now_ + kSchedulerTick, EventKind::kTick, 0);
+    case EventKind::kFleetUpdate:
+      UpdateFleet();
+      return AddEvent(now_ + kFleetInterval, EventKind::kFleetUpdate, 0);
+    case EventKind::kPlannedChange:
+      return ApplyChange(event.id);
   }
 }
 
 // A change may add others, which moves the list.
-inline void Run::RunChange(std::uint64_t number) {
-  const std::function<void(Run&)> change = changes_[number].second;
+inline void Simulation::ApplyChange(std::uint64_t number) {
+  const std::function<void(Simulation&)> change = changes_[number].second;
   change(*this);
 }
 
-inline Result Run::Play() {
-  Begin();
-  while (!steps_.empty()) {
-    const Step step = steps_.top();
-    steps_.pop();
-    now_ = step.at;
-    Do(step);
-    if (now_ > At(load_.length) && open_ == 0) break;
+inline Result Simulation::Play() {
+  Start();
+  while (!events_.empty()) {
+    const Event event = events_.top();
+    events_.pop();
+    now_ = event.at;
+    HandleEvent(event);
+    if (now_ > TimeAt(load_.length) && unfinished_ == 0) break;
   }
-  Finish();
+  CheckAllFinished();
   return result_;
 }
 
-inline void Run::Finish() {
-  for (const auto& [id, life] : lives_) {
-    Check(life.ended, "a request never ended");
+inline void Simulation::CheckAllFinished() {
+  for (const auto& [id, sim_request] : sim_requests_) {
+    Check(sim_request.ended, "a request never ended");
   }
 }
 
--- a/policy/tests/queue_test.cc
+++ b/policy/tests/queue_test.cc
@@ -19,56 +19,60 @@
 const ep::Time kStart{1h};
 
 // The same rules by plain scans over one list.
-struct SlowQueue {
-  std::vector<ep::Waiting> waiting;
-  std::vector<ep::Served> served{kAccounts};
+struct ReferenceQueue {
+  std::vector<ep::WaitingRequest> waiting;
+  std::vector<ep::AccountUsage> usage_by_account{kAccounts};
   std::uint64_t arrivals = 0;
 
-  void Push(ep::Waiting one) {
-    ep::Served& account = served[one.request.account.idx];
-    std::optional<double> least;
-    for (const ep::Waiting& other : waiting) {
+  void Push(ep::WaitingRequest entry) {
+    ep::AccountUsage& account = usage_by_account[entry.request.account.idx];
+    std::optional<double> min_tokens;
+    for (const ep::WaitingRequest& other : waiting) {
       if (other.late) continue;
-      const double tokens = served[other.request.account.idx].tokens;
-      if (!least || tokens < *least) least = tokens;
+      const double tokens = usage_by_account[other.request.account.idx].tokens;
+      if (!min_tokens || tokens < *min_tokens) min_tokens = tokens;
     }
-    if (account.waiting++ == 0 && least) {
-      account.tokens = std::max(account.tokens, *least);
+    if (account.waiting++ == 0 && min_tokens) {
+      account.tokens = std::max(account.tokens, *min_tokens);
     }
-    one.number = ++arrivals;
-    waiting.push_back(one);
+    entry.number = ++arrivals;
+    waiting.push_back(entry);
   }
 
-  const ep::Waiting* Head(ep::Time now, std::uint32_t held) {
-    const ep::Waiting* best = nullptr;
-    for (ep::Waiting& one : waiting) {
-      one.late = one.late || one.request.deadline < now;
+  const ep::WaitingRequest* FindHead(ep::Time now,
+                                     std::uint32_t blocked_account) {
+    const ep::WaitingRequest* best = nullptr;
+    for (ep::WaitingRequest& entry : waiting) {
+      entry.late = entry.late || entry.request.deadline < now;
     }
-    for (const ep::Waiting& one : waiting) {
-      if (one.request.account.idx == held) continue;
-      if (best == nullptr || Before(one, *best)) best = &one;
+    for (const ep::WaitingRequest& entry : waiting) {
+      if (entry.request.account.idx == blocked_account) continue;
+      if (best == nullptr || GoesBefore(entry, *best)) best = &entry;
     }
     return best;
   }
 
-  bool Before(const ep::Waiting& left, const ep::Waiting& right) const {
+  bool GoesBefore(const ep::WaitingRequest& left,
+                  const ep::WaitingRequest& right) const {
     if (left.late != right.late) return right.late;
-    const std::uint32_t l = left.request.account.idx;
-    const std::uint32_t r = right.request.account.idx;
-    if (l != r) {
-      return std::pair(served[l].tokens, l) < std::pair(served[r].tokens, r);
+    const std::uint32_t left_account = left.request.account.idx;
+    const std::uint32_t right_account = right.request.account.idx;
+    if (left_account != right_account) {
+      return std::pair(usage_by_account[left_account].tokens, left_account) <
+             std::pair(usage_by_account[right_account].tokens, right_account);
     }
-    const auto place = [](const ep::Waiting& of) {
-      return std::pair(of.late ? of.request.arrived : of.request.deadline,
-                       of.number);
+    const auto sort_key = [](const ep::WaitingRequest& entry) {
+      return std::pair(
+          entry.late ? entry.request.arrived : entry.request.deadline,
+          entry.number);
     };
-    return place(left) < place(right);
+    return sort_key(left) < sort_key(right);
   }
 
-  bool Take(ep::RequestId id) {
+  bool Remove(ep::RequestId id) {
     for (auto it = waiting.begin(); it != waiting.end(); ++it) {
       if (it->request.id != id) continue;
-      --served[it->request.account.idx].waiting;
+      --usage_by_account[it->request.account.idx].waiting;
       waiting.erase(it);
       return true;
     }
@@ -76,27 +80,27 @@
   }
 
   void Charge(std::uint32_t account, double tokens) {
-    ep::Served& of = served[account];
-    const double from_credit = std::min(of.credit, tokens);
-    of.credit -= from_credit;
-    of.tokens += tokens - from_credit;
+    ep::AccountUsage& usage = usage_by_account[account];
+    const double from_credit = std::min(usage.credit, tokens);
+    usage.credit -= from_credit;
+    usage.tokens += tokens - from_credit;
   }
 };
 
-ep::Waiting MakeWaiting(ep::RequestId id, std::uint32_t account, ep::Time now,
-                        std::chrono::milliseconds target) {
-  ep::Waiting one;
-  one.request.id = id;
-  one.request.cls.idx = 0;
-  one.request.target.idx = 0;
-  one.request.account.idx = account;
-  one.request.arrived = now;
-  one.request.deadline = now + target;
-  one.bound = now + 2 * target;
-  return one;
+ep::WaitingRequest MakeWaiting(ep::RequestId id, std::uint32_t account,
+                               ep::Time now, std::chrono::milliseconds target) {
+  ep::WaitingRequest entry;
+  entry.request.id = id;
+  entry.request.cls.idx = 0;
+  entry.request.target.idx = 0;
+  entry.request.account.idx = account;
+  entry.request.arrived = now;
+  entry.request.deadline = now + target;
+  entry.queue_deadline = now + 2 * target;
+  return entry;
 }
 
-bool IsHeld(const void* context, ep::AccountHandle account) {
+bool IsBlocked(const void* context, ep::AccountHandle account) {
   return account.idx == *static_cast<const std::uint32_t*>(context);
 }
 
@@ -108,100 +112,103 @@
   ep::ClassHandle cls_{0};
   void setup() override { ep::Resize(queue_, 1, 1, kAccounts); }
 
-  ep::RequestId Head(ep::Time now) {
-    const ep::Waiting* head =
-        ep::HeadOf(queue_, target_, cls_, now, nullptr, nullptr);
+  ep::RequestId FindHeadId(ep::Time now) {
+    const ep::WaitingRequest* head =
+        ep::FindHead(queue_, target_, cls_, now, nullptr, nullptr);
     return head == nullptr ? 0 : head->request.id;
   }
 };
 
 // A fault in the order shows to callers as one account that waits for ever.
 // Random operations over many seeds give the same heads as plain scans.
-TEST(Queue, AgreesWithAPlainModelUnderRandomOperations) {
+TEST(Queue, AgreesWithReferenceQueueUnderRandomOperations) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     ek::Random random(seed);
     ep::WaitQueue queue;
     ep::Resize(queue, 1, 1, kAccounts);
-    SlowQueue slow;
+    ReferenceQueue reference;
     ep::Time now = kStart;
     for (ep::RequestId step = 1; step <= 400; ++step) {
       const auto account =
           static_cast<std::uint32_t>(ek::Below(random, kAccounts));
-      const std::uint64_t what = ek::Below(random, 10);
-      if (what < 5) {
-        const auto one =
+      const std::uint64_t operation = ek::Below(random, 10);
+      if (operation < 5) {
+        const auto entry =
             MakeWaiting(step, account, now,
                         std::chrono::milliseconds(1 + ek::Below(random, 400)));
-        ep::Push(queue, one);
-        slow.Push(one);
-      } else if (what < 6) {
+        ep::Push(queue, entry);
+        reference.Push(entry);
+      } else if (operation < 6) {
         const ep::RequestId id = 1 + ek::Below(random, step);
-        CHECK_EQUAL(slow.Take(id), ep::Take(queue, id).has_value());
-      } else if (what < 7) {
+        CHECK_EQUAL(reference.Remove(id), ep::Remove(queue, id).has_value());
+      } else if (operation < 7) {
         const auto tokens = static_cast<double>(ek::Below(random, 50));
         ep::Charge(queue, {0}, {account}, tokens, 1);
-        slow.Charge(account, tokens);
-      } else if (what < 8) {
+        reference.Charge(account, tokens);
+      } else if (operation < 8) {
         const auto tokens = static_cast<double>(ek::Below(random, 20));
         ep::Refund(queue, {0}, {account}, tokens, 1);
-        slow.served[account].credit += tokens;
+        reference.usage_by_account[account].credit += tokens;
       } else {
         now += std::chrono::milliseconds(ek::Below(random, 60));
       }
-      const std::uint32_t held = ek::Below(random, 4) == 0 ? account : 99;
-      const ep::Waiting* want = slow.Head(now, held);
-      const ep::Waiting* got = ep::HeadOf(queue, {0}, {0}, now, IsHeld, &held);
-      CHECK_EQUAL(want == nullptr, got == nullptr);
-      if (want == nullptr || got == nullptr) continue;
-      CHECK_EQUAL(want->request.id, got->request.id);
+      const std::uint32_t blocked_account =
+          ek::Below(random, 4) == 0 ? account : 99;
+      const ep::WaitingRequest* expected =
+          reference.FindHead(now, blocked_account);
+      const ep::WaitingRequest* actual =
+          ep::FindHead(queue, {0}, {0}, now, IsBlocked, &blocked_account);
+      CHECK_EQUAL(expected == nullptr, actual == nullptr);
+      if (expected == nullptr || actual == nullptr) continue;
+      CHECK_EQUAL(expected->request.id, actual->request.id);
       if (ek::Below(random, 3) != 0) continue;
-      const ep::RequestId id = want->request.id;
-      slow.Take(id);
-      (void)ep::Take(queue, id);
+      const ep::RequestId id = expected->request.id;
+      reference.Remove(id);
+      (void)ep::Remove(queue, id);
     }
-    CHECK_EQUAL(slow.waiting.size(), queue.requests.size());
+    CHECK_EQUAL(reference.waiting.size(), queue.requests.size());
   }
 }
 
 // A broker's batch stands before one question of another account. In order of
 // arrival the question waits for the whole batch.
-TEST(Queue, ASmallAccountPassesABatch) {
+TEST(Queue, SmallAccountPassesABatch) {
   for (ep::RequestId id = 1; id <= 100; ++id) {
     ep::Push(queue_, MakeWaiting(id, 0, kStart, 5s));
   }
   ep::Charge(queue_, {0}, {0}, 10, 1);
   ep::Push(queue_, MakeWaiting(101, 1, kStart + 1s, 5s));
   ep::Charge(queue_, {0}, {0}, 10, 1);
-  CHECK_EQUAL(101U, Head(kStart + 1s));
+  CHECK_EQUAL(101U, FindHeadId(kStart + 1s));
 }
 
 // Under overload the earliest deadline is the one just missed. Served first,
 // every answer comes a little too late.
-TEST(Queue, WhatIsInTimeGoesBeforeWhatIsLate) {
+TEST(Queue, RequestsInTimeGoBeforeLateOnes) {
   ep::Push(queue_, MakeWaiting(1, 0, kStart, 100ms));
   ep::Push(queue_, MakeWaiting(2, 0, kStart, 900ms));
-  CHECK_EQUAL(1U, Head(kStart));
-  CHECK_EQUAL(2U, Head(kStart + 500ms));
-  (void)ep::Take(queue_, 2);
-  CHECK_EQUAL(1U, Head(kStart + 500ms));
+  CHECK_EQUAL(1U, FindHeadId(kStart));
+  CHECK_EQUAL(2U, FindHeadId(kStart + 500ms));
+  (void)ep::Remove(queue_, 2);
+  CHECK_EQUAL(1U, FindHeadId(kStart + 500ms));
 }
 
 // An account with twice the share pays for twice the tokens.
-TEST(Queue, SharesWeigh) {
+TEST(Queue, ShareDividesTheCharge) {
   ep::Charge(queue_, {0}, {0}, 100, 2);
   ep::Charge(queue_, {0}, {1}, 60, 1);
   ep::Push(queue_, MakeWaiting(1, 0, kStart, 5s));
   ep::Push(queue_, MakeWaiting(2, 1, kStart, 5s));
-  CHECK_EQUAL(1U, Head(kStart));  // 50 a share against 60.
+  CHECK_EQUAL(1U, FindHeadId(kStart));  // 50 a share against 60.
   ep::Charge(queue_, {0}, {0}, 30, 2);
-  CHECK_EQUAL(2U, Head(kStart));  // 65 against 60.
+  CHECK_EQUAL(2U, FindHeadId(kStart));  // 65 against 60.
 }
 
 // When the queue is full of one account's batch, its own newest makes room.
-TEST(Queue, FindsWhoIsOverShare) {
+TEST(Queue, FindsNewestRequestOfAccountOverShare) {
   for (ep::RequestId id = 1; id <= 9; ++id) {
     ep::Push(queue_, MakeWaiting(id, 0, kStart, 5s));
   }
-  CHECK_EQUAL(9U, ep::FindOverShare(queue_, {0}, {1})->request.id);
-  CHECK_TRUE(ep::FindOverShare(queue_, {0}, {0}) == nullptr);
+  CHECK_EQUAL(9U, ep::FindOverShareCandidate(queue_, {0}, {1})->request.id);
+  CHECK_TRUE(ep::FindOverShareCandidate(queue_, {0}, {0}) == nullptr);
 }
--- a/policy/tests/retry_test.cc
+++ b/policy/tests/retry_test.cc
@@ -12,70 +12,70 @@
   ek::PausedClock clock_;
   ep::RetryBudget budget_;
 
-  ep::RetryAnswer Ask(ep::RetryQuestion question) {
-    if (question.deadline == ep::Time{}) question.deadline = clock_.now + 10s;
-    return ep::DecideRetry(budget_, question, 0.5, clock_.now);
+  ep::RetryAnswer Decide(ep::RetryQuestion context) {
+    if (context.deadline == ep::Time{}) context.deadline = clock_.now + 10s;
+    return ep::DecideRetry(budget_, context, 0.5, clock_.now);
   }
 };
 
 // The connection to an endpoint breaks while a payment runs on it. Sent again,
 // the payment may be taken twice.
-TEST(Retry, WhatMayHaveRunIsRepeatedOnlyIfIdempotent) {
-  CHECK(Ask({ep::EndKind::kFailed, false}).reason ==
+TEST(Retry, MayHaveRunIsRetriedOnlyIfRepeatable) {
+  CHECK(Decide({ep::EndKind::kFailed, false}).reason ==
         ep::RetryReason::kMayHaveRun);
-  CHECK_TRUE(Ask({ep::EndKind::kFailed, true}).again);
-  const auto not_run = Ask({ep::EndKind::kNotRun, false});
+  CHECK_TRUE(Decide({ep::EndKind::kFailed, true}).again);
+  const auto not_run = Decide({ep::EndKind::kNotRun, false});
   CHECK_TRUE(not_run.again);
-  CHECK(not_run.reason == ep::RetryReason::kNotRunElsewhere);
+  CHECK(not_run.reason == ep::RetryReason::kNotRun);
 }
 
 // The caller has half of the answer. A second run would send it another text.
-TEST(Retry, NeverAfterTheAnswerStarted) {
-  CHECK(Ask({ep::EndKind::kFailed, true, true}).reason ==
+TEST(Retry, NoRetryAfterTheAnswerStarted) {
+  CHECK(Decide({ep::EndKind::kFailed, true, true}).reason ==
         ep::RetryReason::kAnswerStarted);
 }
 
 // Every endpoint refuses after an outage. Each of a thousand callers' requests
 // becomes three, and the endpoints that come back drown in retries.
-TEST(Retry, BudgetEndsAStorm) {
-  int again = 0;
+TEST(Retry, BudgetLimitsARetryStorm) {
+  int retries = 0;
   for (int i = 0; i < 1000; ++i) {
-    if (Ask({ep::EndKind::kNotRun, true}).again) ++again;
+    if (Decide({ep::EndKind::kNotRun, true}).again) ++retries;
   }
-  CHECK_EQUAL(5, again);
-  CHECK(Ask({ep::EndKind::kNotRun, true}).reason ==
+  CHECK_EQUAL(5, retries);
+  CHECK(Decide({ep::EndKind::kNotRun, true}).reason ==
         ep::RetryReason::kBudgetSpent);
   for (int i = 0; i < 100; ++i) ep::OnSuccess(budget_);
-  CHECK_TRUE(Ask({ep::EndKind::kNotRun, true}).again);
+  CHECK_TRUE(Decide({ep::EndKind::kNotRun, true}).again);
 }
 
 // An endpoint refuses connections when a node has just started. A node that had
 // to earn its first retry would pass each of the first failures on to a caller.
-TEST(Retry, AFreshNodeRepeatsAFewFailures) {
-  for (double spent = 0; spent < ep::kRetryBudgetAtStart; ++spent) {
-    CHECK_TRUE(Ask({ep::EndKind::kNotRun, true}).again);
+TEST(Retry, NewNodeRetriesAFewFailures) {
+  for (double spent = 0; spent < ep::kInitialRetryTokens; ++spent) {
+    CHECK_TRUE(Decide({ep::EndKind::kNotRun, true}).again);
   }
-  CHECK(Ask({ep::EndKind::kNotRun, true}).reason ==
+  CHECK(Decide({ep::EndKind::kNotRun, true}).reason ==
         ep::RetryReason::kBudgetSpent);
-  CHECK_TRUE(ep::kRetryBudgetAtStart >= 2);
+  CHECK_TRUE(ep::kInitialRetryTokens >= 2);
 }
 
 // The caller has given up by then; the repeat would be work for no one.
-TEST(Retry, NotPastTheDeadlineNorForEver) {
-  ep::RetryQuestion question{ep::EndKind::kNotRun, true};
-  question.deadline = clock_.now + 1ms;
-  CHECK(Ask(question).reason == ep::RetryReason::kDeadlinePassed);
-  question.deadline = clock_.now + 10s;
-  question.attempt = 3;
-  CHECK(Ask(question).reason == ep::RetryReason::kAttemptsSpent);
+TEST(Retry, NoRetryPastTheDeadlineOrMaxAttempts) {
+  ep::RetryQuestion context{ep::EndKind::kNotRun, true};
+  context.deadline = clock_.now + 1ms;
+  CHECK(Decide(context).reason == ep::RetryReason::kDeadlinePassed);
+  context.deadline = clock_.now + 10s;
+  context.attempt = 3;
+  CHECK(Decide(context).reason == ep::RetryReason::kAttemptsSpent);
 }
 
 // Two endpoints in a row died under one request. A third attempt would take
 // the next one from everybody.
-TEST(Retry, SecondDeathIsNotTriedOnAThirdEndpoint) {
-  ep::RetryQuestion question{ep::EndKind::kDied, true};
-  question.blamed = true;
-  CHECK_TRUE(Ask(question).again);
-  question.attempt = 2;
-  CHECK(Ask(question).reason == ep::RetryReason::kPoison);
+TEST(Retry, NoThirdAttemptAfterTwoDeaths) {
+  ep::RetryQuestion context{ep::EndKind::kDied, true};
+  context.blamed = true;
+  CHECK_TRUE(Decide(context).again);
+  context.attempt = 2;
+  CHECK(Decide(context).reason == ep::RetryReason::kPoison);
 }
--- a/policy/tests/slots_test.cc
+++ b/policy/tests/slots_test.cc
@@ -17,7 +17,7 @@
   void setup() override { ep::StartSlots(state_, 2, 16, 7, clock_.now); }
 
   // Ends right after a window of answers was judged.
-  void Warm() {
+  void GrowToMaximum() {
     for (int i = 0; i < 50; ++i) {
       (void)ep::OnEvidence(state_, {16, 0, 0, 7}, clock_.now);
     }
@@ -40,8 +40,8 @@
 
 // The engine restarted between two reports. Its old slots would drop warm load
 // on a cold engine.
-TEST(Slots, NewBootFallsToColdAndLateWordOfTheOldBootIsIgnored) {
-  Warm();
+TEST(Slots, RestartResetsSlotsAndDelayedReportsAreIgnored) {
+  GrowToMaximum();
   CHECK_EQUAL(16U, state_.slots);
   CHECK(ep::OnEvidence(state_, {1, 0, 0, 8}, clock_.now) ==
         ep::SlotReason::kStarted);
@@ -54,21 +54,21 @@
 
 // An endpoint loses its cache and compiled kernels without a restart: reports
 // show nothing, callers see every first token late.
-TEST(Slots, TurnsColdWhenMostAnswersAreLate) {
-  Warm();
-  std::uint32_t late = 0;
-  while (state_.slots > 2 && late < 100) {
+TEST(Slots, FallsBackToColdWhenMostAnswersAreLate) {
+  GrowToMaximum();
+  std::uint32_t late_answers = 0;
+  while (state_.slots > 2 && late_answers < 100) {
     (void)ep::OnEvidence(state_, {0, 1, 0, 7}, clock_.now);
-    ++late;
+    ++late_answers;
   }
   CHECK_EQUAL(2U, state_.slots);
-  CHECK_TRUE(late <= 16);
+  CHECK_TRUE(late_answers <= 16);
 }
 
 // Long prompts make a third of the answers late at full slots; a smaller
 // number in flight answers all in time.
 TEST(Slots, ShrinksWhenOverloadedAndGrowsBackSlowly) {
-  Warm();
+  GrowToMaximum();
   CHECK(ep::OnEvidence(state_, {10, 8, 2, 7}, clock_.now) ==
         ep::SlotReason::kOverloaded);
   CHECK_EQUAL(12U, state_.slots);
