--- a/policy/include/egretladder/policy/slots.h
+++ b/policy/include/egretladder/policy/slots.h
@@ -24,9 +24,9 @@
 
 /// What the keeper knows of an endpoint's ability to take work.
 struct SlotState {
-  std::uint32_t slots = 0;       ///< In flight, summed over all nodes.
-  std::uint32_t cold_bears = 1;  ///< From the rules.
-  std::uint32_t bears = 1;       ///< From the rules.
+  std::uint32_t slots = 0;               ///< In flight, summed over all nodes.
+  std::uint32_t cold_max_in_flight = 1;  ///< From the rules.
+  std::uint32_t bears = 1;               ///< From the rules.
   std::uint32_t slow_start_threshold =
       1;                            ///< Doubles up to here, then adds one.
   std::uint64_t boot = 0;           ///< Last seen in a report or answer.
@@ -46,7 +46,7 @@
 };
 
 /// Starts or restarts an endpoint: falls to what it bears cold.
-SlotReason StartSlots(SlotState& state, std::uint32_t cold_bears,
+SlotReason StartSlots(SlotState& state, std::uint32_t cold_max_in_flight,
                       std::uint32_t bears, std::uint64_t boot,
                       kernel::Time now);
 
--- a/policy/src/ladder_admit.cc
+++ b/policy/src/ladder_admit.cc
@@ -17,7 +17,7 @@
 
 void AppendRefusal(LadderState& state, RequestId request, RefuseReason reason,
                    Seconds expected_wait, Seconds allowed_wait, Actions& out) {
-  const double jitter = kernel::Fraction(state.random);
+  const double jitter = kernel::RandomFraction(state.random);
   out.emplace_back(Refuse{
       request, reason,
       RetryAfter(expected_wait, allowed_wait, jitter, GetLimits(state))});
--- a/policy/src/pick.cc
+++ b/policy/src/pick.cc
@@ -48,7 +48,7 @@
   for (const EndpointHandle endpoint : servers) {
     const std::string& name = rules.endpoints[endpoint.idx].source.name;
     for (std::uint64_t point = 0; point < kPointsPerEndpoint; ++point) {
-      ring.points.push_back({kernel::HashOf(name, point), endpoint});
+      ring.points.push_back({kernel::HashBytes(name, point), endpoint});
     }
   }
   std::sort(ring.points.begin(), ring.points.end(),
--- a/policy/tests/ladder_random_test.cc
+++ b/policy/tests/ladder_random_test.cc
@@ -31,7 +31,7 @@
 
 struct ReferenceModel {
   ek::Random random;
-  ek::PausedClock clock;
+  ek::ManualClock clock;
   const ep::SchedulerPlugin* plugin =
       ek::FindPlugin<ep::SchedulerPlugin>("ladder");
   std::unique_ptr<ep::SchedulerState> state;
--- a/policy/tests/load_engine.h
+++ b/policy/tests/load_engine.h
@@ -42,8 +42,8 @@
                                   const FleetSpec& fleet) {
   if (engine.answers_until_warm == 0) return false;
   const std::uint32_t answered = kAnswersToWarm - engine.answers_until_warm;
-  return engine.in_flight > fleet.cold_bears &&
-         engine.in_flight > 2 * fleet.cold_bears + answered;
+  return engine.in_flight > fleet.cold_max_in_flight &&
+         engine.in_flight > 2 * fleet.cold_max_in_flight + answered;
 }
 
 /// The course of an attempt that is in flight at `engine` already.
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -55,7 +55,7 @@
   std::uint32_t zones = 3;
   std::uint32_t endpoints = 12;
   std::uint32_t bears = 8;
-  std::uint32_t cold_bears = 1;
+  std::uint32_t cold_max_in_flight = 1;
   std::uint32_t accounts = 10;
   bool starts_cold = false;
 };
@@ -88,8 +88,8 @@
 };
 
 inline double DrawNormal(kernel::Random& random) {
-  const double u = 1.0 - kernel::Fraction(random);
-  const double v = kernel::Fraction(random);
+  const double u = 1.0 - kernel::RandomFraction(random);
+  const double v = kernel::RandomFraction(random);
   return std::sqrt(-2 * std::log(u)) * std::cos(2 * 3.141592653589793 * v);
 }
 
@@ -99,7 +99,7 @@
   const double correction =
       std::exp(-work_model.spread * work_model.spread / 2);
   double tokens = work_model.mean_tokens * at_median * correction;
-  if (kernel::Fraction(random) < work_model.long_share)
+  if (kernel::RandomFraction(random) < work_model.long_share)
     tokens *= work_model.long_factor;
   return static_cast<std::uint32_t>(std::clamp(tokens, 1.0, 20'000.0));
 }
@@ -115,7 +115,7 @@
                                  const std::vector<double>& weights) {
   double total = 0;
   for (const double weight : weights) total += weight;
-  double drawn = kernel::Fraction(random) * total;
+  double drawn = kernel::RandomFraction(random) * total;
   for (std::uint32_t i = 0; i < weights.size(); ++i) {
     if (drawn < weights[i]) return i;
     drawn -= weights[i];
@@ -126,11 +126,11 @@
 inline std::uint64_t DrawPrefix(kernel::Random& random,
                                 const ArrivalStream& stream) {
   if (stream.prefixes == 0) return 0;
-  const bool is_hot = kernel::Fraction(random) < stream.hot_prefix_ratio;
+  const bool is_hot = kernel::RandomFraction(random) < stream.hot_prefix_ratio;
   const std::uint64_t number = is_hot
                                    ? kernel::Below(random, 3)
                                    : 3 + kernel::Below(random, stream.prefixes);
-  return kernel::HashOf("prefix " + std::to_string(number));
+  return kernel::HashBytes("prefix " + std::to_string(number));
 }
 
 inline Time TimeAt(Span since_start) {
@@ -148,7 +148,7 @@
     const double rate = stream.load * slots / MeanSlotSeconds(cls.work_model);
     Span at = stream.from;
     while (rate > 0) {
-      at += Span(-std::log(1.0 - kernel::Fraction(random)) / rate);
+      at += Span(-std::log(1.0 - kernel::RandomFraction(random)) / rate);
       if (at >= stream.to) break;
       PlannedRequest arrival;
       arrival.request.cls.idx = stream.cls;
@@ -203,7 +203,7 @@
     endpoint.zone.idx = i % load.fleet.zones;
     endpoint.serves = {TargetHandle{0}};
     endpoint.bears = load.fleet.bears;
-    endpoint.cold_bears = load.fleet.cold_bears;
+    endpoint.cold_max_in_flight = load.fleet.cold_max_in_flight;
     new_rules->endpoints.push_back(endpoint);
   }
   return new_rules;
--- a/policy/tests/load_run_requests.h
+++ b/policy/tests/load_run_requests.h
@@ -102,7 +102,7 @@
   context.attempt = static_cast<std::uint8_t>(sim_request.attempt - 1);
   context.deadline = sim_request.planned.request.deadline;
   const RetryAnswer answer =
-      DecideRetry(budget_, context, kernel::Fraction(random_), now_);
+      DecideRetry(budget_, context, kernel::RandomFraction(random_), now_);
   if (answer.again) {
     AddEvent(now_ + answer.delay, EventKind::kRetry, id);
     return;
