--- a/policy/src/ladder_dispatch.cc
+++ b/policy/src/ladder_dispatch.cc
@@ -134,14 +134,14 @@
   const std::size_t num_free = pool.free_endpoints.size();
   const std::size_t sample_size =
       std::min<std::size_t>(limits.choices, num_free);
-  const std::size_t first = kernel::Below(state.random, num_free);
+  const std::size_t first = kernel::RandomBelow(state.random, num_free);
   EndpointHandle best;
   double best_score = 0;
   for (std::size_t i = 0; i < sample_size; ++i) {
     // All of a few; otherwise at random.
     const std::size_t index = sample_size == num_free
                                   ? (first + i) % num_free
-                                  : kernel::Below(state.random, num_free);
+                                  : kernel::RandomBelow(state.random, num_free);
     const EndpointHandle endpoint = pool.free_endpoints[index];
     EndpointLoad load = state.endpoints[endpoint.idx].load;
     load.runs_suspect = load.runs_suspect && request.suspect;
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -127,9 +127,9 @@
                                 const ArrivalStream& stream) {
   if (stream.prefixes == 0) return 0;
   const bool is_hot = kernel::RandomFraction(random) < stream.hot_prefix_ratio;
-  const std::uint64_t number = is_hot
-                                   ? kernel::Below(random, 3)
-                                   : 3 + kernel::Below(random, stream.prefixes);
+  const std::uint64_t number =
+      is_hot ? kernel::RandomBelow(random, 3)
+             : 3 + kernel::RandomBelow(random, stream.prefixes);
   return kernel::HashBytes("prefix " + std::to_string(number));
 }
 
--- a/policy/tests/queue_test.cc
+++ b/policy/tests/queue_test.cc
@@ -130,30 +130,30 @@
     ep::Time now = kStart;
     for (ep::RequestId step = 1; step <= 400; ++step) {
       const auto account =
-          static_cast<std::uint32_t>(ek::Below(random, kAccounts));
-      const std::uint64_t operation = ek::Below(random, 10);
+          static_cast<std::uint32_t>(ek::RandomBelow(random, kAccounts));
+      const std::uint64_t operation = ek::RandomBelow(random, 10);
       if (operation < 5) {
-        const auto entry =
-            MakeWaiting(step, account, now,
-                        std::chrono::milliseconds(1 + ek::Below(random, 400)));
+        const auto entry = MakeWaiting(
+            step, account, now,
+            std::chrono::milliseconds(1 + ek::RandomBelow(random, 400)));
         ep::Push(queue, entry);
         reference.Push(entry);
       } else if (operation < 6) {
-        const ep::RequestId id = 1 + ek::Below(random, step);
+        const ep::RequestId id = 1 + ek::RandomBelow(random, step);
         CHECK_EQUAL(reference.Remove(id), ep::Remove(queue, id).has_value());
       } else if (operation < 7) {
-        const auto tokens = static_cast<double>(ek::Below(random, 50));
+        const auto tokens = static_cast<double>(ek::RandomBelow(random, 50));
         ep::Charge(queue, {0}, {account}, tokens, 1);
         reference.Charge(account, tokens);
       } else if (operation < 8) {
-        const auto tokens = static_cast<double>(ek::Below(random, 20));
+        const auto tokens = static_cast<double>(ek::RandomBelow(random, 20));
         ep::Refund(queue, {0}, {account}, tokens, 1);
         reference.usage_by_account[account].credit += tokens;
       } else {
-        now += std::chrono::milliseconds(ek::Below(random, 60));
+        now += std::chrono::milliseconds(ek::RandomBelow(random, 60));
       }
       const std::uint32_t blocked_account =
-          ek::Below(random, 4) == 0 ? account : 99;
+          ek::RandomBelow(random, 4) == 0 ? account : 99;
       const ep::WaitingRequest* expected =
           reference.FindHead(now, blocked_account);
       const ep::WaitingRequest* actual =
@@ -161,7 +161,7 @@
       CHECK_EQUAL(expected == nullptr, actual == nullptr);
       if (expected == nullptr || actual == nullptr) continue;
       CHECK_EQUAL(expected->request.id, actual->request.id);
-      if (ek::Below(random, 3) != 0) continue;
+      if (ek::RandomBelow(random, 3) != 0) continue;
       const ep::RequestId id = expected->request.id;
       reference.Remove(id);
       (void)ep::Remove(queue, id);
