--- a/policy/src/ladder_pools.cc
+++ b/policy/src/ladder_pools.cc
@@ -79,7 +79,7 @@
   const rules::Endpoint& endpoint = rules.endpoints[idx];
   LadderEndpoint& endpoint_info = state.endpoints[idx];
   endpoint_info.memberships.clear();
-  endpoint_info.load.bears = endpoint.bears;
+  endpoint_info.load.max_in_flight = endpoint.max_in_flight;
   endpoint_info.load.same_zone = endpoint.zone == state.options.zone;
   if (!state.table.endpoints[idx].in_service) return;
   for (const TargetHandle target : endpoint.serves) {
--- a/policy/src/pick.cc
+++ b/policy/src/pick.cc
@@ -19,7 +19,7 @@
       std::min(load.reported_load, load.own_in_flight_at_report);
   const std::chrono::duration<double> age = now - load.reported_at;
   const double weight = std::exp2(-(age / limits.report_half_life));
-  return weight * other_nodes / std::max(1U, load.bears);
+  return weight * other_nodes / std::max(1U, load.max_in_flight);
 }
 
 }  // namespace
--- a/policy/tests/decisions_test.cc
+++ b/policy/tests/decisions_test.cc
@@ -150,7 +150,7 @@
 // all nodes run to an endpoint that was idle then.
 TEST(Decisions, OldReportsWeighLess) {
   ep::EndpointLoad load;
-  load.slots = load.bears = 8;
+  load.slots = load.max_in_flight = 8;
   load.reported_load = 8;
   load.reported_at = clock_.now;
   const double fresh = ep::LoadScore(load, limits_, clock_.now);
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -54,7 +54,7 @@
 struct FleetSpec {
   std::uint32_t zones = 3;
   std::uint32_t endpoints = 12;
-  std::uint32_t bears = 8;
+  std::uint32_t max_in_flight = 8;
   std::uint32_t cold_max_in_flight = 1;
   std::uint32_t accounts = 10;
   bool starts_cold = false;
@@ -142,7 +142,7 @@
 inline std::vector<PlannedRequest> PlanArrivals(const Load& load) {
   kernel::Random random(load.seed);
   std::vector<PlannedRequest> planned;
-  const double slots = load.fleet.endpoints * load.fleet.bears;
+  const double slots = load.fleet.endpoints * load.fleet.max_in_flight;
   for (const ArrivalStream& stream : load.streams) {
     const ClassSpec& cls = load.classes[stream.cls];
     const double rate = stream.load * slots / MeanSlotSeconds(cls.work_model);
@@ -202,7 +202,7 @@
     endpoint.source = {"engine-" + std::to_string(i), "load", 1, true};
     endpoint.zone.idx = i % load.fleet.zones;
     endpoint.serves = {TargetHandle{0}};
-    endpoint.bears = load.fleet.bears;
+    endpoint.max_in_flight = load.fleet.max_in_flight;
     endpoint.cold_max_in_flight = load.fleet.cold_max_in_flight;
     new_rules->endpoints.push_back(endpoint);
   }
--- a/policy/tests/load_run.h
+++ b/policy/tests/load_run.h
@@ -106,9 +106,9 @@
       std::visit([&](const auto& decision) { Apply(decision); }, action);
     }
     for (const Engine& engine : engines_) {
-      Check(
-          engine.in_flight <= std::max(engine.leased_slots, load_.fleet.bears),
-          "more in flight than the engine bears");
+      Check(engine.in_flight <=
+                std::max(engine.leased_slots, load_.fleet.max_in_flight),
+            "more in flight than the engine bears");
     }
   }
 
--- a/policy/tests/loads_test.cc
+++ b/policy/tests/loads_test.cc
@@ -102,7 +102,7 @@
   const el::Load load = el::SaturatedHour();
   const ep::Limits limits;
   const el::Result ladder = RunAndCheck("ladder", load);
-  const std::uint32_t slots = load.fleet.endpoints * load.fleet.bears;
+  const std::uint32_t slots = load.fleet.endpoints * load.fleet.max_in_flight;
   const ep::Seconds max_starvation = ep::MaxStarvationTime(
       3, slots, ladder.longest_aged_attempt, ep::Seconds(3), limits);
   for (std::uint32_t cls = 1; cls < 4; ++cls) {
