--- a/policy/include/egretladder/policy/limits.h
+++ b/policy/include/egretladder/policy/limits.h
@@ -43,7 +43,7 @@
 /// Not larger: nodes that start into an outage all spend it at once, before any
 /// success shows that retries help.
 inline constexpr double kInitialRetryTokens = 5;
-inline constexpr std::uint8_t kAttemptsMost = 3;
+inline constexpr std::uint8_t kMaxAttempts = 3;
 /// Delay before the second attempt; doubles with each. Jittered, so that those
 /// that failed together don't return together.
 inline constexpr milliseconds kInitialRetryDelay{20};
--- a/policy/src/poison.cc
+++ b/policy/src/poison.cc
@@ -78,7 +78,7 @@
   return quarantined;
 }
 
-void OnRanWell(PoisonState& state, std::uint64_t fingerprint) {
+void ClearSuspect(PoisonState& state, std::uint64_t fingerprint) {
   state.crash_records.erase(fingerprint);
 }
 
@@ -88,7 +88,8 @@
   return record != nullptr && !record->quarantined;
 }
 
-bool OnTold(PoisonState& state, const Quarantined& notice, kernel::Time now) {
+bool ApplyQuarantineNotice(PoisonState& state, const Quarantined& notice,
+                           kernel::Time now) {
   if (notice.left <= milliseconds(0) || notice.fingerprint == 0) return false;
   CrashRecord& record = GetCrashRecord(state, notice.fingerprint, now);
   if (record.quarantined) return false;
@@ -107,8 +108,8 @@
   return record != nullptr && record->quarantined;
 }
 
-std::vector<Quarantined> ListBlames(const PoisonState& state,
-                                    kernel::Time now) {
+std::vector<Quarantined> ListQuarantineNotices(const PoisonState& state,
+                                               kernel::Time now) {
   std::vector<Quarantined> list;
   for (const auto& [fingerprint, record] : state.crash_records) {
     if (record.expires_at > now)
--- a/policy/src/retry.cc
+++ b/policy/src/retry.cc
@@ -5,7 +5,7 @@
 namespace egretladder::policy {
 namespace {
 
-RetryAnswer DoNotRetry(RetryReason reason) { return {false, reason, {}}; }
+RetryDecision DoNotRetry(RetryReason reason) { return {false, reason, {}}; }
 
 std::chrono::milliseconds BackoffDelay(std::uint8_t attempt, double jitter) {
   const auto base_delay =
@@ -21,8 +21,8 @@
       std::min(budget.tokens + kRetryTokensPerSuccess, kMaxRetryTokens);
 }
 
-RetryAnswer DecideRetry(RetryBudget& budget, const RetryQuestion& context,
-                        double jitter, Time now) {
+RetryDecision DecideRetry(RetryBudget& budget, const RetryContext& context,
+                          double jitter, Time now) {
   if (context.answer_started) return DoNotRetry(RetryReason::kAnswerStarted);
   const bool not_run = context.end == EndKind::kNotRun;
   if (!not_run && !context.repeatable)
@@ -34,7 +34,7 @@
   // two in a row is not tried on a third endpoint.
   if (context.blamed && context.attempt > 1)
     return DoNotRetry(RetryReason::kPoison);
-  if (context.attempt >= kAttemptsMost) {
+  if (context.attempt >= kMaxAttempts) {
     return DoNotRetry(RetryReason::kAttemptsSpent);
   }
   const auto delay =
--- a/policy/src/stopping.cc
+++ b/policy/src/stopping.cc
@@ -18,27 +18,27 @@
   return "unknown";
 }
 
-StopPhase PhaseOf(const StopPlan& plan, milliseconds elapsed) {
+StopPhase GetStopPhase(const StopPlan& plan, milliseconds elapsed) {
   if (elapsed >= plan.grace - plan.exit_margin) return StopPhase::kOver;
   if (elapsed >= plan.grace - plan.cut_margin) return StopPhase::kCutting;
-  if (elapsed < plan.addresses_kept) return StopPhase::kTaking;
-  if (elapsed < plan.addresses_kept + plan.settle) return StopPhase::kSettling;
+  if (elapsed < plan.address_ttl) return StopPhase::kTaking;
+  if (elapsed < plan.address_ttl + plan.settle) return StopPhase::kSettling;
   return StopPhase::kFinishing;
 }
 
-milliseconds LeftForWork(const StopPlan& plan, milliseconds elapsed) {
+milliseconds TimeUntilCut(const StopPlan& plan, milliseconds elapsed) {
   return plan.grace - plan.cut_margin - elapsed;
 }
 
-bool MayExit(StopPhase phase, bool all_answered) {
+bool CanExit(StopPhase phase, bool all_answered) {
   if (phase == StopPhase::kOver) return true;
   const bool accepts_requests =
       phase == StopPhase::kTaking || phase == StopPhase::kSettling;
   return all_answered && !accepts_requests;
 }
 
-milliseconds ShortestGrace(const StopPlan& plan) {
-  return plan.addresses_kept + plan.settle + plan.cut_margin;
+milliseconds MinGracePeriod(const StopPlan& plan) {
+  return plan.address_ttl + plan.settle + plan.cut_margin;
 }
 
 }  // namespace egretladder::policy
--- a/policy/tests/load_run_requests.h
+++ b/policy/tests/load_run_requests.h
@@ -55,7 +55,7 @@
   FinishRequest(sim_request);
   RecordAnswer(sim_request);
   OnSuccess(budget_);
-  OnRanWell(poison_, sim_request.planned.request.fingerprint);
+  ClearSuspect(poison_, sim_request.planned.request.fingerprint);
   CallScheduler([&](Actions& out) {
     plugin_->on_end(*state_, event.id, EndKind::kDone, now_, out);
   });
@@ -97,11 +97,11 @@
 
 inline void Simulation::RetryOrFail(std::uint64_t id, EndKind kind) {
   SimRequest& sim_request = sim_requests_[id];
-  RetryQuestion context{kind, true};
+  RetryContext context{kind, true};
   context.blamed = kind == EndKind::kDied;
   context.attempt = static_cast<std::uint8_t>(sim_request.attempt - 1);
   context.deadline = sim_request.planned.request.deadline;
-  const RetryAnswer answer =
+  const RetryDecision answer =
       DecideRetry(budget_, context, kernel::RandomFraction(random_), now_);
   if (answer.again) {
     AddEvent(now_ + answer.delay, EventKind::kRetry, id);
--- a/policy/tests/load_run_steps.h
+++ b/policy/tests/load_run_steps.h
@@ -27,7 +27,7 @@
       engines_[i].answers_until_warm = kAnswersToWarm;
     RestartSlots(i);
   }
-  AddEvent(now_ + kSchedulerTick, EventKind::kTick, 0);
+  AddEvent(now_ + kSchedulerTickInterval, EventKind::kTick, 0);
   AddEvent(now_ + kFleetInterval, EventKind::kFleetUpdate, 0);
 }
 
@@ -45,7 +45,7 @@
     case EventKind::kTick:
       CallScheduler(
           [&](Actions& out) { plugin_->on_tick(*state_, now_, out); });
-      return AddEvent(now_ + kSchedulerTick, EventKind::kTick, 0);
+      return AddEvent(now_ + kSchedulerTickInterval, EventKind::kTick, 0);
     case EventKind::kFleetUpdate:
       UpdateFleet();
       return AddEvent(now_ + kFleetInterval, EventKind::kFleetUpdate, 0);
--- a/policy/tests/poison_test.cc
+++ b/policy/tests/poison_test.cc
@@ -53,7 +53,7 @@
 // VM failure a minute later must not cut its caller off.
 TEST(Poison, CompletionClearsASuspect) {
   CHECK_EQUAL(0U, CountQuarantinedByDeath({1}));
-  ep::OnRanWell(state_, 1);
+  ep::ClearSuspect(state_, 1);
   CHECK_EQUAL(0U, CountQuarantinedByDeath({1}));
   CHECK_FALSE(IsQuarantined(1));
 }
@@ -69,15 +69,16 @@
 
 // The caller sends the poison to another node, which saw no death itself.
 TEST(Poison, NoticesOfOtherNodesApplyAndAreBounded) {
-  CHECK_FALSE(ep::OnTold(state_, {1, 10min, 1}, clock_.now));
+  CHECK_FALSE(ep::ApplyQuarantineNotice(state_, {1, 10min, 1}, clock_.now));
   CHECK_EQUAL(1U, CountQuarantinedByDeath({1, 2}));
-  CHECK_TRUE(ep::OnTold(state_, {3, 1000h, 2}, clock_.now));
-  CHECK_FALSE(ep::OnTold(state_, {3, 1000h, 2}, clock_.now));
+  CHECK_TRUE(ep::ApplyQuarantineNotice(state_, {3, 1000h, 2}, clock_.now));
+  CHECK_FALSE(ep::ApplyQuarantineNotice(state_, {3, 1000h, 2}, clock_.now));
   ek::Advance(clock_, ep::kQuarantineDuration + 1ms);
   CHECK_FALSE(IsQuarantined(3));
   for (std::uint64_t i = 10; i < 10 + 2 * ep::kMaxCrashRecords; ++i) {
-    (void)ep::OnTold(state_, {i, 10min, 1}, clock_.now);
+    (void)ep::ApplyQuarantineNotice(state_, {i, 10min, 1}, clock_.now);
   }
   CHECK_EQUAL(ep::kMaxCrashRecords, state_.crash_records.size());
-  CHECK_EQUAL(ep::kMaxCrashRecords, ep::ListBlames(state_, clock_.now).size());
+  CHECK_EQUAL(ep::kMaxCrashRecords,
+              ep::ListQuarantineNotices(state_, clock_.now).size());
 }
--- a/policy/tests/retry_test.cc
+++ b/policy/tests/retry_test.cc
@@ -12,7 +12,7 @@
   ek::ManualClock clock_;
   ep::RetryBudget budget_;
 
-  ep::RetryAnswer Decide(ep::RetryQuestion context) {
+  ep::RetryDecision Decide(ep::RetryContext context) {
     if (context.deadline == ep::Time{}) context.deadline = clock_.now + 10s;
     return ep::DecideRetry(budget_, context, 0.5, clock_.now);
   }
@@ -62,7 +62,7 @@
 
 // The caller has given up by then; the repeat would be work for no one.
 TEST(Retry, NoRetryPastTheDeadlineOrMaxAttempts) {
-  ep::RetryQuestion context{ep::EndKind::kNotRun, true};
+  ep::RetryContext context{ep::EndKind::kNotRun, true};
   context.deadline = clock_.now + 1ms;
   CHECK(Decide(context).reason == ep::RetryReason::kDeadlinePassed);
   context.deadline = clock_.now + 10s;
@@ -73,7 +73,7 @@
 // Two endpoints in a row died under one request. A third attempt would take
 // the next one from everybody.
 TEST(Retry, NoThirdAttemptAfterTwoDeaths) {
-  ep::RetryQuestion context{ep::EndKind::kDied, true};
+  ep::RetryContext context{ep::EndKind::kDied, true};
   context.blamed = true;
   CHECK_TRUE(Decide(context).again);
   context.attempt = 2;
--- a/policy/tests/stopping_test.cc
+++ b/policy/tests/stopping_test.cc
@@ -10,7 +10,7 @@
 
 ep::StopPlan MakePlan() {
   ep::StopPlan plan;
-  plan.addresses_kept = 3000ms;
+  plan.address_ttl = 3000ms;
   plan.settle = 200ms;
   plan.grace = 8000ms;
   plan.cut_margin = 700ms;
@@ -23,37 +23,37 @@
 TEST_GROUP(Stopping){};
 
 TEST(Stopping, PhasesFollowEachOther) {
-  CHECK(ep::PhaseOf(MakePlan(), -1ms) == StopPhase::kTaking);
-  CHECK(ep::PhaseOf(MakePlan(), 2999ms) == StopPhase::kTaking);
-  CHECK(ep::PhaseOf(MakePlan(), 3000ms) == StopPhase::kSettling);
-  CHECK(ep::PhaseOf(MakePlan(), 3200ms) == StopPhase::kFinishing);
-  CHECK(ep::PhaseOf(MakePlan(), 7300ms) == StopPhase::kCutting);
-  CHECK(ep::PhaseOf(MakePlan(), 7800ms) == StopPhase::kOver);
-  CHECK(ep::LeftForWork(MakePlan(), 3000ms) == 4300ms);
+  CHECK(ep::GetStopPhase(MakePlan(), -1ms) == StopPhase::kTaking);
+  CHECK(ep::GetStopPhase(MakePlan(), 2999ms) == StopPhase::kTaking);
+  CHECK(ep::GetStopPhase(MakePlan(), 3000ms) == StopPhase::kSettling);
+  CHECK(ep::GetStopPhase(MakePlan(), 3200ms) == StopPhase::kFinishing);
+  CHECK(ep::GetStopPhase(MakePlan(), 7300ms) == StopPhase::kCutting);
+  CHECK(ep::GetStopPhase(MakePlan(), 7800ms) == StopPhase::kOver);
+  CHECK(ep::TimeUntilCut(MakePlan(), 3000ms) == 4300ms);
 }
 
 // An idle process that ended at once would leave callers that still keep its
 // address with a closed port.
 TEST(Stopping, IdleProcessStaysUntilCallersAreGone) {
-  CHECK_FALSE(ep::MayExit(StopPhase::kTaking, true));
-  CHECK_FALSE(ep::MayExit(StopPhase::kSettling, true));
-  CHECK(ep::MayExit(StopPhase::kFinishing, true));
+  CHECK_FALSE(ep::CanExit(StopPhase::kTaking, true));
+  CHECK_FALSE(ep::CanExit(StopPhase::kSettling, true));
+  CHECK(ep::CanExit(StopPhase::kFinishing, true));
 }
 
 // A caller on a slow link still takes its answer. Ended now, the process would
 // cut it; not ended before the kill, it would be cut all the same, and nothing
 // would say so in the log.
 TEST(Stopping, DeliversAnswersUntilTheExitTime) {
-  CHECK_FALSE(ep::MayExit(StopPhase::kFinishing, false));
-  CHECK_FALSE(ep::MayExit(StopPhase::kCutting, false));
-  CHECK(ep::MayExit(StopPhase::kCutting, true));
-  CHECK(ep::MayExit(StopPhase::kOver, false));
+  CHECK_FALSE(ep::CanExit(StopPhase::kFinishing, false));
+  CHECK_FALSE(ep::CanExit(StopPhase::kCutting, false));
+  CHECK(ep::CanExit(StopPhase::kCutting, true));
+  CHECK(ep::CanExit(StopPhase::kOver, false));
 }
 
 TEST(Stopping, ShortestGraceHoldsAllPhases) {
-  CHECK(ep::ShortestGrace(MakePlan()) == 3900ms);
+  CHECK(ep::MinGracePeriod(MakePlan()) == 3900ms);
   ep::StopPlan plan = MakePlan();
-  plan.grace = ep::ShortestGrace(plan);
-  CHECK(ep::PhaseOf(plan, 3199ms) == StopPhase::kSettling);
-  CHECK(ep::PhaseOf(plan, 3200ms) == StopPhase::kCutting);
+  plan.grace = ep::MinGracePeriod(plan);
+  CHECK(ep::GetStopPhase(plan, 3199ms) == StopPhase::kSettling);
+  CHECK(ep::GetStopPhase(plan, 3200ms) == StopPhase::kCutting);
 }
