--- a/policy/src/poison.cc
+++ b/policy/src/poison.cc
@@ -41,15 +41,15 @@
   return record;
 }
 
-Quarantined MakeNotice(std::uint64_t fingerprint, const CrashRecord& record,
-                       kernel::Time now) {
+QuarantineNotice MakeNotice(std::uint64_t fingerprint,
+                            const CrashRecord& record, kernel::Time now) {
   return {fingerprint, duration_cast<milliseconds>(record.expires_at - now),
           record.deaths};
 }
 
 }  // namespace
 
-std::vector<Quarantined> OnEndpointDied(
+std::vector<QuarantineNotice> OnEndpointDied(
     PoisonState& state, const std::vector<std::uint64_t>& running,
     kernel::Time now) {
   std::vector<std::uint64_t> fingerprints = running;
@@ -61,7 +61,7 @@
       fingerprints.begin(), fingerprints.end(), [&](std::uint64_t fingerprint) {
         return IsSuspect(state, fingerprint, now);
       });
-  std::vector<Quarantined> quarantined;
+  std::vector<QuarantineNotice> quarantined;
   for (const std::uint64_t fingerprint : fingerprints) {
     const bool suspect = IsSuspect(state, fingerprint, now);
     // A known suspect explains the death: the others only ran beside it.
@@ -88,7 +88,7 @@
   return record != nullptr && !record->quarantined;
 }
 
-bool ApplyQuarantineNotice(PoisonState& state, const Quarantined& notice,
+bool ApplyQuarantineNotice(PoisonState& state, const QuarantineNotice& notice,
                            kernel::Time now) {
   if (notice.left <= milliseconds(0) || notice.fingerprint == 0) return false;
   CrashRecord& record = GetCrashRecord(state, notice.fingerprint, now);
@@ -108,9 +108,9 @@
   return record != nullptr && record->quarantined;
 }
 
-std::vector<Quarantined> ListQuarantineNotices(const PoisonState& state,
-                                               kernel::Time now) {
-  std::vector<Quarantined> list;
+std::vector<QuarantineNotice> ListQuarantineNotices(const PoisonState& state,
+                                                    kernel::Time now) {
+  std::vector<QuarantineNotice> list;
   for (const auto& [fingerprint, record] : state.crash_records) {
     if (record.expires_at > now)
       list.push_back(MakeNotice(fingerprint, record, now));
--- a/policy/tests/load_run_engines.h
+++ b/policy/tests/load_run_engines.h
@@ -53,7 +53,8 @@
       running.push_back(sim_request.planned.request.fingerprint);
     }
   }
-  for (const Quarantined& notice : OnEndpointDied(poison_, running, now_)) {
+  for (const QuarantineNotice& notice :
+       OnEndpointDied(poison_, running, now_)) {
     const bool is_innocent = notice.fingerprint != kPoisonBody;
     Check(!is_innocent, "an innocent body was quarantined");
     CallScheduler([&](Actions& out) {
