--- a/policy/tests/load_run_requests.h
+++ b/policy/tests/load_run_requests.h
@@ -104,7 +104,7 @@
   context.deadline = sim_request.planned.request.deadline;
   const RetryDecision answer =
       DecideRetry(budget_, context, kernel::RandomFraction(random_), now_);
-  if (answer.again) {
+  if (answer.should_retry) {
     AddEvent(now_ + answer.delay, EventKind::kRetry, id);
     return;
   }
--- a/policy/tests/retry_test.cc
+++ b/policy/tests/retry_test.cc
@@ -23,9 +23,9 @@
 TEST(Retry, MayHaveRunIsRetriedOnlyIfRepeatable) {
   CHECK(Decide({ep::EndKind::kFailed, false}).reason ==
         ep::RetryReason::kMayHaveRun);
-  CHECK_TRUE(Decide({ep::EndKind::kFailed, true}).again);
+  CHECK_TRUE(Decide({ep::EndKind::kFailed, true}).should_retry);
   const auto not_run = Decide({ep::EndKind::kNotRun, false});
-  CHECK_TRUE(not_run.again);
+  CHECK_TRUE(not_run.should_retry);
   CHECK(not_run.reason == ep::RetryReason::kNotRun);
 }
 
@@ -40,20 +40,20 @@
 TEST(Retry, BudgetLimitsARetryStorm) {
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
-    if (Decide({ep::EndKind::kNotRun, true}).again) ++retries;
+    if (Decide({ep::EndKind::kNotRun, true}).should_retry) ++retries;
   }
   CHECK_EQUAL(5, retries);
   CHECK(Decide({ep::EndKind::kNotRun, true}).reason ==
         ep::RetryReason::kBudgetSpent);
   for (int i = 0; i < 100; ++i) ep::OnSuccess(budget_);
-  CHECK_TRUE(Decide({ep::EndKind::kNotRun, true}).again);
+  CHECK_TRUE(Decide({ep::EndKind::kNotRun, true}).should_retry);
 }
 
 // An endpoint refuses connections when a node has just started. A node that had
 // to earn its first retry would pass each of the first failures on to a caller.
 TEST(Retry, NewNodeRetriesAFewFailures) {
   for (double spent = 0; spent < ep::kInitialRetryTokens; ++spent) {
-    CHECK_TRUE(Decide({ep::EndKind::kNotRun, true}).again);
+    CHECK_TRUE(Decide({ep::EndKind::kNotRun, true}).should_retry);
   }
   CHECK(Decide({ep::EndKind::kNotRun, true}).reason ==
         ep::RetryReason::kBudgetSpent);
@@ -75,7 +75,7 @@
 TEST(Retry, NoThirdAttemptAfterTwoDeaths) {
   ep::RetryContext context{ep::EndKind::kDied, true};
   context.blamed = true;
-  CHECK_TRUE(Decide(context).again);
+  CHECK_TRUE(Decide(context).should_retry);
   context.attempt = 2;
   CHECK(Decide(context).reason == ep::RetryReason::kPoison);
 }
