--- a/gateway/include/egretladder/gateway/gateway.h
+++ b/gateway/include/egretladder/gateway/gateway.h
@@ -76,7 +76,7 @@
 bool IsIdle(const Gateway& gateway);
 /// True when a leaving node may end: it is idle, and no caller still keeps an
 /// answer of `/where` that names it.
-bool MayEnd(const Gateway& gateway);
+bool CanShutDown(const Gateway& gateway);
 
 /// Ends the calls in progress of a leaving node whose time is up. Their callers
 /// learn what became of them; a process that just ended would leave them with a
--- a/gateway/main/front_calls.cc
+++ b/gateway/main/front_calls.cc
@@ -77,7 +77,7 @@
     const ep::StopPhase phase = ep::PhaseOf(plan_, Since());
     if (phase >= ep::StopPhase::kCutting) Cut("the time was up");
     const bool answered =
-        cut_ ? eg::IsAnswered(gateway_) : eg::MayEnd(gateway_);
+        cut_ ? eg::IsAnswered(gateway_) : eg::CanShutDown(gateway_);
     if (!ep::MayExit(phase, answered)) return;
     if (!cut_) Say(ek::LogLevel::kInfo, "Left: no call was cut.");
     ek::StopLoop(loop_);
--- a/gateway/main/front_hosts.cc
+++ b/gateway/main/front_hosts.cc
@@ -58,10 +58,10 @@
     Say(ek::LogLevel::kInfo, "leaving", {{"calls", ep::ViewOf(proxy_).calls}});
     ep::Leave(proxy_);
     end_ = ek::Every(loop_, kEndCheck, [this] {
-      if (!ep::MayEnd(proxy_)) return;
+      if (!ep::CanShutDown(proxy_)) return;
       Say(ek::LogLevel::kInfo, "left",
           {{"calls_cut", ep::ViewOf(proxy_).cut},
-           {"answers_untaken", ep::ViewOf(proxy_).untaken}});
+           {"answers_untaken", ep::ViewOf(proxy_).undelivered}});
       ek::StopLoop(loop_);
     });
   }
--- a/gateway/src/gateway.cc
+++ b/gateway/src/gateway.cc
@@ -158,10 +158,10 @@
 
 bool IsIdle(const Gateway& gateway) {
   if (!gateway.calls.empty() || !node::IsIdle(*gateway.node)) return false;
-  return gateway.front.server->untaken() == 0;
+  return gateway.front.server->undelivered() == 0;
 }
 
-bool MayEnd(const Gateway& gateway) {
+bool CanShutDown(const Gateway& gateway) {
   return gateway.leaving && NowOf(gateway) >= gateway.linger_until &&
          IsIdle(gateway);
 }
@@ -173,7 +173,7 @@
 }
 
 bool IsAnswered(const Gateway& gateway) {
-  return gateway.calls.empty() && gateway.front.server->untaken() == 0;
+  return gateway.calls.empty() && gateway.front.server->undelivered() == 0;
 }
 
 const std::string& CallerAddressOf(const Gateway& gateway) {
--- a/gateway/tests/peer_test.cc
+++ b/gateway/tests/peer_test.cc
@@ -136,7 +136,7 @@
   const auto left = two.loop.clock.now;
   eg::Leave(*two.first);
   CHECK_TRUE(eg::IsIdle(*two.first));
-  CHECK_FALSE(eg::MayEnd(*two.first));
+  CHECK_FALSE(eg::CanShutDown(*two.first));
   // Repeats get the stored answer, here and by way of the other node.
   for (const eg::GatewayPtr* node : {&two.first, &two.second}) {
     const std::string again = Ask(two.loop, **node, Enrol(lane, "k1"));
@@ -150,7 +150,8 @@
   const std::string passed = Ask(two.loop, *two.first, Enrol(other, "k3"));
   CHECK_EQUAL(200, et::StatusIn(passed));
   CHECK_EQUAL(2U, two.endpoint.seen.size());
-  CHECK_TRUE(et::RunUntil(two.loop, [&] { return eg::MayEnd(*two.first); }));
+  CHECK_TRUE(
+      et::RunUntil(two.loop, [&] { return eg::CanShutDown(*two.first); }));
   CHECK(two.loop.clock.now - left >= egretladder::node::kWhereKeep);
 }
 
