--- a/bench/place_bench.cc
+++ b/bench/place_bench.cc
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <string>
 
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 
 namespace er = egretladder::routing;
 
--- a/policy/src/trickle.cc
+++ b/policy/src/aging_quota.cc
@@ -1,4 +1,4 @@
-#include "egretladder/policy/trickle.h"
+#include "egretladder/policy/aging_quota.h"
 
 #include <algorithm>
 #include <cmath>
--- a/policy/src/ladder_p.h
+++ b/policy/src/ladder_p.h
@@ -9,13 +9,13 @@
 
 #include "egretladder/kernel/hash.h"
 #include "egretladder/policy/admit.h"
+#include "egretladder/policy/aging_quota.h"
 #include "egretladder/policy/estimate.h"
 #include "egretladder/policy/health.h"
 #include "egretladder/policy/pick.h"
 #include "egretladder/policy/queue.h"
 #include "egretladder/policy/scheduler.h"
-#include "egretladder/policy/shift.h"
-#include "egretladder/policy/trickle.h"
+#include "egretladder/policy/zone_ramp.h"
 #include "endpoints_p.h"
 
 namespace egretladder::policy {
--- a/policy/src/shift.cc
+++ b/policy/src/zone_ramp.cc
@@ -1,4 +1,4 @@
-#include "egretladder/policy/shift.h"
+#include "egretladder/policy/zone_ramp.h"
 
 #include <algorithm>
 #include <chrono>
--- a/policy/tests/decisions_test.cc
+++ b/policy/tests/decisions_test.cc
@@ -6,10 +6,10 @@
 #include <string>
 
 #include "egretladder/policy/admit.h"
+#include "egretladder/policy/aging_quota.h"
 #include "egretladder/policy/health.h"
 #include "egretladder/policy/pick.h"
-#include "egretladder/policy/shift.h"
-#include "egretladder/policy/trickle.h"
+#include "egretladder/policy/zone_ramp.h"
 #include "load_model.h"
 
 using namespace std::chrono_literals;
--- a/policy/tests/loads_test.cc
+++ b/policy/tests/loads_test.cc
@@ -2,7 +2,7 @@
 
 #include <string_view>
 
-#include "egretladder/policy/trickle.h"
+#include "egretladder/policy/aging_quota.h"
 #include "load_loads.h"
 
 using namespace std::chrono_literals;
