--- a/bench/fleet_bench.cc
+++ b/bench/fleet_bench.cc
@@ -242,7 +242,7 @@
 };
 
 void Control(benchmark::State& state) {
-  ek::StartLogs(ek::LogFormat::kText, ek::LogLevel::kError);
+  ek::StartLogging(ek::LogFormat::kText, ek::LogLevel::kError);
   const auto nodes = static_cast<std::uint64_t>(state.range(0));
   const auto endpoints = static_cast<std::uint64_t>(state.range(1));
   for (auto _ : state) {
@@ -287,7 +287,7 @@
 }
 // The service answers one reader only; everyone else hears from peers.
 void SpreadOfAVersion(benchmark::State& state) {
-  ek::StartLogs(ek::LogFormat::kText, ek::LogLevel::kError);
+  ek::StartLogging(ek::LogFormat::kText, ek::LogLevel::kError);
   for (auto _ : state) {
     Fleet fleet(static_cast<std::uint64_t>(state.range(0)),
                 static_cast<std::uint64_t>(state.range(1)));
--- a/bench/kernel_bench.cc
+++ b/bench/kernel_bench.cc
@@ -18,7 +18,7 @@
     "endpoint=bole-3 node=entry-2 zone=bole waited_ms=0 reason=prefix_cached";
 
 void LogLine(benchmark::State& state, ek::LogFormat format) {
-  ek::StartLogs(format, ek::LogLevel::kInfo);
+  ek::StartLogging(format, ek::LogLevel::kInfo);
   for (auto _ : state) {
     ek::Log(ek::LogPart::kRoute, ek::LogLevel::kInfo, kDecisionLine);
   }
@@ -27,7 +27,7 @@
 BENCHMARK_CAPTURE(LogLine, json, ek::LogFormat::kJson);
 
 void LogLineBelowLevel(benchmark::State& state) {
-  ek::StartLogs(ek::LogFormat::kText, ek::LogLevel::kWarning);
+  ek::StartLogging(ek::LogFormat::kText, ek::LogLevel::kWarning);
   for (auto _ : state) {
     ek::Log(ek::LogPart::kRoute, ek::LogLevel::kInfo, kDecisionLine);
   }
@@ -61,7 +61,7 @@
 
 void HashBody(benchmark::State& state) {
   const std::string body(static_cast<std::size_t>(state.range(0)), 'x');
-  for (auto _ : state) benchmark::DoNotOptimize(ek::HashOf(body));
+  for (auto _ : state) benchmark::DoNotOptimize(ek::HashBytes(body));
 }
 BENCHMARK(HashBody)->Arg(1 << 10)->Arg(1 << 17);
 
--- a/bench/one_node_bench.cc
+++ b/bench/one_node_bench.cc
@@ -66,7 +66,7 @@
 };
 
 struct EndpointServer {
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   std::size_t events = 0;
   std::chrono::milliseconds pace{};
   std::unordered_set<Stream*> streams;
@@ -170,7 +170,7 @@
 // ------------------------------------------------------------------ caller
 
 struct Asker {
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   std::string request;
   bool stream = false;
   std::size_t left = 0;  ///< Requests still to be sent.
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -26,7 +26,7 @@
   ep::load::Load load;
   const ep::SchedulerPlugin* plugin = nullptr;
   std::unique_ptr<ep::SchedulerState> state;
-  ek::PausedClock clock;
+  ek::ManualClock clock;
   ep::Actions out;
   std::deque<ep::RequestId> running;
   ep::RequestId next = 0;
@@ -54,7 +54,7 @@
     request.cls.idx = static_cast<std::uint32_t>(next % load.classes.size());
     request.account.idx = static_cast<std::uint32_t>(next * 7 % kAccounts);
     request.target.idx = 0;
-    request.prefix = ek::HashOf("p", next % 500);
+    request.prefix = ek::HashBytes("p", next % 500);
     request.arrived = clock.now;
     request.deadline = clock.now + std::chrono::hours(10);
     plugin->on_arrival(*state, request, clock.now, out);
--- a/fleet/src/config.cc
+++ b/fleet/src/config.cc
@@ -46,7 +46,7 @@
 
 std::chrono::milliseconds Jittered(std::chrono::milliseconds pause,
                                    kernel::Random& random) {
-  const double factor = 0.5 + kernel::Fraction(random);
+  const double factor = 0.5 + kernel::RandomFraction(random);
   return std::chrono::duration_cast<std::chrono::milliseconds>(pause * factor);
 }
 
@@ -54,7 +54,7 @@
 
 Taken TakeDocument(ConfigState& state, const std::string& text,
                    std::string_view source, Time now) {
-  const std::uint64_t digest = kernel::HashOf(text);
+  const std::uint64_t digest = kernel::HashBytes(text);
   if (state.rules != nullptr && state.rules->digest == digest) {
     return Taken::kNothingNew;
   }
--- a/fleet/src/electorate.cc
+++ b/fleet/src/electorate.cc
@@ -45,13 +45,13 @@
 
 std::vector<NodeHandle> VotersOf(const Rules& rules, EndpointHandle endpoint) {
   const rules::Endpoint& row = rules.endpoints[endpoint.idx];
-  const std::uint64_t seed = kernel::HashOf(row.source.name);
+  const std::uint64_t seed = kernel::HashBytes(row.source.name);
   std::vector<Ranked> ranked;
   for (std::uint32_t i = 0; i < rules.nodes.size(); ++i) {
     const rules::Node& node = rules.nodes[i];
     if (!node.source.present) continue;
     ranked.push_back({Distance(rules, node.zone, row.zone),
-                      Mix(seed, kernel::HashOf(node.source.name)), i});
+                      Mix(seed, kernel::HashBytes(node.source.name)), i});
   }
   const std::size_t count = std::min(ranked.size(), kVotersMost);
   const auto middle = ranked.begin() + static_cast<std::ptrdiff_t>(count);
@@ -67,13 +67,13 @@
   for (const rules::Node& node : rules.nodes) {
     if (!node.source.present) continue;
     const std::string& zone = rules.zones[node.zone.idx].source.name;
-    digest += Mix(kernel::HashOf(node.source.name), kernel::HashOf(zone));
+    digest += Mix(kernel::HashBytes(node.source.name), kernel::HashBytes(zone));
   }
   return digest;
 }
 
 std::uint32_t FloorSum(const rules::Endpoint& endpoint) {
-  return std::min(endpoint.cold_bears, endpoint.bears) / kFloorPart;
+  return std::min(endpoint.cold_max_in_flight, endpoint.bears) / kFloorPart;
 }
 
 std::uint32_t FloorOf(const Rules& rules, EndpointHandle endpoint,
@@ -102,14 +102,15 @@
     return used;
   }
   const rules::ZoneHandle own = FindZone(rules, zone);
-  const std::uint64_t seed = kernel::HashOf(node);
+  const std::uint64_t seed = kernel::HashBytes(node);
   std::vector<std::vector<Ranked>> by_target(rules.targets.size());
   for (std::uint32_t i = 0; i < rules.endpoints.size(); ++i) {
     const rules::Endpoint& endpoint = rules.endpoints[i];
     if (!TakesWork(rules, endpoint)) continue;
     const int distance =
         IsValid(own) ? std::max(Distance(rules, own, endpoint.zone), 1) : 1;
-    const std::uint64_t rank = Mix(seed, kernel::HashOf(endpoint.source.name));
+    const std::uint64_t rank =
+        Mix(seed, kernel::HashBytes(endpoint.source.name));
     for (const rules::TargetHandle target : endpoint.serves) {
       by_target[target.idx].push_back({distance, rank, i});
     }
@@ -127,11 +128,11 @@
   const NodeHandle self = FindNode(rules, node);
   if (!IsValid(self)) return true;  // Not published: can't rely on others.
   const rules::ZoneHandle zone = rules.nodes[self.idx].zone;
-  const std::uint64_t own = kernel::HashOf(node);
+  const std::uint64_t own = kernel::HashBytes(node);
   std::size_t before = 0;
   for (const rules::Node& other : rules.nodes) {
     if (!other.source.present || other.zone != zone) continue;
-    if (kernel::HashOf(other.source.name) < own) ++before;
+    if (kernel::HashBytes(other.source.name) < own) ++before;
   }
   return before < kReadersPerZone;
 }
--- a/fleet/src/lane.cc
+++ b/fleet/src/lane.cc
@@ -171,7 +171,7 @@
 
 bool OwnsLane(const LanesState& state, const Lane& lane) {
   return lane.node == state.node && lane.incarnation == state.incarnation &&
-         kernel::SameSignature(lane.signature, SignatureOf(state, lane));
+         kernel::IsSameSignature(lane.signature, SignatureOf(state, lane));
 }
 
 LaneDecision BeginCall(LanesState& state, const Lane& lane,
--- a/fleet/src/lease_keeper.cc
+++ b/fleet/src/lease_keeper.cc
@@ -35,7 +35,7 @@
 /// without one, or while the endpoint bears too little to risk it, they count
 /// as long as an ordinary answer may take.
 std::chrono::milliseconds SilentCallsKept(const KeeperBook& book) {
-  const bool warm = book.slots.slots > book.slots.cold_bears;
+  const bool warm = book.slots.slots > book.slots.cold_max_in_flight;
   return warm && book.report.has_value()
              ? kReportFresh
              : std::chrono::milliseconds(kSilentCallsKept);
@@ -56,7 +56,7 @@
   if (book.report.has_value()) return book.strangers;
   // One slot stays to begin with: its answers let the endpoint grow, while none
   // would leave it idle for as long as strangers count.
-  return std::min(book.strangers, book.slots.cold_bears - 1);
+  return std::min(book.strangers, book.slots.cold_max_in_flight - 1);
 }
 
 /// A report taken before a former keeper's last leases lapsed misses the calls
@@ -108,7 +108,7 @@
   std::vector<Part> parts;
   for (const Holder& holder : book.holders) {
     if (!HasPart(holder, now)) continue;
-    parts.push_back({&holder, kernel::HashOf(holder.process.node, draw), 0});
+    parts.push_back({&holder, kernel::HashBytes(holder.process.node, draw), 0});
   }
   std::sort(parts.begin(), parts.end(),
             [](const Part& left, const Part& right) {
@@ -179,14 +179,14 @@
   if (book.claimed != 0 && ask.total >= book.claimed) return;
   book.claimed = ask.total;
   book.slots.slots =
-      std::clamp(ask.total, book.slots.cold_bears, book.slots.bears);
+      std::clamp(ask.total, book.slots.cold_max_in_flight, book.slots.bears);
   book.slots.since = now;
 }
 
 policy::SlotReason Restart(KeeperBook& book, std::uint64_t boot, Time now) {
   book.take_over_until = now;
-  return policy::StartSlots(book.slots, book.slots.cold_bears, book.slots.bears,
-                            boot, now);
+  return policy::StartSlots(book.slots, book.slots.cold_max_in_flight,
+                            book.slots.bears, boot, now);
 }
 
 /// A new boot ends the calls that ran before it.
@@ -209,7 +209,8 @@
   book.opened = now;
   book.sign_of_life = now;
   book.take_over_until = now + kLeaseLife;
-  policy::StartSlots(book.slots, endpoint.cold_bears, endpoint.bears, 0, now);
+  policy::StartSlots(book.slots, endpoint.cold_max_in_flight, endpoint.bears, 0,
+                     now);
 }
 
 void ResumeBook(KeeperBook& book, const rules::Endpoint& endpoint, Time stopped,
@@ -230,12 +231,12 @@
   policy::SlotState& slots = book.slots;
   book.floor_sum = FloorSum(endpoint);
   if (slots.bears == endpoint.bears &&
-      slots.cold_bears == endpoint.cold_bears) {
+      slots.cold_max_in_flight == endpoint.cold_max_in_flight) {
     return;
   }
   const std::uint32_t before = slots.slots;
-  policy::StartSlots(slots, endpoint.cold_bears, endpoint.bears, slots.boot,
-                     now);
+  policy::StartSlots(slots, endpoint.cold_max_in_flight, endpoint.bears,
+                     slots.boot, now);
   slots.slots = std::clamp(before, 1U, slots.bears);
 }
 
@@ -300,7 +301,7 @@
                               const policy::EngineReport* report, Time now) {
   if (report == nullptr) {
     const bool lost = now - book.sign_of_life > kReportLost;
-    if (!lost || book.slots.slots <= book.slots.cold_bears) {
+    if (!lost || book.slots.slots <= book.slots.cold_max_in_flight) {
       return policy::SlotReason::kUnchanged;
     }
     return Restart(book, book.slots.boot, now);
--- a/fleet/src/orders.cc
+++ b/fleet/src/orders.cc
@@ -55,7 +55,7 @@
     if (!fits) continue;
     const std::tuple rank(
         copies[endpoint.zone.idx],
-        kernel::HashOf(endpoint.source.name, kernel::HashOf(name)));
+        kernel::HashBytes(endpoint.source.name, kernel::HashBytes(name)));
     if (IsValid(best) && rank >= best_rank) continue;
     best = {i};
     best_rank = rank;
--- a/fleet/tests/fleet_test.cc
+++ b/fleet/tests/fleet_test.cc
@@ -91,7 +91,7 @@
 // everything, one stands still for a minute. Nobody may send new work there
 // three seconds later, nor when the one wakes.
 TEST(Fleet, ZoneOutIsOutEverywhereWithinThreeSeconds) {
-  rules_.cold_bears = 8;
+  rules_.cold_max_in_flight = 8;
   World world(2, rules_);
   world.StartAll();
   world.Run(30s);
--- a/fleet/tests/lease_test.cc
+++ b/fleet/tests/lease_test.cc
@@ -18,7 +18,7 @@
 
   void setup() override {
     row_.bears = 16;
-    row_.cold_bears = 4;
+    row_.cold_max_in_flight = 4;
     ef::OpenBook(book_, row_, now_);
   }
   void Report(std::uint64_t boot, std::uint32_t running = 0) {
@@ -128,7 +128,7 @@
 // a batch that could fill the engine. With equal parts the buyers wait while
 // the batch has slots.
 TEST(Lease, WorkOfTheTopTierGetsItsSlotsFirst) {
-  row_.cold_bears = 16;
+  row_.cold_max_in_flight = 16;
   ef::OpenBook(book_, row_, now_);
   Report(1);
   for (std::uint64_t round = 1; round <= 3; ++round) {
@@ -145,7 +145,7 @@
 // can't swamp it.
 TEST(Lease, FloorsAddUpToAPartOfTheColdBears) {
   CHECK_EQUAL(1U, ef::FloorSum(row_));
-  row_.cold_bears = 2;
+  row_.cold_max_in_flight = 2;
   CHECK_EQUAL(0U, ef::FloorSum(row_));
   CHECK_EQUAL(3U, ef::PoolOf(book_));
 }
--- a/fleet/tests/storm_test.cc
+++ b/fleet/tests/storm_test.cc
@@ -23,14 +23,14 @@
 class Storm {
  public:
   explicit Storm(std::uint64_t seed) : world_(seed, rules_) {
-    world_.faults.drop = 0.15 * ek::Fraction(world_.random);
+    world_.faults.drop = 0.15 * ek::RandomFraction(world_.random);
     world_.faults.twice = 0.1;
     world_.faults.delay_most =
         std::chrono::milliseconds(1 + ek::Below(world_.random, 300));
     world_.call_most =
         std::chrono::milliseconds(500 + ek::Below(world_.random, 20'000));
     for (auto& [name, node] : world_.nodes) {
-      node.clock_rate = 0.95 + 0.1 * ek::Fraction(world_.random);
+      node.clock_rate = 0.95 + 0.1 * ek::RandomFraction(world_.random);
     }
     world_.StartAll();
   }
--- a/fleet/tests/wire_fixture.h
+++ b/fleet/tests/wire_fixture.h
@@ -48,7 +48,7 @@
 struct FakeEndpoint {
   bool up = true;
   std::uint64_t boot = 1;
-  std::uint32_t cold_bears = 2;
+  std::uint32_t cold_max_in_flight = 2;
   std::uint32_t bears = 16;
   std::uint32_t answers = 0;  ///< Since its start.
   std::uint32_t running = 0;
@@ -71,7 +71,7 @@
   std::uint32_t nodes = 7;
   std::uint32_t endpoints = 4;
   std::uint32_t copies = 2;
-  std::uint32_t cold_bears = 2;
+  std::uint32_t cold_max_in_flight = 2;
   std::set<std::string> zones_out;
   std::set<std::string> leaving;  ///< Endpoints and nodes.
 };
--- a/fleet/tests/wire_fixture_test.cc
+++ b/fleet/tests/wire_fixture_test.cc
@@ -56,7 +56,7 @@
     const bool service = i % 4 == 3;
     text += name + " = address=10.0.2." + std::to_string(i) +
             ":80 zone=" + ZoneOf(i) + " serves=" + (service ? "seats" : "m,n") +
-            " bears=16 cold_bears=" + std::to_string(rules.cold_bears) +
+            " bears=16 cold_bears=" + std::to_string(rules.cold_max_in_flight) +
             " holds=1 fencing=" + (i % 2 == 0 ? "honoured" : "ignored") +
             " leaving=" + YesNo(rules.leaving.contains(name)) + " ; test\n";
   }
@@ -83,7 +83,7 @@
   for (std::uint32_t i = 0; i < rules.endpoints; ++i) {
     FakeEndpoint& endpoint = endpoints["e" + std::to_string(i)];
     endpoint.boot = 1000 + i;
-    endpoint.cold_bears = rules.cold_bears;
+    endpoint.cold_max_in_flight = rules.cold_max_in_flight;
     endpoint.is_service = i % 4 == 3;
   }
   Publish(rules);
@@ -211,8 +211,8 @@
   const auto to = by_address_.find(send.peer_address);
   if (to == by_address_.end() || cut_.contains({from, to->second})) return;
   ++messages;
-  if (kernel::Fraction(random) < faults.drop) return;
-  const int copies = kernel::Fraction(random) < faults.twice ? 2 : 1;
+  if (kernel::RandomFraction(random) < faults.drop) return;
+  const int copies = kernel::RandomFraction(random) < faults.twice ? 2 : 1;
   const Sender sender{from, nodes[from].options.incarnation};
   for (int i = 0; i < copies; ++i) {
     Deliver(to->second, Between(random, faults.delay_most),
@@ -399,7 +399,7 @@
   for (auto& [endpoint_name, endpoint] : endpoints) {
     const std::uint32_t running = RunningAt(node, endpoint_name);
     for (std::uint32_t i = running; i < Usable(node, endpoint_name); ++i) {
-      if (kernel::Fraction(random) >= demand) continue;
+      if (kernel::RandomFraction(random) >= demand) continue;
       if (!endpoint.up) {
         Actions actions;
         OnEndpointDied(*node.fleet,
@@ -448,10 +448,10 @@
 void World::Check() {
   for (auto& [name, endpoint] : endpoints) {
     const std::uint32_t until_warm =
-        policy::kAnswersPerSlotBeforeGrowth * endpoint.cold_bears;
+        policy::kAnswersPerSlotBeforeGrowth * endpoint.cold_max_in_flight;
     if (endpoint.answers >= until_warm) continue;
     endpoint.most_cold = std::max(endpoint.most_cold, endpoint.running);
-    if (endpoint.running > endpoint.cold_bears) {
+    if (endpoint.running > endpoint.cold_max_in_flight) {
       broken.push_back(name + " cold runs " + std::to_string(endpoint.running));
     }
   }
--- a/gateway/main/front_calls.cc
+++ b/gateway/main/front_calls.cc
@@ -42,8 +42,8 @@
     plan_.grace = config.stop_time;
     plan_.cut_margin = eg::kStopMargin;
     for (std::size_t i = 0; i < signals_.size(); ++i) {
-      signals_[i] = ek::OnSignal(loop, i == 0 ? SIGTERM : SIGINT,
-                                 [this] { OnStopSignal(); });
+      signals_[i] = ek::RunOnSignal(loop, i == 0 ? SIGTERM : SIGINT,
+                                    [this] { OnStopSignal(); });
     }
   }
 
@@ -116,9 +116,9 @@
 }
 
 int Run(const eg::NodeConfig& config) {
-  ek::StartLogs(config.log_format, config.log_level);
+  ek::StartLogging(config.log_format, config.log_level);
   RaiseDescriptorLimit(config.gateway.limits);
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   auto gateway = eg::StartGateway(loop, config.gateway);
   if (!gateway) {
     Say(ek::LogLevel::kError, ek::Describe(gateway.error()));
--- a/gateway/main/front_hosts.cc
+++ b/gateway/main/front_hosts.cc
@@ -45,9 +45,9 @@
         proxy_(proxy),
         text_(std::move(text)),
         path_(std::move(path)) {
-    stop_ = ek::OnSignal(loop, SIGTERM, [this] { Stop(); });
-    interrupt_ = ek::OnSignal(loop, SIGINT, [this] { Stop(); });
-    reload_ = ek::OnSignal(loop, SIGHUP, [this] { Reload("signal"); });
+    stop_ = ek::RunOnSignal(loop, SIGTERM, [this] { Stop(); });
+    interrupt_ = ek::RunOnSignal(loop, SIGINT, [this] { Stop(); });
+    reload_ = ek::RunOnSignal(loop, SIGHUP, [this] { Reload("signal"); });
     look_ = ek::Every(loop, kSettingsCheck, [this] { Reload("file"); });
   }
 
@@ -103,7 +103,7 @@
         const std::string& path) {
   std::signal(SIGPIPE, SIG_IGN);
   RaiseDescriptorLimit();
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   loop.clock = ek::SuspendAwareClock();
   ek::StartEventLog(STDOUT_FILENO, config.log_level, loop.clock);
   auto proxy = ep::StartProxy(loop, config.proxy);
--- a/gateway/src/apply_actions.cc
+++ b/gateway/src/apply_actions.cc
@@ -59,7 +59,7 @@
 void LogDecision(const Gateway& gateway, const node::Decision& decision) {
   const bool placed = decision.call == 0;
   const LogPart part = placed ? LogPart::kPlace : LogPart::kRoute;
-  if (!kernel::LogEnabled(part, LogLevel::kInfo)) return;
+  if (!kernel::IsLogEnabled(part, LogLevel::kInfo)) return;
   std::string line = decision.kind;
   line += ":";
   if (decision.call != 0) {
--- a/gateway/src/caller_body.cc
+++ b/gateway/src/caller_body.cc
@@ -64,7 +64,7 @@
       AddContent(content->value, prefix, size);
     }
   }
-  body.prefix = kernel::HashOf(prefix);
+  body.prefix = kernel::HashBytes(prefix);
   body.prompt_tokens = static_cast<std::uint32_t>(
       std::min<std::size_t>(size / kCharactersPerToken + 1,
                             std::numeric_limits<std::uint32_t>::max()));
--- a/gateway/src/caller_http.cc
+++ b/gateway/src/caller_http.cc
@@ -107,7 +107,7 @@
   call.prefix = body.value().prefix;
   call.prompt_tokens = body.value().prompt_tokens;
   call.max_tokens = body.value().max_tokens;
-  call.body_hash = kernel::HashOf(*shape.body);
+  call.body_hash = kernel::HashBytes(*shape.body);
   return true;
 }
 
@@ -118,9 +118,9 @@
   call.target = rest.substr(0, end);
   shape.uri = end == std::string::npos ? "/" : rest.substr(end);
   if (shape.uri.front() != '/') shape.uri.insert(0, "/");
-  call.body_hash = kernel::HashOf(
-      *shape.body, kernel::HashOf(shape.original_uri,
-                                  static_cast<std::uint64_t>(shape.method)));
+  call.body_hash = kernel::HashBytes(
+      *shape.body, kernel::HashBytes(shape.original_uri,
+                                     static_cast<std::uint64_t>(shape.method)));
 }
 
 // Whether there is room to keep the body until the answer begins. Lower tiers
--- a/gateway/src/gateway.cc
+++ b/gateway/src/gateway.cc
@@ -52,14 +52,14 @@
 std::string RequestPrefix(const std::string& node) {
   std::array<char, 12> text{};
   std::snprintf(text.data(), text.size(), "%08x",
-                static_cast<unsigned>(kernel::SecretBits()));
+                static_cast<unsigned>(kernel::SecureRandom64()));
   return node + "-" + text.data() + "-";
 }
 
 // Fills in what differs with each start of a process.
 void Identify(node::NodeOptions& options) {
   if (options.fleet.incarnation == 0) {
-    options.fleet.incarnation = kernel::SecretBits();
+    options.fleet.incarnation = kernel::SecureRandom64();
   }
   if (options.fleet.started == 0) {
     const auto since = std::chrono::system_clock::now().time_since_epoch();
@@ -68,8 +68,8 @@
   }
   // Only this process checks its lanes, so a secret of its own will do.
   if (options.lane_secret.empty()) {
-    options.lane_secret = std::to_string(kernel::SecretBits()) +
-                          std::to_string(kernel::SecretBits());
+    options.lane_secret = std::to_string(kernel::SecureRandom64()) +
+                          std::to_string(kernel::SecureRandom64());
   }
 }
 
--- a/gateway/src/peer_capnp.cc
+++ b/gateway/src/peer_capnp.cc
@@ -283,7 +283,7 @@
   net->gateway = &gateway;
   BOOST_OUTCOME_TRY(kj, AcquireKjLoop(*gateway.loop));
   net->kj = std::move(kj);
-  net->random.seed(kernel::SecretBits());
+  net->random.seed(kernel::SecureRandom64());
   net->dropped = kernel::AddCounter(
       gateway.metrics, "egretladder_peer_messages_dropped_total",
       "Messages that a peer had no room for, or could not be reached with.");
--- a/gateway/src/settings.cc
+++ b/gateway/src/settings.cc
@@ -123,7 +123,7 @@
     return kernel::BytesOf(settings, "limits", key);
   };
   const auto time = [&](const char* key) {
-    const auto read = kernel::DurationOf(settings, "limits", key);
+    const auto read = kernel::GetDuration(settings, "limits", key);
     if (read.count() == 0) {
       checker.Fault("limits", key, "is 0, expected a time above 0");
     }
@@ -174,8 +174,8 @@
 
 void ReadStop(const kernel::Settings& settings,
               kernel::SettingsChecker& checker, NodeConfig& config) {
-  config.stop_time = kernel::DurationOf(settings, "stop", "time");
-  const auto linger = kernel::DurationOf(settings, "stop", "linger");
+  config.stop_time = kernel::GetDuration(settings, "stop", "time");
+  const auto linger = kernel::GetDuration(settings, "stop", "linger");
   config.gateway.linger = linger;
   if (linger < kLinger) {
     checker.Fault("stop", "linger",
--- a/gateway/tests/harness.cc
+++ b/gateway/tests/harness.cc
@@ -37,7 +37,7 @@
 }  // namespace
 
 TestLoop::TestLoop() {
-  loop = kernel::OpenLoop();
+  loop = kernel::CreateLoop();
   loop.clock = kernel::ViewOf(clock);
 }
 
--- a/gateway/tests/harness.h
+++ b/gateway/tests/harness.h
@@ -23,7 +23,7 @@
 /// Loop and clock of one test.
 struct TestLoop {
   TestLoop();
-  kernel::PausedClock clock;
+  kernel::ManualClock clock;
   kernel::Loop loop;
 };
 
--- a/kernel/src/log.cc
+++ b/kernel/src/log.cc
@@ -65,7 +65,7 @@
   return static_cast<LogLevel>(at - kLevels.begin());
 }
 
-void StartLogs(LogFormat format, LogLevel lowest) {
+void StartLogging(LogFormat format, LogLevel lowest) {
   log4cxx::LayoutPtr layout;
   if (format == LogFormat::kJson) {
     layout = std::make_shared<log4cxx::JSONLayout>();
@@ -82,14 +82,14 @@
   started = true;
 }
 
-bool LogEnabled(LogPart part, LogLevel level) {
+bool IsLogEnabled(LogPart part, LogLevel level) {
   if (!started) return false;
   return AllLoggers()[static_cast<std::size_t>(part)]->isEnabledFor(
       LevelOf(level));
 }
 
 void Log(LogPart part, LogLevel level, std::string_view sentence) {
-  if (!LogEnabled(part, level)) return;
+  if (!IsLogEnabled(part, level)) return;
   AllLoggers()[static_cast<std::size_t>(part)]->forcedLog(
       LevelOf(level), std::string(sentence),
       log4cxx::spi::LocationInfo::getLocationUnavailable());
--- a/kernel/src/log_event.cc
+++ b/kernel/src/log_event.cc
@@ -162,13 +162,13 @@
   State().reset();
 }
 
-bool EventLogEnabled(LogLevel level) {
+bool IsEventLogEnabled(LogLevel level) {
   return State() != nullptr && level >= State()->lowest;
 }
 
 void LogEvent(LogPart part, LogLevel level, std::string_view event,
               LogFields fields) {
-  if (!EventLogEnabled(level) || !TakeBudget(*State(), level)) return;
+  if (!IsEventLogEnabled(level) || !TakeBudget(*State(), level)) return;
   WriteLine(*State(), LineOf(part, level, event, fields));
 }
 
--- a/kernel/src/settings.cc
+++ b/kernel/src/settings.cc
@@ -214,8 +214,8 @@
   return ParseCount(Find(settings, section, key), &rest).value_or(0);
 }
 
-double NumberOf(const Settings& settings, std::string_view section,
-                std::string_view key) {
+double GetNumber(const Settings& settings, std::string_view section,
+                 std::string_view key) {
   return ParseNumber(Find(settings, section, key)).value_or(0);
 }
 
@@ -224,9 +224,9 @@
   return ParseBytes(Find(settings, section, key)).value_or(0);
 }
 
-std::chrono::milliseconds DurationOf(const Settings& settings,
-                                     std::string_view section,
-                                     std::string_view key) {
+std::chrono::milliseconds GetDuration(const Settings& settings,
+                                      std::string_view section,
+                                      std::string_view key) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
       ParseDuration(Find(settings, section, key).c_str()));
 }
--- a/lab/include/egretladder/lab/engine_model.h
+++ b/lab/include/egretladder/lab/engine_model.h
@@ -38,7 +38,7 @@
   std::uint32_t warm_tokens = 0;      ///< Tokens until warm; 0: starts warm.
   /// Calls in progress that it bears just after boot; more make it fall over.
   /// Grows to all it takes as it warms. 0: it never falls over.
-  std::uint32_t cold_bears = 0;
+  std::uint32_t cold_max_in_flight = 0;
   std::chrono::milliseconds report_period{100};
   std::chrono::milliseconds report_lag{300};
   bool honours_fencing = true;
--- a/lab/src/command_load.cc
+++ b/lab/src/command_load.cc
@@ -131,7 +131,7 @@
 
 int Play(const LoadArgs& args, const LoadOptions& options,
          const CommandStreams& streams) {
-  kernel::Loop loop = kernel::OpenLoop();
+  kernel::Loop loop = kernel::CreateLoop();
   LoadResult result = RunLoad(loop, options);
   WriteResult(result, args.title, args, streams.out);
   const auto sound = WriteKeys(loop, result, args, streams.out);
--- a/lab/src/command_status.cc
+++ b/lab/src/command_status.cc
@@ -18,7 +18,7 @@
 /// Asks all nodes at once. One that does not answer keeps empty JSON.
 std::vector<NodeStatus> AskAll(const std::vector<Address>& addresses,
                                const std::vector<std::string>& names) {
-  kernel::Loop loop = kernel::OpenLoop();
+  kernel::Loop loop = kernel::CreateLoop();
   HttpClient http(loop, addresses.size(), kAnswerTime);
   std::vector<NodeStatus> nodes(addresses.size());
   std::size_t left = addresses.size();
--- a/lab/src/driver.cc
+++ b/lab/src/driver.cc
@@ -39,7 +39,7 @@
 struct DriverState {
   DriverOptions options;
   ActionSink sink;
-  kernel::PausedClock clock;
+  kernel::ManualClock clock;
   kernel::Random random;
   std::priority_queue<TimedEvent, std::vector<TimedEvent>, Later> events;
   std::uint64_t entered = 0;
@@ -62,7 +62,7 @@
 }
 
 bool IsLost(DriverState& state) {
-  return state.loss > 0 && kernel::Fraction(state.random) < state.loss;
+  return state.loss > 0 && kernel::RandomFraction(state.random) < state.loss;
 }
 
 /// Carries a message, unless the wire is cut when it leaves.
--- a/lab/src/engine_model.cc
+++ b/lab/src/engine_model.cc
@@ -184,7 +184,7 @@
   std::uint64_t chain = 0;
   // The last, partial block is not cached: it would match nothing longer.
   while (prompt.size() >= kBlockChars) {
-    chain = kernel::HashOf(prompt.substr(0, kBlockChars), chain);
+    chain = kernel::HashBytes(prompt.substr(0, kBlockChars), chain);
     blocks.push_back(chain);
     prompt.remove_prefix(kBlockChars);
   }
@@ -258,9 +258,11 @@
 std::uint32_t BearsNow(const EngineState& state) {
   const EngineOptions& options = state.options;
   const std::uint32_t all = options.max_batch + options.max_waiting;
-  if (options.cold_bears == 0 || options.cold_bears >= all) return all;
-  return options.cold_bears +
-         static_cast<std::uint32_t>((all - options.cold_bears) * Warmth(state));
+  if (options.cold_max_in_flight == 0 || options.cold_max_in_flight >= all)
+    return all;
+  return options.cold_max_in_flight +
+         static_cast<std::uint32_t>((all - options.cold_max_in_flight) *
+                                    Warmth(state));
 }
 
 EngineReport ReportOf(EngineState& state, Time now) {
--- a/lab/src/engine_wire.cc
+++ b/lab/src/engine_wire.cc
@@ -69,9 +69,9 @@
     request.mark = TextIn(metadata->value, "request");
   }
   if (wanted == 0) {
-    wanted =
-        kShortestOutput + static_cast<std::uint32_t>(
-                              kernel::HashOf(request.prompt) % kOutputSpread);
+    wanted = kShortestOutput +
+             static_cast<std::uint32_t>(kernel::HashBytes(request.prompt) %
+                                        kOutputSpread);
   }
   const std::uint32_t cap = CountIn(document, "max_tokens");
   request.cut_by_cap = cap > 0 && cap < wanted;
--- a/lab/src/fault.cc
+++ b/lab/src/fault.cc
@@ -60,8 +60,9 @@
 FaultKind DrawFault(FaultState& state) {
   if (state.fault.kind == FaultKind::kNone) return FaultKind::kNone;
   if (state.fault.share >= 1) return state.fault.kind;
-  return kernel::Fraction(state.random) < state.fault.share ? state.fault.kind
-                                                            : FaultKind::kNone;
+  return kernel::RandomFraction(state.random) < state.fault.share
+             ? state.fault.kind
+             : FaultKind::kNone;
 }
 
 }  // namespace egretladder::lab
--- a/lab/src/load_profile.cc
+++ b/lab/src/load_profile.cc
@@ -142,8 +142,8 @@
 /// A log-normal length with the given median (Box-Muller over `random`).
 std::uint32_t DrawLength(kernel::Random& random, std::uint32_t median,
                          double sigma) {
-  const double u = 1 - kernel::Fraction(random);
-  const double v = kernel::Fraction(random);
+  const double u = 1 - kernel::RandomFraction(random);
+  const double v = kernel::RandomFraction(random);
   const double normal =
       std::sqrt(-2 * std::log(u)) * std::cos(2 * std::numbers::pi * v);
   const double factor = std::min(std::exp(sigma * normal), kLongestOfMedian);
@@ -166,12 +166,12 @@
 void PlanFlow(const LoadProfile& profile, std::uint32_t index,
               std::vector<PlannedCall>& calls) {
   const Flow& flow = profile.flows[index];
-  kernel::Random random(kernel::HashOf(flow.name, profile.seed));
+  kernel::Random random(kernel::HashBytes(flow.name, profile.seed));
   const double top = std::max(flow.rate, flow.burst_rate);
   const double end = std::chrono::duration<double>(profile.duration).count();
   if (top <= 0) return;
   for (double at = 0;;) {
-    at += -std::log(1 - kernel::Fraction(random)) / top;
+    at += -std::log(1 - kernel::RandomFraction(random)) / top;
     if (at >= end) return;
     PlannedCall call;
     call.at = std::chrono::duration_cast<std::chrono::microseconds>(
@@ -180,7 +180,7 @@
     call.account = DrawAccount(random, flow);
     call.prompt_tokens = DrawLength(random, flow.prompt, flow.tail);
     call.output_tokens = DrawLength(random, flow.output, flow.tail);
-    if (kernel::Fraction(random) * top < RateAt(flow, at)) {
+    if (kernel::RandomFraction(random) * top < RateAt(flow, at)) {
       calls.push_back(call);
     }
   }
@@ -235,10 +235,10 @@
   const Flow& flow = profile.flows[call.flow];
   std::string prompt;
   AppendText(prompt, flow.prefix,
-             kernel::HashOf(flow.accounts[call.account].account,
-                            kernel::HashOf(flow.name)));
+             kernel::HashBytes(flow.accounts[call.account].account,
+                               kernel::HashBytes(flow.name)));
   AppendText(prompt, call.prompt_tokens,
-             kernel::HashOf(std::to_string(number), profile.seed));
+             kernel::HashBytes(std::to_string(number), profile.seed));
   return prompt;
 }
 
--- a/lab/src/load_run.cc
+++ b/lab/src/load_run.cc
@@ -110,7 +110,7 @@
               PlanCalls(options.profile),
               0,
               kernel::Now(loop.clock),
-              RunIdOf(kernel::SecretBits()),
+              RunIdOf(kernel::SecureRandom64()),
               {},
               {},
               {},
@@ -126,7 +126,7 @@
       kernel::After(loop, options.profile.duration + options.drain,
                     [&loop] { kernel::StopLoop(loop); });
   const kernel::Watch interrupt =
-      kernel::OnSignal(loop, SIGINT, [&loop] { kernel::StopLoop(loop); });
+      kernel::RunOnSignal(loop, SIGINT, [&loop] { kernel::StopLoop(loop); });
   kernel::RunLoop(loop);
   while (!run.calls.empty()) {
     EndCall(run, run.calls.begin()->first, CallEnd::kUnfinished);
--- a/lab/src/scenario_callers.cc
+++ b/lab/src/scenario_callers.cc
@@ -163,7 +163,8 @@
   wish.caller = callers[kernel::Below(world.random, callers.size())];
   wish.created = Now(*world.driver);
   wish.prompt = load.prompt;
-  const double vary = load.spread * (2 * kernel::Fraction(world.random) - 1);
+  const double vary =
+      load.spread * (2 * kernel::RandomFraction(world.random) - 1);
   wish.output = static_cast<std::uint32_t>(
       std::max(1.0, std::round(load.output * (1 + vary))));
   const std::uint64_t prefix =
@@ -178,7 +179,8 @@
 /// Arrivals of a Poisson process.
 void ArriveNext(World& world, std::uint32_t load_idx) {
   const LoadSpec& load = world.scenario->loads[load_idx];
-  const double gap = -std::log(1 - kernel::Fraction(world.random)) / load.rate;
+  const double gap =
+      -std::log(1 - kernel::RandomFraction(world.random)) / load.rate;
   const Time next =
       Now(*world.driver) +
       std::chrono::nanoseconds(static_cast<std::int64_t>(gap * 1e9));
--- a/lab/src/scenario_events.cc
+++ b/lab/src/scenario_events.cc
@@ -164,7 +164,7 @@
 void TurnColdAgain(World& world, const std::string& name) {
   EngineState& engine = FindEndpoint(world, name)->engine;
   TurnCold(engine);
-  engine.options.cold_bears = 0;
+  engine.options.cold_max_in_flight = 0;
 }
 
 void CrashByName(World& world, const std::string& name) {
--- a/lab/src/scenario_rules.cc
+++ b/lab/src/scenario_rules.cc
@@ -118,7 +118,7 @@
   EngineOptions options;
   options.max_batch = endpoint.bears;
   options.max_waiting = endpoint.bears * 4;
-  options.cold_bears = endpoint.cold_bears;
+  options.cold_max_in_flight = endpoint.cold_max_in_flight;
   options.warm_tokens = 2000;
   options.boot = milliseconds(3000);
   options.honours_fencing = endpoint.honours_fencing;
--- a/lab/src/stand_in_engine.cc
+++ b/lab/src/stand_in_engine.cc
@@ -241,7 +241,7 @@
   app.add_option("--cold-factor", engine.cold_factor, "slower when cold");
   app.add_option("--warm-tokens", engine.warm_tokens,
                  "generated until warm; 0: starts warm");
-  app.add_option("--cold-bears", engine.cold_bears,
+  app.add_option("--cold-bears", engine.cold_max_in_flight,
                  "calls in progress, cold, before it falls over; 0: never");
   app.add_option("--report-lag-ms", times.report_lag_ms, "of GET /report");
   app.add_flag("--ignores-fencing", times.ignores_fencing,
@@ -281,10 +281,10 @@
       "  curl 127.0.0.1:9101/counts");
   if (const auto code = ParseCommand(app, args, streams)) return *code;
   ApplyTimes(times, options.engine);
-  kernel::Loop loop = kernel::OpenLoop();
+  kernel::Loop loop = kernel::CreateLoop();
   Engine engine{loop,
                 options,
-                StartEngine(options.engine, kernel::SecretBits() >> 16U,
+                StartEngine(options.engine, kernel::SecureRandom64() >> 16U,
                             kernel::Now(loop.clock)),
                 {{}, kernel::Random(options.seed)},
                 {},
--- a/lab/src/stand_in_platform.cc
+++ b/lab/src/stand_in_platform.cc
@@ -103,7 +103,7 @@
 /// True when the reader has the VM list already, as its `If-None-Match` says.
 bool HasVms(const Platform& platform, evhttp_request* request) {
   const std::string tag =
-      "\"" + std::to_string(kernel::HashOf(platform.model.vms)) + "\"";
+      "\"" + std::to_string(kernel::HashBytes(platform.model.vms)) + "\"";
   evhttp_add_header(evhttp_request_get_output_headers(request), "ETag",
                     tag.c_str());
   return HeaderOf(request, "If-None-Match") == tag;
@@ -224,7 +224,7 @@
       "  curl 127.0.0.1:9001/control -d '{\"only\":\"127.0.0.1:9001\"}'\n"
       "  curl 127.0.0.1:9001/counts");
   if (const auto code = ParseCommand(app, args, streams)) return *code;
-  kernel::Loop loop = kernel::OpenLoop();
+  kernel::Loop loop = kernel::CreateLoop();
   Platform platform{loop, {}, {}, 1};
   if (const auto published = PublishFile(platform, rules); !published) {
     streams.err << kernel::Describe(published.error()) << "\n";
--- a/lab/src/stand_in_service.cc
+++ b/lab/src/stand_in_service.cc
@@ -140,7 +140,7 @@
       "  curl 127.0.0.1:9201/control -d '{\"fault\":\"half\",\"share\":0.1}'\n"
       "  curl 127.0.0.1:9201/counts?keys=1");
   if (const auto code = ParseCommand(app, args, streams)) return *code;
-  kernel::Loop loop = kernel::OpenLoop();
+  kernel::Loop loop = kernel::CreateLoop();
   Service service{loop, options, {}, {{}, kernel::Random(options.seed)}, {}, 1};
   return ServeUntilSignalled(
       loop, {options.listen},
--- a/lab/tests/engine_model_test.cc
+++ b/lab/tests/engine_model_test.cc
@@ -11,7 +11,7 @@
 namespace el = egretladder::lab;
 
 TEST_GROUP(EngineModel) {
-  ek::PausedClock clock_;
+  ek::ManualClock clock_;
   el::EngineOptions options_;
   el::EngineState engine_;
   std::vector<el::EngineCallId> lost_;
@@ -100,7 +100,7 @@
 // and every caller on it loses the answer.
 TEST(EngineModel, AColdEngineFallsOverWhenGivenMoreThanItBears) {
   options_.warm_tokens = 100;
-  options_.cold_bears = 2;
+  options_.cold_max_in_flight = 2;
   options_.boot = 1s;
   Start();
   CHECK(el::SubmitResult::kBooting == Submit(1, 5));
@@ -115,7 +115,7 @@
 
 TEST(EngineModel, AWarmedEngineBearsAllAndIsFast) {
   options_.warm_tokens = 20;
-  options_.cold_bears = 2;
+  options_.cold_max_in_flight = 2;
   Start();
   Submit(1, 20);
   const auto cold = StepTime();
--- a/node/src/attempts.cc
+++ b/node/src/attempts.cc
@@ -88,7 +88,7 @@
   question.attempt = record.tries;
   question.deadline = record.give_up;
   return policy::DecideRetry(state.retry_budget, question,
-                             kernel::Fraction(state.random), now);
+                             kernel::RandomFraction(state.random), now);
 }
 
 void TryAgain(NodeState& state, CallRecord& record,
--- a/node/tests/harness.h
+++ b/node/tests/harness.h
@@ -220,7 +220,7 @@
   void TakeOne(TestNode&, fleet::RulesInForce&) {}
   void TakeOne(TestNode&, fleet::RulesRefused&) {}
 
-  kernel::PausedClock clock_;
+  kernel::ManualClock clock_;
   std::string text_;
   std::vector<TestNode> nodes_;
 };
--- a/policy/include/egretladder/policy/slots.h
+++ b/policy/include/egretladder/policy/slots.h
@@ -24,15 +24,15 @@
 
 /// What the keeper knows of an endpoint's ability to take work.
 struct SlotState {
-  std::uint32_t slots = 0;         ///< In flight, summed over all nodes.
-  std::uint32_t cold_bears = 1;    ///< From the rules.
-  std::uint32_t bears = 1;         ///< From the rules.
-  std::uint32_t grow_fast_to = 1;  ///< Doubles up to here, then adds one.
-  std::uint64_t boot = 0;          ///< Last seen in a report or answer.
-  std::uint64_t boot_before = 0;   ///< Evidence of it comes late: ignored.
-  std::uint32_t in_time = 0;       ///< Answers since the last change.
-  std::uint32_t late = 0;          ///< Answers since the last change.
-  kernel::Time since{};            ///< Of the last change.
+  std::uint32_t slots = 0;               ///< In flight, summed over all nodes.
+  std::uint32_t cold_max_in_flight = 1;  ///< From the rules.
+  std::uint32_t bears = 1;               ///< From the rules.
+  std::uint32_t grow_fast_to = 1;        ///< Doubles up to here, then adds one.
+  std::uint64_t boot = 0;                ///< Last seen in a report or answer.
+  std::uint64_t boot_before = 0;  ///< Evidence of it comes late: ignored.
+  std::uint32_t in_time = 0;      ///< Answers since the last change.
+  std::uint32_t late = 0;         ///< Answers since the last change.
+  kernel::Time since{};           ///< Of the last change.
 };
 
 /// Answers of one endpoint, added up by a node between two messages.
@@ -45,7 +45,7 @@
 };
 
 /// Starts or restarts an endpoint: falls to what it bears cold.
-SlotReason StartSlots(SlotState& state, std::uint32_t cold_bears,
+SlotReason StartSlots(SlotState& state, std::uint32_t cold_max_in_flight,
                       std::uint32_t bears, std::uint64_t boot,
                       kernel::Time now);
 
--- a/policy/src/ladder_admit.cc
+++ b/policy/src/ladder_admit.cc
@@ -17,7 +17,7 @@
 
 void AppendRefusal(LadderState& state, RequestId request, RefuseReason reason,
                    Seconds wait, Seconds may_wait, Actions& out) {
-  const double jitter = kernel::Fraction(state.random);
+  const double jitter = kernel::RandomFraction(state.random);
   out.emplace_back(Refuse{request, reason,
                           RetryAfter(wait, may_wait, jitter, LimitsOf(state))});
 }
--- a/policy/src/pick.cc
+++ b/policy/src/pick.cc
@@ -44,7 +44,7 @@
   for (const EndpointHandle endpoint : servers) {
     const std::string& name = rules.endpoints[endpoint.idx].source.name;
     for (std::uint64_t point = 0; point < kPointsEach; ++point) {
-      ring.points.push_back({kernel::HashOf(name, point), endpoint});
+      ring.points.push_back({kernel::HashBytes(name, point), endpoint});
     }
   }
   std::sort(ring.points.begin(), ring.points.end(),
--- a/policy/src/slots.cc
+++ b/policy/src/slots.cc
@@ -23,15 +23,15 @@
 
 }  // namespace
 
-SlotReason StartSlots(SlotState& state, std::uint32_t cold_bears,
+SlotReason StartSlots(SlotState& state, std::uint32_t cold_max_in_flight,
                       std::uint32_t bears, std::uint64_t boot,
                       kernel::Time now) {
   if (boot != state.boot) state.boot_before = state.boot;
   state.boot = boot;
-  state.cold_bears = std::max(1U, std::min(cold_bears, bears));
+  state.cold_max_in_flight = std::max(1U, std::min(cold_max_in_flight, bears));
   state.bears = std::max(1U, bears);
   state.grow_fast_to = state.bears;
-  ChangeSlots(state, state.cold_bears, now);
+  ChangeSlots(state, state.cold_max_in_flight, now);
   return SlotReason::kStarted;
 }
 
@@ -44,7 +44,8 @@
   }
   if (evidence.boot != 0 && state.boot == 0) state.boot = evidence.boot;
   if (evidence.boot != 0 && evidence.boot != state.boot) {
-    return StartSlots(state, state.cold_bears, state.bears, evidence.boot, now);
+    return StartSlots(state, state.cold_max_in_flight, state.bears,
+                      evidence.boot, now);
   }
   state.in_time += evidence.in_time;
   state.late += evidence.late + evidence.failed;
@@ -52,17 +53,18 @@
   const double late_share =
       answers == 0 ? 0 : static_cast<double>(state.late) / answers;
   if (answers >= kAnswersToJudge && late_share >= kTurnedColdShare &&
-      state.slots > state.cold_bears) {
+      state.slots > state.cold_max_in_flight) {
     state.grow_fast_to = state.bears;
-    ChangeSlots(state, state.cold_bears, now);
+    ChangeSlots(state, state.cold_max_in_flight, now);
     return SlotReason::kTurnedCold;
   }
   if (answers >= kAnswersToJudge && late_share >= kOverloadedShare) {
-    if (state.slots <= state.cold_bears) {
+    if (state.slots <= state.cold_max_in_flight) {
       ChangeSlots(state, state.slots, now);
       return SlotReason::kUnchanged;
     }
-    state.grow_fast_to = std::max(state.cold_bears, state.slots * 3 / 4);
+    state.grow_fast_to =
+        std::max(state.cold_max_in_flight, state.slots * 3 / 4);
     ChangeSlots(state, state.grow_fast_to, now);
     return SlotReason::kOverloaded;
   }
--- a/policy/tests/decisions_test.cc
+++ b/policy/tests/decisions_test.cc
@@ -17,7 +17,7 @@
 namespace ek = egretladder::kernel;
 
 TEST_GROUP(Decisions) {
-  ek::PausedClock clock_;
+  ek::ManualClock clock_;
   ep::Limits limits_;
 };
 
@@ -182,7 +182,7 @@
   std::vector<ep::EndpointHandle> before;
   std::vector<ep::EndpointHandle> after;
   for (int i = 0; i < 1000; ++i) {
-    const std::uint64_t prefix = ek::HashOf(std::to_string(i));
+    const std::uint64_t prefix = ek::HashBytes(std::to_string(i));
     ep::HomesOf(all, prefix, 1, before);
     ep::HomesOf(fewer, prefix, 1, after);
     if (before[0].idx != 11) CHECK_TRUE(before == after);
--- a/policy/tests/ladder_random_test.cc
+++ b/policy/tests/ladder_random_test.cc
@@ -31,7 +31,7 @@
 
 struct Model {
   ek::Random random;
-  ek::PausedClock clock;
+  ek::ManualClock clock;
   const ep::SchedulerPlugin* plugin =
       ek::FindPlugin<ep::SchedulerPlugin>("ladder");
   std::unique_ptr<ep::SchedulerState> state;
--- a/policy/tests/ladder_test.cc
+++ b/policy/tests/ladder_test.cc
@@ -18,7 +18,7 @@
 namespace er = egretladder::rules;
 
 TEST_GROUP(Ladder) {
-  ek::PausedClock clock_;
+  ek::ManualClock clock_;
   const ep::SchedulerPlugin* plugin_ =
       ek::FindPlugin<ep::SchedulerPlugin>("ladder");
   std::unique_ptr<ep::SchedulerState> state_;
--- a/policy/tests/load_engine.h
+++ b/policy/tests/load_engine.h
@@ -41,8 +41,8 @@
 inline bool FallsOver(const Engine& engine, const FleetSpec& fleet) {
   if (engine.cold_answers == 0) return false;
   const std::uint32_t answered = kAnswersToWarm - engine.cold_answers;
-  return engine.in_flight > fleet.cold_bears &&
-         engine.in_flight > 2 * fleet.cold_bears + answered;
+  return engine.in_flight > fleet.cold_max_in_flight &&
+         engine.in_flight > 2 * fleet.cold_max_in_flight + answered;
 }
 
 /// The course of an attempt that is in flight at `engine` already.
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -54,7 +54,7 @@
   std::uint32_t zones = 3;
   std::uint32_t endpoints = 12;
   std::uint32_t bears = 8;
-  std::uint32_t cold_bears = 1;
+  std::uint32_t cold_max_in_flight = 1;
   std::uint32_t accounts = 10;
   bool starts_cold = false;
 };
@@ -87,8 +87,8 @@
 };
 
 inline double Normal(kernel::Random& random) {
-  const double u = 1.0 - kernel::Fraction(random);
-  const double v = kernel::Fraction(random);
+  const double u = 1.0 - kernel::RandomFraction(random);
+  const double v = kernel::RandomFraction(random);
   return std::sqrt(-2 * std::log(u)) * std::cos(2 * 3.141592653589793 * v);
 }
 
@@ -96,7 +96,8 @@
   const double at_median = std::exp(work.spread * Normal(random));
   const double correction = std::exp(-work.spread * work.spread / 2);
   double tokens = work.mean_tokens * at_median * correction;
-  if (kernel::Fraction(random) < work.long_share) tokens *= work.long_times;
+  if (kernel::RandomFraction(random) < work.long_share)
+    tokens *= work.long_times;
   return static_cast<std::uint32_t>(std::clamp(tokens, 1.0, 20'000.0));
 }
 
@@ -110,7 +111,7 @@
                                  const std::vector<double>& weights) {
   double total = 0;
   for (const double weight : weights) total += weight;
-  double drawn = kernel::Fraction(random) * total;
+  double drawn = kernel::RandomFraction(random) * total;
   for (std::uint32_t i = 0; i < weights.size(); ++i) {
     if (drawn < weights[i]) return i;
     drawn -= weights[i];
@@ -120,10 +121,10 @@
 
 inline std::uint64_t DrawPrefix(kernel::Random& random, const Stream& stream) {
   if (stream.prefixes == 0) return 0;
-  const bool hot = kernel::Fraction(random) < stream.hot_prefixes;
+  const bool hot = kernel::RandomFraction(random) < stream.hot_prefixes;
   const std::uint64_t number = hot ? kernel::Below(random, 3)
                                    : 3 + kernel::Below(random, stream.prefixes);
-  return kernel::HashOf("prefix " + std::to_string(number));
+  return kernel::HashBytes("prefix " + std::to_string(number));
 }
 
 inline Time At(Span since_start) {
@@ -141,7 +142,7 @@
     const double rate = stream.load * slots / SlotSeconds(cls.work);
     Span at = stream.from;
     while (rate > 0) {
-      at += Span(-std::log(1.0 - kernel::Fraction(random)) / rate);
+      at += Span(-std::log(1.0 - kernel::RandomFraction(random)) / rate);
       if (at >= stream.to) break;
       Planned one;
       one.request.cls.idx = stream.cls;
@@ -196,7 +197,7 @@
     endpoint.zone.idx = i % load.fleet.zones;
     endpoint.serves = {TargetHandle{0}};
     endpoint.bears = load.fleet.bears;
-    endpoint.cold_bears = load.fleet.cold_bears;
+    endpoint.cold_max_in_flight = load.fleet.cold_max_in_flight;
     made->endpoints.push_back(endpoint);
   }
   return made;
--- a/policy/tests/load_run_engines.h
+++ b/policy/tests/load_run_engines.h
@@ -88,10 +88,11 @@
 
 inline void Run::Restart(std::uint32_t engine) {
   Engine& started = engines_[engine];
-  const std::uint32_t cold =
-      started.cold_answers > 0 ? load_.fleet.cold_bears : load_.fleet.bears;
+  const std::uint32_t cold = started.cold_answers > 0
+                                 ? load_.fleet.cold_max_in_flight
+                                 : load_.fleet.bears;
   (void)StartSlots(started.slots, cold, load_.fleet.bears, started.boot, now_);
-  started.slots.cold_bears = load_.fleet.cold_bears;
+  started.slots.cold_max_in_flight = load_.fleet.cold_max_in_flight;
   Lease(engine);
 }
 
--- a/policy/tests/load_run_requests.h
+++ b/policy/tests/load_run_requests.h
@@ -97,7 +97,7 @@
   question.attempt = static_cast<std::uint8_t>(life.attempt - 1);
   question.deadline = life.planned.request.deadline;
   const RetryAnswer answer =
-      DecideRetry(budget_, question, kernel::Fraction(random_), now_);
+      DecideRetry(budget_, question, kernel::RandomFraction(random_), now_);
   if (answer.again) {
     Add(now_ + answer.delay, StepKind::kRetry, id);
     return;
--- a/policy/tests/poison_test.cc
+++ b/policy/tests/poison_test.cc
@@ -13,7 +13,7 @@
 namespace ek = egretladder::kernel;
 
 TEST_GROUP(Poison) {
-  ek::PausedClock clock_;
+  ek::ManualClock clock_;
   ep::PoisonState state_;
 
   std::size_t Died(const std::vector<std::uint64_t>& running) {
--- a/policy/tests/retry_test.cc
+++ b/policy/tests/retry_test.cc
@@ -9,7 +9,7 @@
 namespace ek = egretladder::kernel;
 
 TEST_GROUP(Retry) {
-  ek::PausedClock clock_;
+  ek::ManualClock clock_;
   ep::RetryBudget budget_;
 
   ep::RetryAnswer Ask(ep::RetryQuestion question) {
--- a/policy/tests/slots_test.cc
+++ b/policy/tests/slots_test.cc
@@ -11,7 +11,7 @@
 namespace ek = egretladder::kernel;
 
 TEST_GROUP(Slots) {
-  ek::PausedClock clock_;
+  ek::ManualClock clock_;
   ep::SlotState state_;
 
   void setup() override { ep::StartSlots(state_, 2, 16, 7, clock_.now); }
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -61,7 +61,7 @@
   if (end == AttemptEnd::kBroken) {
     routing::OnBroke(
         proxy.suspects, FingerprintOf(call),
-        {kernel::HashOf(attempt.endpoint->entry.id), attempt.sent, now});
+        {kernel::HashBytes(attempt.endpoint->entry.id), attempt.sent, now});
     return;
   }
   const bool ran = end == AttemptEnd::kSucceeded || end == AttemptEnd::kFailed;
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -50,7 +50,7 @@
                                 std::max(route.timeout, milliseconds(1)));
   call->deadline = now + allowed;
   const auto target =
-      routing::DrawTarget(route, kernel::Fraction(proxy.random));
+      routing::DrawTarget(route, kernel::RandomFraction(proxy.random));
   call->service = &proxy.rules->services[target.idx];
   call->demand.service = call->service;
   call->demand.tier = routing::RankOf(*proxy.rules, route, account);
@@ -207,9 +207,9 @@
   if (call.fingerprint == 0) {
     const net::HttpRequest& request = call.caller->request();
     const std::uint64_t asker =
-        call.account != nullptr ? kernel::HashOf(call.account->name) : 0;
-    const std::uint64_t target = kernel::HashOf(request.target, asker);
-    call.fingerprint = kernel::HashOf(request.body, target);
+        call.account != nullptr ? kernel::HashBytes(call.account->name) : 0;
+    const std::uint64_t target = kernel::HashBytes(request.target, asker);
+    call.fingerprint = kernel::HashBytes(request.body, target);
   }
   return call.fingerprint;
 }
