--- a/bench/one_node_bench.cc
+++ b/bench/one_node_bench.cc
@@ -62,7 +62,7 @@
 struct Stream {
   bufferevent* buffer = nullptr;
   std::size_t left = 0;
-  ek::Watch pace;
+  ek::EventWatcher pace;
 };
 
 struct EndpointServer {
@@ -93,8 +93,8 @@
       "Transfer-Encoding: chunked\r\n\r\n");
   auto* stream = new Stream{buffer, server.events, {}};
   server.streams.insert(stream);
-  stream->pace = ek::Every(server.loop, server.pace,
-                           [&server, stream] { SendEvent(server, stream); });
+  stream->pace = ek::RunEvery(server.loop, server.pace,
+                              [&server, stream] { SendEvent(server, stream); });
 }
 
 // Takes one whole request off the input; empty while it is not there.
--- a/gateway/main/front_calls.cc
+++ b/gateway/main/front_calls.cc
@@ -70,7 +70,7 @@
             " ms at least, for callers that still keep "
             "this address.");
     eg::Leave(gateway_);
-    look_ = ek::Every(loop_, kIdleCheck, [this] { Look(); });
+    look_ = ek::RunEvery(loop_, kIdleCheck, [this] { Look(); });
   }
 
   void Look() {
@@ -98,8 +98,8 @@
   ek::Time began_{};
   bool leaving_ = false;
   bool cut_ = false;
-  std::array<ek::Watch, 2> signals_;
-  ek::Watch look_;
+  std::array<ek::EventWatcher, 2> signals_;
+  ek::EventWatcher look_;
 };
 
 // Each call takes two descriptors, and many systems start processes with 1,024.
--- a/gateway/main/front_hosts.cc
+++ b/gateway/main/front_hosts.cc
@@ -48,7 +48,7 @@
     stop_ = ek::RunOnSignal(loop, SIGTERM, [this] { Stop(); });
     interrupt_ = ek::RunOnSignal(loop, SIGINT, [this] { Stop(); });
     reload_ = ek::RunOnSignal(loop, SIGHUP, [this] { Reload("signal"); });
-    look_ = ek::Every(loop, kSettingsCheck, [this] { Reload("file"); });
+    look_ = ek::RunEvery(loop, kSettingsCheck, [this] { Reload("file"); });
   }
 
  private:
@@ -57,7 +57,7 @@
     leaving_ = true;
     Say(ek::LogLevel::kInfo, "leaving", {{"calls", ep::ViewOf(proxy_).calls}});
     ep::Leave(proxy_);
-    end_ = ek::Every(loop_, kEndCheck, [this] {
+    end_ = ek::RunEvery(loop_, kEndCheck, [this] {
       if (!ep::CanShutDown(proxy_)) return;
       Say(ek::LogLevel::kInfo, "left",
           {{"calls_cut", ep::ViewOf(proxy_).cut},
@@ -92,11 +92,11 @@
   std::string text_;
   std::string path_;
   bool leaving_ = false;
-  ek::Watch stop_;
-  ek::Watch interrupt_;
-  ek::Watch reload_;
-  ek::Watch look_;
-  ek::Watch end_;
+  ek::EventWatcher stop_;
+  ek::EventWatcher interrupt_;
+  ek::EventWatcher reload_;
+  ek::EventWatcher look_;
+  ek::EventWatcher end_;
 };
 
 int Run(const ep::ProxyConfig& config, const std::string& text,
--- a/gateway/src/endpoint_evhttp.cc
+++ b/gateway/src/endpoint_evhttp.cc
@@ -90,7 +90,8 @@
                     Later(gateway, [conclude, refused] { conclude(refused); });
                   });
   };
-  gateway.death_pauses[id] = kernel::After(*gateway.loop, kDeathPause, probe);
+  gateway.death_pauses[id] =
+      kernel::RunAfter(*gateway.loop, kDeathPause, probe);
 }
 
 // The caller gets a part of the answer from here on, so it can't be sent again.
--- a/gateway/src/gateway.cc
+++ b/gateway/src/gateway.cc
@@ -128,8 +128,8 @@
     gateway->options.node.fleet.peer_address = peer_address;
   }
   BOOST_OUTCOME_TRYV(StartNode(*gateway));
-  gateway->tick = kernel::Every(loop, node::kNodeTick,
-                                [raw = gateway.get()] { Tick(*raw); });
+  gateway->tick = kernel::RunEvery(loop, node::kNodeTick,
+                                   [raw = gateway.get()] { Tick(*raw); });
   return gateway;
 }
 
--- a/gateway/src/gateway_p.h
+++ b/gateway/src/gateway_p.h
@@ -108,14 +108,14 @@
   std::deque<node::Action> queue;
   std::vector<std::function<void()>> later;
   /// Calls whose endpoint is about to be asked whether it still listens.
-  std::map<CallId, kernel::Watch> death_pauses;
+  std::map<CallId, kernel::EventWatcher> death_pauses;
   bool pumping = false;
   bool leaving = false;
   kernel::Time linger_until{};   ///< Once leaving.
   bool platform_answers = true;  ///< As last logged.
   VmListRead vm_list;
   kernel::Event pump;
-  kernel::Watch tick;
+  kernel::EventWatcher tick;
   PeerNetPtr peers;
 };
 
--- a/gateway/src/http_client_evhttp.cc
+++ b/gateway/src/http_client_evhttp.cc
@@ -54,7 +54,7 @@
   std::vector<Connection> closing;
   std::size_t paused = 0;
   kernel::Event clean_up;
-  kernel::Watch sweep;
+  kernel::EventWatcher sweep;
 };
 
 namespace {
@@ -324,7 +324,7 @@
   client->clean_up.reset(
       event_new(loop.base.get(), -1, 0, CleanUp, client.get()));
   client->sweep =
-      kernel::Every(loop, kSweep, [raw = client.get()] { Sweep(*raw); });
+      kernel::RunEvery(loop, kSweep, [raw = client.get()] { Sweep(*raw); });
   return client;
 }
 
--- a/gateway/src/peer_capnp.cc
+++ b/gateway/src/peer_capnp.cc
@@ -72,7 +72,7 @@
   std::vector<std::unique_ptr<net::RpcServerConnection>> in;
   kernel::Random random;
   kernel::CounterHandle dropped;
-  kernel::Watch sweep;
+  kernel::EventWatcher sweep;
 };
 
 namespace {
@@ -292,8 +292,8 @@
                                             -1, AcceptPeer, net.get()));
   net->listener = std::move(listener);
   *address = WithBoundPort(listen, evconnlistener_get_fd(net->listener.get()));
-  net->sweep = kernel::Every(*gateway.loop, kSweep,
-                             [raw = net.get()] { SweepPeers(*raw); });
+  net->sweep = kernel::RunEvery(*gateway.loop, kSweep,
+                                [raw = net.get()] { SweepPeers(*raw); });
   return net;
 }
 
--- a/lab/src/command_status.cc
+++ b/lab/src/command_status.cc
@@ -32,8 +32,8 @@
     };
     http.Send(addresses[i], std::move(call));
   }
-  const kernel::Watch end =
-      kernel::After(loop, kAnswerTime, [&loop] { kernel::StopLoop(loop); });
+  const kernel::EventWatcher end =
+      kernel::RunAfter(loop, kAnswerTime, [&loop] { kernel::StopLoop(loop); });
   kernel::RunLoop(loop);
   return nodes;
 }
--- a/lab/src/load_run.cc
+++ b/lab/src/load_run.cc
@@ -96,7 +96,7 @@
 void Delay(LoadRun& run, std::chrono::milliseconds delay,
            std::function<void()> action) {
   const std::uint64_t number = run.next_delay++;
-  run.delays[number] = kernel::After(
+  run.delays[number] = kernel::RunAfter(
       run.loop, delay, [&run, number, action = std::move(action)] {
         run.delays.erase(number);
         action();
@@ -120,12 +120,12 @@
               {}};
   AddClients(run);
   DeclareClasses(run);
-  const kernel::Watch tick =
-      kernel::Every(loop, kPlanTick, [&run] { StartDue(run); });
-  const kernel::Watch end =
-      kernel::After(loop, options.profile.duration + options.drain,
-                    [&loop] { kernel::StopLoop(loop); });
-  const kernel::Watch interrupt =
+  const kernel::EventWatcher tick =
+      kernel::RunEvery(loop, kPlanTick, [&run] { StartDue(run); });
+  const kernel::EventWatcher end =
+      kernel::RunAfter(loop, options.profile.duration + options.drain,
+                       [&loop] { kernel::StopLoop(loop); });
+  const kernel::EventWatcher interrupt =
       kernel::RunOnSignal(loop, SIGINT, [&loop] { kernel::StopLoop(loop); });
   kernel::RunLoop(loop);
   while (!run.calls.empty()) {
--- a/lab/src/load_run_p.h
+++ b/lab/src/load_run_p.h
@@ -91,7 +91,7 @@
   std::vector<LoadClient> clients;
   std::map<std::string, std::vector<std::size_t>> clients_of;
   std::map<std::uint64_t, LoadCall> calls;
-  std::map<std::uint64_t, kernel::Watch> delays;
+  std::map<std::uint64_t, kernel::EventWatcher> delays;
   std::uint64_t next_delay = 1;
   std::uint64_t next_client = 0;
   LoadResult result;
--- a/lab/src/stand_in.cc
+++ b/lab/src/stand_in.cc
@@ -100,8 +100,9 @@
 
 void RunUntilSignalled(kernel::Loop& loop) {
   const auto stop = [&loop] { kernel::StopLoop(loop); };
-  const kernel::Watch term = kernel::RunOnSignal(loop, SIGTERM, stop);
-  const kernel::Watch interrupt = kernel::RunOnSignal(loop, SIGINT, stop);
+  const kernel::EventWatcher term = kernel::RunOnSignal(loop, SIGTERM, stop);
+  const kernel::EventWatcher interrupt =
+      kernel::RunOnSignal(loop, SIGINT, stop);
   kernel::RunLoop(loop);
 }
 
--- a/lab/src/stand_in_engine.cc
+++ b/lab/src/stand_in_engine.cc
@@ -43,7 +43,7 @@
   FaultState faults;
   std::map<EngineCallId, Answering> calls;
   EngineCallId next_call = 1;
-  kernel::Watch step;
+  kernel::EventWatcher step;
 };
 
 void ScheduleStep(Engine& engine);
@@ -95,14 +95,14 @@
 void ScheduleStep(Engine& engine) {
   const auto end = NextStepEnd(engine.model);
   if (!end) {
-    engine.step = kernel::Watch();
+    engine.step = kernel::EventWatcher();
     return;
   }
   const auto wait = std::chrono::ceil<std::chrono::milliseconds>(
       *end - kernel::Now(engine.loop.clock));
-  engine.step =
-      kernel::After(engine.loop, std::max(wait, std::chrono::milliseconds(0)),
-                    [&engine] { RunSteps(engine); });
+  engine.step = kernel::RunAfter(engine.loop,
+                                 std::max(wait, std::chrono::milliseconds(0)),
+                                 [&engine] { RunSteps(engine); });
 }
 
 void RefuseUnrun(evhttp_request* request, const char* why) {
@@ -290,7 +290,7 @@
                 {},
                 1,
                 {}};
-  const kernel::Watch reports = kernel::Every(
+  const kernel::EventWatcher reports = kernel::RunEvery(
       loop, options.engine.report_period,
       [&engine] { ReportOf(engine.model, kernel::Now(engine.loop.clock)); });
   return ServeUntilSignalled(
--- a/lab/src/stand_in_platform.cc
+++ b/lab/src/stand_in_platform.cc
@@ -37,7 +37,7 @@
   std::unique_ptr<OpenCall> call;
   std::uint64_t above = 0;
   bool is_watch = false;
-  kernel::Watch timer;
+  kernel::EventWatcher timer;
 };
 
 struct Platform {
@@ -62,7 +62,7 @@
   Waiting& waiting = platform.waiting[number];
   waiting.call = std::make_unique<OpenCall>(
       request, [&platform, number] { platform.waiting.erase(number); });
-  waiting.timer = kernel::After(
+  waiting.timer = kernel::RunAfter(
       platform.loop, time, [&platform, number, answer = std::move(answer)] {
         Release(platform, number, answer);
       });
--- a/lab/src/stand_in_service.cc
+++ b/lab/src/stand_in_service.cc
@@ -28,7 +28,7 @@
 
 struct PendingCall {
   std::unique_ptr<OpenCall> call;
-  kernel::Watch timer;
+  kernel::EventWatcher timer;
 };
 
 struct Service {
@@ -106,7 +106,7 @@
       fault == FaultKind::kSlow ? service.faults.fault.factor : 1.0;
   const auto delay = std::chrono::milliseconds(
       static_cast<std::int64_t>(service.options.delay_ms * factor));
-  pending.timer = kernel::After(
+  pending.timer = kernel::RunAfter(
       service.loop, delay,
       [&service, number, fault, answer = AnswerOf(service, key, run)] {
         Finish(service, number, fault, answer);
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -122,12 +122,12 @@
 }
 
 void SetPatience(Proxy& proxy, const CallPtr& call, milliseconds patience) {
-  call->patience = kernel::After(*proxy.loop, patience,
-                                 [&proxy, weak = std::weak_ptr<Call>(call)] {
-                                   if (const auto kept = weak.lock()) {
-                                     OnImpatient(proxy, kept);
-                                   }
-                                 });
+  call->patience = kernel::RunAfter(*proxy.loop, patience,
+                                    [&proxy, weak = std::weak_ptr<Call>(call)] {
+                                      if (const auto kept = weak.lock()) {
+                                        OnImpatient(proxy, kept);
+                                      }
+                                    });
 }
 
 milliseconds PatienceFor(const Call& call,
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -98,8 +98,8 @@
   proxy.waiting.emplace(std::pair(call->demand.tier, call->number), call);
   if (!proxy.waiting_timed) {
     proxy.waiting_timed = true;
-    proxy.waiting_timer = kernel::Every(*proxy.loop, kWaitingPeriod,
-                                        [&proxy] { DispatchWaiting(proxy); });
+    proxy.waiting_timer = kernel::RunEvery(
+        *proxy.loop, kWaitingPeriod, [&proxy] { DispatchWaiting(proxy); });
   }
 }
 
@@ -225,7 +225,7 @@
   routing::OnRequest(proxy.retry_shares[call->service->name],
                      proxy.options.retries, call->arrived);
   caller->OnGone([&proxy, call] { OnCallerGone(proxy, call); });
-  call->timeout = kernel::After(
+  call->timeout = kernel::RunAfter(
       *proxy.loop,
       std::chrono::ceil<milliseconds>(call->deadline - call->arrived) +
           kDeadlineMargin,
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -240,7 +240,7 @@
   *address = net::WithBoundPort(proxy.options.peers,
                                 evconnlistener_get_fd(net->listener.get()));
   net->sweep =
-      kernel::Every(*proxy.loop, kTick, [raw = net.get()] { Sweep(*raw); });
+      kernel::RunEvery(*proxy.loop, kTick, [raw = net.get()] { Sweep(*raw); });
   return net;
 }
 
@@ -276,7 +276,7 @@
   PeerNet& net = *proxy.peers;
   net.announce_to = std::max(net.announce_to, announce_to);
   if (std::exchange(net.soon_armed, true)) return;
-  net.soon = kernel::After(*proxy.loop, milliseconds(0), [&proxy, &net] {
+  net.soon = kernel::RunAfter(*proxy.loop, milliseconds(0), [&proxy, &net] {
     net.soon_armed = false;
     FetchNews(proxy);
     const std::size_t most = std::exchange(net.announce_to, 0);
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -58,8 +58,8 @@
   std::vector<std::unique_ptr<net::RpcServerConnection>> in;
   routing::Pulls pulls;
   std::array<KeptContent, routing::kFeeds> content;
-  kernel::Watch sweep;
-  kernel::Watch soon;
+  kernel::EventWatcher sweep;
+  kernel::EventWatcher soon;
   bool soon_armed = false;
   std::size_t announce_to = 0;  ///< Peers, at the next turn.
 };
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -146,10 +146,10 @@
       routing::StartMembers(SelfOf(*proxy, peers), options.seeds, now);
   proxy->ticked = now;
   proxy->tick =
-      kernel::Every(loop, kTick, [raw = proxy.get()] { OnTick(*raw); });
+      kernel::RunEvery(loop, kTick, [raw = proxy.get()] { OnTick(*raw); });
   proxy->exchange_tick =
-      kernel::Every(loop, routing::kExchangePeriod,
-                    [raw = proxy.get()] { ExchangeWhenDue(*raw); });
+      kernel::RunEvery(loop, routing::kExchangePeriod,
+                       [raw = proxy.get()] { ExchangeWhenDue(*raw); });
   StartReading(*proxy);
   Exchange(*proxy);
   return proxy;
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -85,8 +85,8 @@
   milliseconds longest_pause{};  ///< Between two events that callers got.
   bool waiting = false;
   Time waits_since{};  ///< Since it has needed an endpoint.
-  kernel::Watch timeout;
-  kernel::Watch patience;
+  kernel::EventWatcher timeout;
+  kernel::EventWatcher patience;
   std::size_t body_bytes = 0;
   std::uint64_t fingerprint = 0;  ///< Of what it asks; 0: not needed so far.
   int refused_with = 0;     ///< Status of this node's own refusal; 0: none.
@@ -108,7 +108,7 @@
   int status = 0;
   milliseconds backoff{};
   bool waits_for_rules = false;  ///< Tried again once the rules were read.
-  kernel::Watch timer;
+  kernel::EventWatcher timer;
   std::uint64_t calls = 0;
 };
 
@@ -169,16 +169,16 @@
   Time store_from{};
   std::unordered_map<std::uint64_t, CallPtr> calls;
   std::map<std::pair<routing::Tier, std::uint64_t>, CallPtr> waiting;
-  kernel::Watch waiting_timer;
+  kernel::EventWatcher waiting_timer;
   bool waiting_timed = false;
   std::size_t body_bytes = 0;
   std::uint64_t last_number = 0;
   Time ticked{};
   Time exchanged{};  ///< When the last exchange began.
-  kernel::Watch tick;
-  kernel::Watch exchange_tick;
-  kernel::Watch standby_tick;  ///< While it reads the store.
-  kernel::Watch standby_soon;
+  kernel::EventWatcher tick;
+  kernel::EventWatcher exchange_tick;
+  kernel::EventWatcher standby_tick;  ///< While it reads the store.
+  kernel::EventWatcher standby_soon;
   bool leaving = false;
   Time leaving_since{};
   Time listened_until{};  ///< Default: it listens.
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -20,8 +20,8 @@
 }
 
 void ReadAfter(Proxy& proxy, StoreReader& reader, milliseconds delay) {
-  reader.timer = kernel::After(*proxy.loop, delay,
-                               [&proxy, &reader] { Read(proxy, reader); });
+  reader.timer = kernel::RunAfter(*proxy.loop, delay,
+                                  [&proxy, &reader] { Read(proxy, reader); });
 }
 
 // The wait after one more failed call, before its jitter.
@@ -184,7 +184,7 @@
   reader.exchange =
       proxy.client->Start(std::move(request), std::move(handlers));
   const milliseconds most = reader.listed ? wait + kWatchMargin : kListTime;
-  reader.timer = kernel::After(*proxy.loop, most, [&proxy, &reader] {
+  reader.timer = kernel::RunAfter(*proxy.loop, most, [&proxy, &reader] {
     net::Cancel(std::exchange(reader.exchange, nullptr));
     reader.after.clear();
     OnReadFailed(proxy, reader, "no answer in time");
@@ -218,8 +218,9 @@
   proxy.standby_soon = {};
   if (!proxy.reads_store) return;
   const auto tell = [&proxy] { TellStandbys(proxy); };
-  proxy.standby_soon = kernel::After(*proxy.loop, milliseconds(0), tell);
-  proxy.standby_tick = kernel::Every(*proxy.loop, routing::kReaderPulse, tell);
+  proxy.standby_soon = kernel::RunAfter(*proxy.loop, milliseconds(0), tell);
+  proxy.standby_tick =
+      kernel::RunEvery(*proxy.loop, routing::kReaderPulse, tell);
 }
 
 }  // namespace
