--- a/fleet/src/fleet_gossip.cc
+++ b/fleet/src/fleet_gossip.cc
@@ -102,7 +102,7 @@
     if (!targets.contains(name)) names.push_back(&name);
   }
   for (std::size_t i = 0; i < count && !names.empty(); ++i) {
-    const auto at = kernel::Below(state.random, names.size());
+    const auto at = kernel::RandomBelow(state.random, names.size());
     targets.insert(*names[at]);
     names[at] = names.back();
     names.pop_back();
@@ -168,7 +168,7 @@
 
 void StartRound(FleetState& state, Time now, Actions& out) {
   if (now < state.next_round) return;
-  const auto jitter = milliseconds(kernel::Below(
+  const auto jitter = milliseconds(kernel::RandomBelow(
       state.random, static_cast<std::uint64_t>(kPingEvery.count() / 5)));
   state.next_round = now + kPingEvery - kPingEvery / 10 + jitter;
   ++state.members.self.heartbeat;
--- a/fleet/src/membership.cc
+++ b/fleet/src/membership.cc
@@ -224,7 +224,7 @@
     }
   }
   while (!others.empty() && news.size() <= kMembersTold) {
-    const auto at = kernel::Below(random, others.size());
+    const auto at = kernel::RandomBelow(random, others.size());
     news.push_back(*others[at]);
     others[at] = others.back();
     others.pop_back();
--- a/fleet/tests/lane_random_test.cc
+++ b/fleet/tests/lane_random_test.cc
@@ -52,7 +52,9 @@
     std::chrono::nanoseconds clock_shift{};
   };
 
-  std::uint64_t Draw(std::uint64_t bound) { return ek::Below(random_, bound); }
+  std::uint64_t Draw(std::uint64_t bound) {
+    return ek::RandomBelow(random_, bound);
+  }
   ek::Time LocalNow(const Node& node) const { return now_ + node.clock_shift; }
 
   void Restart(std::uint32_t i) {
--- a/fleet/tests/storm_test.cc
+++ b/fleet/tests/storm_test.cc
@@ -26,9 +26,9 @@
     world_.faults.drop = 0.15 * ek::RandomFraction(world_.random);
     world_.faults.twice = 0.1;
     world_.faults.delay_most =
-        std::chrono::milliseconds(1 + ek::Below(world_.random, 300));
+        std::chrono::milliseconds(1 + ek::RandomBelow(world_.random, 300));
     world_.call_most =
-        std::chrono::milliseconds(500 + ek::Below(world_.random, 20'000));
+        std::chrono::milliseconds(500 + ek::RandomBelow(world_.random, 20'000));
     for (auto& [name, node] : world_.nodes) {
       node.clock_rate = 0.95 + 0.1 * ek::RandomFraction(world_.random);
     }
@@ -70,7 +70,7 @@
 
  private:
   std::uint64_t Draw(std::uint64_t bound) {
-    return ek::Below(world_.random, bound);
+    return ek::RandomBelow(world_.random, bound);
   }
   std::string AnyNode() { return "n" + std::to_string(Draw(7)); }
 
--- a/fleet/tests/wire_fixture_test.cc
+++ b/fleet/tests/wire_fixture_test.cc
@@ -23,8 +23,8 @@
 }
 
 milliseconds Between(kernel::Random& random, milliseconds most) {
-  return milliseconds(
-      kernel::Below(random, static_cast<std::uint64_t>(most.count()) + 1));
+  return milliseconds(kernel::RandomBelow(
+      random, static_cast<std::uint64_t>(most.count()) + 1));
 }
 
 std::uint32_t RunningAt(const FakeNode& node, const std::string& endpoint) {
@@ -107,7 +107,7 @@
 
 void World::StartNode(const std::string& name, bool with_seeds) {
   FakeNode& node = nodes[name];
-  node.options.incarnation = 1 + kernel::Below(random, 1U << 30U);
+  node.options.incarnation = 1 + kernel::RandomBelow(random, 1U << 30U);
   node.options.started = 1'000'000 + ++incarnations_;
   node.options.random_seed = random();
   node.options.seeds.clear();
--- a/gateway/src/peer_capnp.cc
+++ b/gateway/src/peer_capnp.cc
@@ -201,7 +201,7 @@
                       ? kBackoffFirst
                       : std::min(2 * backoff.delay, kBackoffMost);
   // Jittered, so that nodes don't come back to a restarted peer all at once.
-  const auto jitter = std::chrono::milliseconds(kernel::Below(
+  const auto jitter = std::chrono::milliseconds(kernel::RandomBelow(
       net.random, static_cast<std::uint64_t>(backoff.delay.count() / 2 + 1)));
   backoff.until = now + backoff.delay / 2 + jitter;
 }
--- a/gateway/tests/wire_test.cc
+++ b/gateway/tests/wire_test.cc
@@ -180,8 +180,9 @@
       auto words = BytesOf(message);
       auto bytes = words.asBytes();
       for (int change = 0; change < 4; ++change) {
-        bytes[egretladder::kernel::Below(random, bytes.size())] =
-            static_cast<kj::byte>(egretladder::kernel::Below(random, 256));
+        bytes[egretladder::kernel::RandomBelow(random, bytes.size())] =
+            static_cast<kj::byte>(
+                egretladder::kernel::RandomBelow(random, 256));
       }
       ef::Message read;
       if (!ReadBytes(words, &read)) ++refused;
--- a/lab/src/load_profile.cc
+++ b/lab/src/load_profile.cc
@@ -153,7 +153,8 @@
 std::uint32_t DrawAccount(kernel::Random& random, const Flow& flow) {
   std::uint64_t sum = 0;
   for (const AccountWeight& account : flow.accounts) sum += account.weight;
-  std::uint64_t drawn = kernel::Below(random, std::max<std::uint64_t>(1, sum));
+  std::uint64_t drawn =
+      kernel::RandomBelow(random, std::max<std::uint64_t>(1, sum));
   for (std::uint32_t i = 0; i < flow.accounts.size(); ++i) {
     if (drawn < flow.accounts[i].weight) return i;
     drawn -= flow.accounts[i].weight;
@@ -192,7 +193,7 @@
   const std::size_t end = text.size() + tokens * kCharsPerToken;
   while (text.size() < end) {
     constexpr std::uint64_t kWords = 100'000;
-    text += std::to_string(kernel::Below(random, kWords)) + " ";
+    text += std::to_string(kernel::RandomBelow(random, kWords)) + " ";
   }
   text.resize(end);
 }
--- a/lab/src/scenario_callers.cc
+++ b/lab/src/scenario_callers.cc
@@ -27,7 +27,7 @@
 /// Asks any published node. Callers know all of them from their own settings.
 void AskWhere(World& world, Caller& caller) {
   const std::size_t count = world.node_names.size();
-  const std::size_t first = kernel::Below(world.random, count);
+  const std::size_t first = kernel::RandomBelow(world.random, count);
   for (std::size_t i = 0; i < count; ++i) {
     const NodeIdx idx = (first + i) % count;
     node::NodeState* node = NodeOf(*world.driver, idx);
@@ -160,7 +160,7 @@
   Wish wish;
   wish.load = load_idx;
   const auto& callers = world.callers_of[load_idx];
-  wish.caller = callers[kernel::Below(world.random, callers.size())];
+  wish.caller = callers[kernel::RandomBelow(world.random, callers.size())];
   wish.created = Now(*world.driver);
   wish.prompt = load.prompt;
   const double vary =
@@ -168,7 +168,7 @@
   wish.output = static_cast<std::uint32_t>(
       std::max(1.0, std::round(load.output * (1 + vary))));
   const std::uint64_t prefix =
-      kernel::Below(world.random, std::max(1U, load.prefixes));
+      kernel::RandomBelow(world.random, std::max(1U, load.prefixes));
   wish.prefix = static_cast<std::uint32_t>(load_idx * 1000 + prefix + 1);
   world.wishes.push_back(wish);
   At(*world.driver, wish.created + load.patience,
--- a/policy/src/ladder_dispatch.cc
+++ b/policy/src/ladder_dispatch.cc
@@ -121,13 +121,14 @@
   const Pool& pool = state.pools[request.target.idx];
   const std::size_t open = pool.open.size();
   const std::size_t drawn = std::min<std::size_t>(limits.choices, open);
-  const std::size_t first = kernel::Below(state.random, open);
+  const std::size_t first = kernel::RandomBelow(state.random, open);
   EndpointHandle best;
   double best_score = 0;
   for (std::size_t i = 0; i < drawn; ++i) {
     // All of a few; otherwise at random.
-    const std::size_t at =
-        drawn == open ? (first + i) % open : kernel::Below(state.random, open);
+    const std::size_t at = drawn == open
+                               ? (first + i) % open
+                               : kernel::RandomBelow(state.random, open);
     const EndpointHandle endpoint = pool.open[at];
     EndpointLoad load = state.endpoints[endpoint.idx].load;
     load.beside_suspect = load.beside_suspect && request.suspect;
--- a/policy/tests/ladder_random_test.cc
+++ b/policy/tests/ladder_random_test.cc
@@ -161,8 +161,9 @@
   void Arrive() {
     ep::Request request;
     request.id = ++next;
-    request.cls.idx = static_cast<std::uint32_t>(ek::Below(random, 4));
-    request.account.idx = static_cast<std::uint32_t>(ek::Below(random, 4));
+    request.cls.idx = static_cast<std::uint32_t>(ek::RandomBelow(random, 4));
+    request.account.idx =
+        static_cast<std::uint32_t>(ek::RandomBelow(random, 4));
     request.target.idx = 0;
     request.arrived = clock.now;
     request.deadline = clock.now + load.classes[request.cls.idx].first_token;
@@ -182,31 +183,32 @@
   void EndOne() {
     if (running.empty()) return;
     auto it = running.begin();
-    std::advance(
-        it, static_cast<std::ptrdiff_t>(ek::Below(random, running.size())));
+    std::advance(it, static_cast<std::ptrdiff_t>(
+                         ek::RandomBelow(random, running.size())));
     const ep::RequestId id = it->first;
     running.erase(it);
     constexpr std::array kKinds = {ep::EndKind::kDone, ep::EndKind::kFailed,
                                    ep::EndKind::kNotRun,
                                    ep::EndKind::kCancelled};
-    plugin->on_end(*state, id, kKinds[ek::Below(random, kKinds.size())],
+    plugin->on_end(*state, id, kKinds[ek::RandomBelow(random, kKinds.size())],
                    clock.now, out);
   }
 
   void Step() {
     const auto endpoint =
-        static_cast<std::uint32_t>(ek::Below(random, kEndpoints));
-    switch (ek::Below(random, 16)) {
+        static_cast<std::uint32_t>(ek::RandomBelow(random, kEndpoints));
+    switch (ek::RandomBelow(random, 16)) {
       case 0:
-        slots[endpoint] = static_cast<std::uint32_t>(ek::Below(random, 4));
+        slots[endpoint] =
+            static_cast<std::uint32_t>(ek::RandomBelow(random, 4));
         return plugin->on_slots(*state, {endpoint}, slots[endpoint], clock.now,
                                 out);
       case 1:
-        available[endpoint] = ek::Below(random, 3) > 0;
+        available[endpoint] = ek::RandomBelow(random, 3) > 0;
         return plugin->on_available(*state, {endpoint}, available[endpoint],
                                     clock.now, out);
       case 2:
-        zone_out = static_cast<std::uint32_t>(ek::Below(random, 6));
+        zone_out = static_cast<std::uint32_t>(ek::RandomBelow(random, 6));
         return SetRules();
       case 3:
         if (waiting.empty()) return;
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -122,8 +122,9 @@
 inline std::uint64_t DrawPrefix(kernel::Random& random, const Stream& stream) {
   if (stream.prefixes == 0) return 0;
   const bool hot = kernel::RandomFraction(random) < stream.hot_prefixes;
-  const std::uint64_t number = hot ? kernel::Below(random, 3)
-                                   : 3 + kernel::Below(random, stream.prefixes);
+  const std::uint64_t number =
+      hot ? kernel::RandomBelow(random, 3)
+          : 3 + kernel::RandomBelow(random, stream.prefixes);
   return kernel::HashBytes("prefix " + std::to_string(number));
 }
 
--- a/policy/tests/queue_test.cc
+++ b/policy/tests/queue_test.cc
@@ -126,35 +126,35 @@
     ep::Time now = kStart;
     for (ep::RequestId step = 1; step <= 400; ++step) {
       const auto account =
-          static_cast<std::uint32_t>(ek::Below(random, kAccounts));
-      const std::uint64_t what = ek::Below(random, 10);
+          static_cast<std::uint32_t>(ek::RandomBelow(random, kAccounts));
+      const std::uint64_t what = ek::RandomBelow(random, 10);
       if (what < 5) {
-        const auto one =
-            MakeWaiting(step, account, now,
-                        std::chrono::milliseconds(1 + ek::Below(random, 400)));
+        const auto one = MakeWaiting(
+            step, account, now,
+            std::chrono::milliseconds(1 + ek::RandomBelow(random, 400)));
         ep::Push(queue, one);
         slow.Push(one);
       } else if (what < 6) {
-        const ep::RequestId id = 1 + ek::Below(random, step);
+        const ep::RequestId id = 1 + ek::RandomBelow(random, step);
         CHECK_EQUAL(slow.Take(id), ep::Take(queue, id).has_value());
       } else if (what < 7) {
-        const auto tokens = static_cast<double>(ek::Below(random, 50));
+        const auto tokens = static_cast<double>(ek::RandomBelow(random, 50));
         ep::Charge(queue, {0}, {account}, tokens, 1);
         slow.Charge(account, tokens);
       } else if (what < 8) {
-        const auto tokens = static_cast<double>(ek::Below(random, 20));
+        const auto tokens = static_cast<double>(ek::RandomBelow(random, 20));
         ep::Refund(queue, {0}, {account}, tokens, 1);
         slow.served[account].credit += tokens;
       } else {
-        now += std::chrono::milliseconds(ek::Below(random, 60));
+        now += std::chrono::milliseconds(ek::RandomBelow(random, 60));
       }
-      const std::uint32_t held = ek::Below(random, 4) == 0 ? account : 99;
+      const std::uint32_t held = ek::RandomBelow(random, 4) == 0 ? account : 99;
       const ep::Waiting* want = slow.Head(now, held);
       const ep::Waiting* got = ep::HeadOf(queue, {0}, {0}, now, IsHeld, &held);
       CHECK_EQUAL(want == nullptr, got == nullptr);
       if (want == nullptr || got == nullptr) continue;
       CHECK_EQUAL(want->request.id, got->request.id);
-      if (ek::Below(random, 3) != 0) continue;
+      if (ek::RandomBelow(random, 3) != 0) continue;
       const ep::RequestId id = want->request.id;
       slow.Take(id);
       (void)ep::Take(queue, id);
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -171,7 +171,7 @@
   const std::size_t count = std::min(peers.size(), most);
   for (std::size_t i = 0; i < count; ++i) {
     std::swap(peers[i],
-              peers[i + kernel::Below(proxy.random, peers.size() - i)]);
+              peers[i + kernel::RandomBelow(proxy.random, peers.size() - i)]);
   }
   peers.resize(count);
   return peers;
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -43,7 +43,7 @@
   reader.changed_since = {};
   reader.backoff = NextBackoff(reader.backoff);
   // Jittered: all nodes lost the store together.
-  const auto jitter = milliseconds(kernel::Below(
+  const auto jitter = milliseconds(kernel::RandomBelow(
       proxy.random, static_cast<std::uint64_t>(reader.backoff.count())));
   kernel::LogEvent(LogPart::kPlatform, LogLevel::kWarning, "store-not-read",
                    {{"feed", routing::NameOf(reader.feed)},
--- a/routing/src/advertised_limits.cc
+++ b/routing/src/advertised_limits.cc
@@ -61,7 +61,7 @@
   }
   // Of many, others at each turn.
   while (told.size() > kLimitsTold) {
-    std::swap(told[kernel::Below(random, told.size())], told.back());
+    std::swap(told[kernel::RandomBelow(random, told.size())], told.back());
     told.pop_back();
   }
   return told;
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -150,7 +150,8 @@
               kernel::Random& random) {
   const std::size_t until = std::min(endpoints.size(), from + kDrawn);
   for (std::size_t i = from; i < until; ++i) {
-    const std::size_t other = i + kernel::Below(random, endpoints.size() - i);
+    const std::size_t other =
+        i + kernel::RandomBelow(random, endpoints.size() - i);
     std::swap(endpoints[i], endpoints[other]);
   }
   endpoints.resize(until);
