--- a/gateway/src/settings.cc
+++ b/gateway/src/settings.cc
@@ -80,14 +80,14 @@
 void ReadNode(const kernel::Settings& settings,
               kernel::SettingsChecker& checker, GatewayOptions& options) {
   const auto text = [&settings](const char* key) {
-    return kernel::TextOf(settings, "node", key);
+    return kernel::GetText(settings, "node", key);
   };
   fleet::FleetOptions& fleet = options.node.fleet;
   fleet.node = text("name");
   fleet.zone = text("zone");
   for (const char* key : {"name", "zone"}) {
     if (IsName(text(key))) continue;
-    checker.Fault(
+    checker.AddError(
         "node", key,
         "is '" + text(key) + "', expected letters, digits, '-', '_' and '.'");
   }
@@ -98,8 +98,8 @@
   fleet.seeds = kernel::SplitList(text("seeds"));
   for (const std::string& seed : fleet.seeds) {
     if (SplitAddress(seed).second == 0) {
-      checker.Fault("node", "seeds",
-                    "has '" + seed + "', expected " + kAddressExpected);
+      checker.AddError("node", "seeds",
+                       "has '" + seed + "', expected " + kAddressExpected);
     }
   }
   options.node.scheduler = text("scheduler");
@@ -110,7 +110,7 @@
          kernel::PluginNames(policy::SchedulerPlugin::kKind)) {
       names += (names.empty() ? "" : ", ") + std::string(name);
     }
-    checker.Fault(
+    checker.AddError(
         "node", "scheduler",
         "is '" + options.node.scheduler + "', expected one of " + names);
   }
@@ -120,12 +120,12 @@
 void ReadLimits(const kernel::Settings& settings,
                 kernel::SettingsChecker& checker, Limits& limits) {
   const auto bytes = [&settings](const char* key) {
-    return kernel::BytesOf(settings, "limits", key);
+    return kernel::GetBytes(settings, "limits", key);
   };
   const auto time = [&](const char* key) {
     const auto read = kernel::GetDuration(settings, "limits", key);
     if (read.count() == 0) {
-      checker.Fault("limits", key, "is 0, expected a time above 0");
+      checker.AddError("limits", key, "is 0, expected a time above 0");
     }
     return read;
   };
@@ -134,9 +134,9 @@
   limits.bodies_bytes = bytes("bodies_size");
   limits.caller_buffer = bytes("caller_buffer");
   limits.answer_bytes = bytes("answer_size");
-  limits.connections = kernel::CountOf(settings, "limits", "connections");
+  limits.connections = kernel::GetCount(settings, "limits", "connections");
   if (limits.connections == 0) {
-    checker.Fault("limits", "connections", "is 0, expected 1 or more");
+    checker.AddError("limits", "connections", "is 0, expected 1 or more");
   }
   limits.request_time = time("request_time");
   limits.answer_time = time("answer_time");
@@ -146,29 +146,30 @@
 
 void ReadTls(const kernel::Settings& settings, kernel::SettingsChecker& checker,
              TlsOptions& tls) {
-  tls.certificate = kernel::TextOf(settings, "tls", "certificate");
-  tls.key = kernel::TextOf(settings, "tls", "key");
+  tls.certificate = kernel::GetText(settings, "tls", "certificate");
+  tls.key = kernel::GetText(settings, "tls", "key");
   if (tls.certificate.empty() != tls.key.empty()) {
-    checker.Fault("tls", tls.key.empty() ? "key" : "certificate",
-                  "is missing, expected both or neither");
+    checker.AddError("tls", tls.key.empty() ? "key" : "certificate",
+                     "is missing, expected both or neither");
   }
 }
 
 void ReadLog(const kernel::Settings& settings, kernel::SettingsChecker& checker,
              NodeConfig& config) {
-  const std::string& format = kernel::TextOf(settings, "log", "format");
+  const std::string& format = kernel::GetText(settings, "log", "format");
   if (const auto read = kernel::ParseLogFormat(format)) {
     config.log_format = *read;
   } else {
-    checker.Fault("log", "format",
-                  "is '" + format + "', expected text or json");
+    checker.AddError("log", "format",
+                     "is '" + format + "', expected text or json");
   }
-  const std::string& level = kernel::TextOf(settings, "log", "level");
+  const std::string& level = kernel::GetText(settings, "log", "level");
   if (const auto read = kernel::ParseLogLevel(level)) {
     config.log_level = *read;
   } else {
-    checker.Fault("log", "level",
-                  "is '" + level + "', expected debug, info, warning or error");
+    checker.AddError(
+        "log", "level",
+        "is '" + level + "', expected debug, info, warning or error");
   }
 }
 
@@ -178,13 +179,13 @@
   const auto linger = kernel::GetDuration(settings, "stop", "linger");
   config.gateway.linger = linger;
   if (linger < kLinger) {
-    checker.Fault("stop", "linger",
-                  "is " + std::to_string(linger.count()) + "ms, expected " +
-                      std::to_string(kLinger.count()) +
-                      "ms or more, as callers keep /where so long");
+    checker.AddError("stop", "linger",
+                     "is " + std::to_string(linger.count()) + "ms, expected " +
+                         std::to_string(kLinger.count()) +
+                         "ms or more, as callers keep /where so long");
   }
   if (linger > config.stop_time) {
-    checker.Fault("stop", "linger", "is longer than stop.time");
+    checker.AddError("stop", "linger", "is longer than stop.time");
     return;
   }
   policy::StopPlan plan;
@@ -192,10 +193,10 @@
   plan.cut_margin = kStopMargin;
   const auto least = policy::ShortestGrace(plan);
   if (config.stop_time >= least) return;
-  checker.Fault("stop", "time",
-                "is " + std::to_string(config.stop_time.count()) +
-                    "ms, expected " + std::to_string(least.count()) +
-                    "ms or more with this stop.linger");
+  checker.AddError("stop", "time",
+                   "is " + std::to_string(config.stop_time.count()) +
+                       "ms, expected " + std::to_string(least.count()) +
+                       "ms or more with this stop.linger");
 }
 
 }  // namespace
@@ -212,7 +213,7 @@
   kernel::SettingsChecker checker(text, file, found);
   NodeConfig config;
   ReadNode(settings, checker, config.gateway);
-  config.gateway.platform = kernel::TextOf(settings, "platform", "address");
+  config.gateway.platform = kernel::GetText(settings, "platform", "address");
   ReadLimits(settings, checker, config.gateway.limits);
   ReadTls(settings, checker, config.gateway.tls);
   ReadLog(settings, checker, config);
--- a/kernel/src/settings.cc
+++ b/kernel/src/settings.cc
@@ -87,7 +87,7 @@
   return nullptr;
 }
 
-Error Fault(std::string_view file, std::uint32_t line, std::string detail) {
+Error AddError(std::string_view file, std::uint32_t line, std::string detail) {
   return MakeError(ErrorCode::kInvalidInput, "read settings",
                    std::string(file) + ":" + std::to_string(line),
                    std::move(detail));
@@ -103,13 +103,13 @@
   const SettingSpec* spec = FindSpec(specs, entry);
   const std::string name = NameOf(entry.section, entry.key);
   if (spec == nullptr) {
-    faults.push_back(Fault(file, entry.line, "unknown key '" + name + "'"));
+    faults.push_back(AddError(file, entry.line, "unknown key '" + name + "'"));
     return;
   }
   if (!IsValid(entry.value, spec->kind)) {
-    faults.push_back(Fault(file, entry.line,
-                           name + " is " + ShownValue(*spec, entry.value) +
-                               ", expected " + std::string(spec->expected)));
+    faults.push_back(AddError(file, entry.line,
+                              name + " is " + ShownValue(*spec, entry.value) +
+                                  ", expected " + std::string(spec->expected)));
     return;
   }
   settings.values[name] = entry.value;
@@ -141,7 +141,7 @@
     const std::string name = NameOf(spec.section, spec.key);
     if (settings.values.contains(name)) continue;
     if (spec.required && found.empty()) {
-      found.push_back(Fault(
+      found.push_back(AddError(
           file, 0,
           "missing '" + name + "', expected " + std::string(spec.expected)));
     }
@@ -178,8 +178,8 @@
   if (entries) entries_ = std::move(entries).value();
 }
 
-void SettingsChecker::Fault(std::string_view section, std::string_view key,
-                            const std::string& detail) {
+void SettingsChecker::AddError(std::string_view section, std::string_view key,
+                               const std::string& detail) {
   const auto at = std::find_if(
       entries_.begin(), entries_.end(), [&](const IniEntry& entry) {
         return entry.section == section && entry.key == key;
@@ -203,13 +203,13 @@
   return items;
 }
 
-const std::string& TextOf(const Settings& settings, std::string_view section,
-                          std::string_view key) {
+const std::string& GetText(const Settings& settings, std::string_view section,
+                           std::string_view key) {
   return Find(settings, section, key);
 }
 
-std::uint64_t CountOf(const Settings& settings, std::string_view section,
-                      std::string_view key) {
+std::uint64_t GetCount(const Settings& settings, std::string_view section,
+                       std::string_view key) {
   std::string rest;
   return ParseCount(Find(settings, section, key), &rest).value_or(0);
 }
@@ -219,8 +219,8 @@
   return ParseNumber(Find(settings, section, key)).value_or(0);
 }
 
-std::uint64_t BytesOf(const Settings& settings, std::string_view section,
-                      std::string_view key) {
+std::uint64_t GetBytes(const Settings& settings, std::string_view section,
+                       std::string_view key) {
   return ParseBytes(Find(settings, section, key)).value_or(0);
 }
 
