--- a/fuzz/rules_fuzz.cc
+++ b/fuzz/rules_fuzz.cc
@@ -13,7 +13,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   const std::string text(reinterpret_cast<const char*>(data), size);
-  std::vector<er::Fault> faults;
+  std::vector<er::ValidationError> faults;
   const auto first = er::ReadRules(text, "fuzz.ini", nullptr, &faults);
   if (!first) {
     if (faults.empty()) std::abort();
--- a/lab/src/command_check.cc
+++ b/lab/src/command_check.cc
@@ -21,10 +21,10 @@
     streams.err << kernel::Describe(text.error()) << "\n";
     return nullptr;
   }
-  std::vector<rules::Fault> faults;
+  std::vector<rules::ValidationError> faults;
   auto read = rules::ReadRules(text.value(), file, before, &faults);
   if (read) return std::move(read).value();
-  for (const rules::Fault& fault : faults) {
+  for (const rules::ValidationError& fault : faults) {
     streams.err << fault.file << ":" << fault.line << ": " << fault.what
                 << "\n  " << fault.hint << "\n";
   }
