--- a/fleet/src/electorate.cc
+++ b/fleet/src/electorate.cc
@@ -73,7 +73,8 @@
 }
 
 std::uint32_t FloorSum(const rules::Endpoint& endpoint) {
-  return std::min(endpoint.cold_max_in_flight, endpoint.bears) / kFloorPart;
+  return std::min(endpoint.cold_max_in_flight, endpoint.max_in_flight) /
+         kFloorPart;
 }
 
 std::uint32_t FloorOf(const Rules& rules, EndpointHandle endpoint,
--- a/fleet/src/lease_keeper.cc
+++ b/fleet/src/lease_keeper.cc
@@ -178,15 +178,15 @@
   if (!same_boot || ask.total == 0 || now >= book.take_over_until) return;
   if (book.claimed != 0 && ask.total >= book.claimed) return;
   book.claimed = ask.total;
-  book.slots.slots =
-      std::clamp(ask.total, book.slots.cold_max_in_flight, book.slots.bears);
+  book.slots.slots = std::clamp(ask.total, book.slots.cold_max_in_flight,
+                                book.slots.max_in_flight);
   book.slots.since = now;
 }
 
 policy::SlotReason Restart(KeeperBook& book, std::uint64_t boot, Time now) {
   book.take_over_until = now;
   return policy::StartSlots(book.slots, book.slots.cold_max_in_flight,
-                            book.slots.bears, boot, now);
+                            book.slots.max_in_flight, boot, now);
 }
 
 /// A new boot ends the calls that ran before it.
@@ -209,8 +209,8 @@
   book.opened = now;
   book.sign_of_life = now;
   book.take_over_until = now + kLeaseLife;
-  policy::StartSlots(book.slots, endpoint.cold_max_in_flight, endpoint.bears, 0,
-                     now);
+  policy::StartSlots(book.slots, endpoint.cold_max_in_flight,
+                     endpoint.max_in_flight, 0, now);
 }
 
 void ResumeBook(KeeperBook& book, const rules::Endpoint& endpoint, Time stopped,
@@ -230,14 +230,14 @@
 void ChangeBears(KeeperBook& book, const rules::Endpoint& endpoint, Time now) {
   policy::SlotState& slots = book.slots;
   book.floor_sum = FloorSum(endpoint);
-  if (slots.bears == endpoint.bears &&
+  if (slots.max_in_flight == endpoint.max_in_flight &&
       slots.cold_max_in_flight == endpoint.cold_max_in_flight) {
     return;
   }
   const std::uint32_t before = slots.slots;
-  policy::StartSlots(slots, endpoint.cold_max_in_flight, endpoint.bears,
+  policy::StartSlots(slots, endpoint.cold_max_in_flight, endpoint.max_in_flight,
                      slots.boot, now);
-  slots.slots = std::clamp(before, 1U, slots.bears);
+  slots.slots = std::clamp(before, 1U, slots.max_in_flight);
 }
 
 std::uint32_t PoolOf(const KeeperBook& book) {
--- a/fleet/tests/lease_test.cc
+++ b/fleet/tests/lease_test.cc
@@ -17,7 +17,7 @@
   egretladder::rules::Endpoint row_;
 
   void setup() override {
-    row_.bears = 16;
+    row_.max_in_flight = 16;
     row_.cold_max_in_flight = 4;
     ef::OpenBook(book_, row_, now_);
   }
--- a/fleet/tests/wire_fixture.h
+++ b/fleet/tests/wire_fixture.h
@@ -49,7 +49,7 @@
   bool up = true;
   std::uint64_t boot = 1;
   std::uint32_t cold_max_in_flight = 2;
-  std::uint32_t bears = 16;
+  std::uint32_t max_in_flight = 16;
   std::uint32_t answers = 0;  ///< Since its start.
   std::uint32_t running = 0;
   std::vector<std::string> loaded;
--- a/lab/src/scenario_rules.cc
+++ b/lab/src/scenario_rules.cc
@@ -116,8 +116,8 @@
 EngineOptions StandardFake(const rules::Rules& rules,
                            const rules::Endpoint& endpoint) {
   EngineOptions options;
-  options.max_batch = endpoint.bears;
-  options.max_waiting = endpoint.bears * 4;
+  options.max_batch = endpoint.max_in_flight;
+  options.max_waiting = endpoint.max_in_flight * 4;
   options.cold_max_in_flight = endpoint.cold_max_in_flight;
   options.warm_tokens = 2000;
   options.boot = milliseconds(3000);
--- a/node/src/evidence.cc
+++ b/node/src/evidence.cc
@@ -49,7 +49,7 @@
     in_use |= target_note.called && now - target_note.last_call < kTargetInUse;
   }
   if (in_use) ++demand.wanted;
-  const std::uint32_t most = rules.endpoints[idx].bears;
+  const std::uint32_t most = rules.endpoints[idx].max_in_flight;
   demand.wanted = std::min(demand.wanted, most);
   demand.urgent = std::min(demand.urgent, most);
   return demand;
--- a/policy/include/egretladder/policy/pick.h
+++ b/policy/include/egretladder/policy/pick.h
@@ -20,7 +20,7 @@
 struct EndpointLoad {
   std::uint32_t slots = 0;  ///< This node's.
   std::uint32_t in_flight = 0;
-  std::uint32_t bears = 1;          ///< From the rules.
+  std::uint32_t max_in_flight = 1;  ///< From the rules.
   std::uint32_t reported_load = 0;  ///< Running and waiting, all nodes.
   std::uint32_t own_at_report = 0;  ///< This node's in flight back then.
   Time reported_at{};               ///< Default: no report.
--- a/policy/include/egretladder/policy/slots.h
+++ b/policy/include/egretladder/policy/slots.h
@@ -26,7 +26,7 @@
 struct SlotState {
   std::uint32_t slots = 0;               ///< In flight, summed over all nodes.
   std::uint32_t cold_max_in_flight = 1;  ///< From the rules.
-  std::uint32_t bears = 1;               ///< From the rules.
+  std::uint32_t max_in_flight = 1;       ///< From the rules.
   std::uint32_t grow_fast_to = 1;        ///< Doubles up to here, then adds one.
   std::uint64_t boot = 0;                ///< Last seen in a report or answer.
   std::uint64_t boot_before = 0;  ///< Evidence of it comes late: ignored.
@@ -46,7 +46,7 @@
 
 /// Starts or restarts an endpoint: falls to what it bears cold.
 SlotReason StartSlots(SlotState& state, std::uint32_t cold_max_in_flight,
-                      std::uint32_t bears, std::uint64_t boot,
+                      std::uint32_t max_in_flight, std::uint64_t boot,
                       kernel::Time now);
 
 /// Takes answers into account. O(1); slots stay from 1 to `bears`.
--- a/policy/src/ladder_pools.cc
+++ b/policy/src/ladder_pools.cc
@@ -78,7 +78,7 @@
   const rules::Endpoint& endpoint = rules.endpoints[idx];
   LadderEndpoint& known = state.endpoints[idx];
   known.memberships.clear();
-  known.load.bears = endpoint.bears;
+  known.load.max_in_flight = endpoint.max_in_flight;
   known.load.near = endpoint.zone == state.options.zone;
   if (!state.table.endpoints[idx].in_service) return;
   for (const TargetHandle target : endpoint.serves) {
--- a/policy/src/pick.cc
+++ b/policy/src/pick.cc
@@ -17,7 +17,7 @@
       load.reported_load - std::min(load.reported_load, load.own_at_report);
   const std::chrono::duration<double> age = now - load.reported_at;
   const double weight = std::exp2(-(age / limits.report_half_life));
-  return weight * others / std::max(1U, load.bears);
+  return weight * others / std::max(1U, load.max_in_flight);
 }
 
 }  // namespace
--- a/policy/src/slots.cc
+++ b/policy/src/slots.cc
@@ -8,7 +8,7 @@
 namespace {
 
 void ChangeSlots(SlotState& state, std::uint32_t slots, kernel::Time now) {
-  state.slots = std::clamp(slots, 1U, std::max(1U, state.bears));
+  state.slots = std::clamp(slots, 1U, std::max(1U, state.max_in_flight));
   state.in_time = 0;
   state.late = 0;
   state.since = now;
@@ -24,13 +24,14 @@
 }  // namespace
 
 SlotReason StartSlots(SlotState& state, std::uint32_t cold_max_in_flight,
-                      std::uint32_t bears, std::uint64_t boot,
+                      std::uint32_t max_in_flight, std::uint64_t boot,
                       kernel::Time now) {
   if (boot != state.boot) state.boot_before = state.boot;
   state.boot = boot;
-  state.cold_max_in_flight = std::max(1U, std::min(cold_max_in_flight, bears));
-  state.bears = std::max(1U, bears);
-  state.grow_fast_to = state.bears;
+  state.cold_max_in_flight =
+      std::max(1U, std::min(cold_max_in_flight, max_in_flight));
+  state.max_in_flight = std::max(1U, max_in_flight);
+  state.grow_fast_to = state.max_in_flight;
   ChangeSlots(state, state.cold_max_in_flight, now);
   return SlotReason::kStarted;
 }
@@ -44,7 +45,7 @@
   }
   if (evidence.boot != 0 && state.boot == 0) state.boot = evidence.boot;
   if (evidence.boot != 0 && evidence.boot != state.boot) {
-    return StartSlots(state, state.cold_max_in_flight, state.bears,
+    return StartSlots(state, state.cold_max_in_flight, state.max_in_flight,
                       evidence.boot, now);
   }
   state.in_time += evidence.in_time;
@@ -54,7 +55,7 @@
       answers == 0 ? 0 : static_cast<double>(state.late) / answers;
   if (answers >= kAnswersToJudge && late_share >= kTurnedColdShare &&
       state.slots > state.cold_max_in_flight) {
-    state.grow_fast_to = state.bears;
+    state.grow_fast_to = state.max_in_flight;
     ChangeSlots(state, state.cold_max_in_flight, now);
     return SlotReason::kTurnedCold;
   }
@@ -71,7 +72,7 @@
   if (answers < kAnswersPerSlotBeforeGrowth * state.slots) {
     return SlotReason::kUnchanged;
   }
-  if (state.slots >= state.bears || late_share >= kOverloadedShare) {
+  if (state.slots >= state.max_in_flight || late_share >= kOverloadedShare) {
     ChangeSlots(state, state.slots, now);
     return SlotReason::kUnchanged;
   }
--- a/policy/tests/decisions_test.cc
+++ b/policy/tests/decisions_test.cc
@@ -147,7 +147,7 @@
 // all nodes run to an endpoint that was idle then.
 TEST(Decisions, OldReportsCountLess) {
   ep::EndpointLoad load;
-  load.slots = load.bears = 8;
+  load.slots = load.max_in_flight = 8;
   load.reported_load = 8;
   load.reported_at = clock_.now;
   const double fresh = ep::ScoreOf(load, limits_, clock_.now);
--- a/policy/tests/load_engine.h
+++ b/policy/tests/load_engine.h
@@ -23,7 +23,7 @@
 /// A larger batch makes each of its answers slower.
 inline double Crowding(const Engine& engine, const FleetSpec& fleet) {
   const double load = engine.in_flight + engine.others;
-  return 0.7 + 0.3 * load / fleet.bears;
+  return 0.7 + 0.3 * load / fleet.max_in_flight;
 }
 
 /// Notes the prefix in the cache. Returns the part of the work that is left.
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -53,7 +53,7 @@
 struct FleetSpec {
   std::uint32_t zones = 3;
   std::uint32_t endpoints = 12;
-  std::uint32_t bears = 8;
+  std::uint32_t max_in_flight = 8;
   std::uint32_t cold_max_in_flight = 1;
   std::uint32_t accounts = 10;
   bool starts_cold = false;
@@ -137,7 +137,7 @@
 inline std::vector<Planned> PlanArrivals(const Load& load) {
   kernel::Random random(load.seed);
   std::vector<Planned> planned;
-  const double slots = load.fleet.endpoints * load.fleet.bears;
+  const double slots = load.fleet.endpoints * load.fleet.max_in_flight;
   for (const Stream& stream : load.streams) {
     const ClassSpec& cls = load.classes[stream.cls];
     const double rate = stream.load * slots / SlotSeconds(cls.work);
@@ -197,7 +197,7 @@
     endpoint.source = {"engine-" + std::to_string(i), "load", 1, true};
     endpoint.zone.idx = i % load.fleet.zones;
     endpoint.serves = {TargetHandle{0}};
-    endpoint.bears = load.fleet.bears;
+    endpoint.max_in_flight = load.fleet.max_in_flight;
     endpoint.cold_max_in_flight = load.fleet.cold_max_in_flight;
     made->endpoints.push_back(endpoint);
   }
--- a/policy/tests/load_run.h
+++ b/policy/tests/load_run.h
@@ -105,7 +105,8 @@
       std::visit([&](const auto& one) { Take(one); }, action);
     }
     for (const Engine& engine : engines_) {
-      Check(engine.in_flight <= std::max(engine.leased, load_.fleet.bears),
+      Check(engine.in_flight <=
+                std::max(engine.leased, load_.fleet.max_in_flight),
             "more in flight than the engine bears");
     }
   }
--- a/policy/tests/load_run_engines.h
+++ b/policy/tests/load_run_engines.h
@@ -90,8 +90,9 @@
   Engine& started = engines_[engine];
   const std::uint32_t cold = started.cold_answers > 0
                                  ? load_.fleet.cold_max_in_flight
-                                 : load_.fleet.bears;
-  (void)StartSlots(started.slots, cold, load_.fleet.bears, started.boot, now_);
+                                 : load_.fleet.max_in_flight;
+  (void)StartSlots(started.slots, cold, load_.fleet.max_in_flight, started.boot,
+                   now_);
   started.slots.cold_max_in_flight = load_.fleet.cold_max_in_flight;
   Lease(engine);
 }
--- a/policy/tests/loads_test.cc
+++ b/policy/tests/loads_test.cc
@@ -98,7 +98,7 @@
   const el::Load load = el::SaturatedHour();
   const ep::Limits limits;
   const el::Result ladder = Sound("ladder", load);
-  const std::uint32_t slots = load.fleet.endpoints * load.fleet.bears;
+  const std::uint32_t slots = load.fleet.endpoints * load.fleet.max_in_flight;
   const ep::Seconds bound = ep::TrickleBound(3, slots, ladder.longest_trickle,
                                              ep::Seconds(3), limits);
   for (std::uint32_t cls = 1; cls < 4; ++cls) {
