--- a/fleet/include/egretladder/fleet/orders.h
+++ b/fleet/include/egretladder/fleet/orders.h
@@ -58,7 +58,7 @@
 /// What the next order depends on besides the endpoint's own orders.
 struct OrderInput {
   std::vector<rules::TargetHandle> desired;
-  std::uint32_t holds = 1;
+  std::uint32_t max_loaded_models = 1;
   bool honours_fencing = false;
   bool store_free = false;  ///< The weight store's budget allows a load.
   /// Loaded models that may go: another endpoint, whose place it is to hold
--- a/fleet/src/fleet_keeper.cc
+++ b/fleet/src/fleet_keeper.cc
@@ -114,7 +114,7 @@
   const rules::Endpoint& row = RowOf(state, handle);
   OrderInput input;
   input.desired = state.orders.placement[handle.idx];
-  input.holds = row.holds;
+  input.max_loaded_models = row.max_loaded_models;
   input.honours_fencing = row.honours_fencing;
   input.store_free = now >= state.orders.next_load;
   input.spare = SpareModels(state, handle, now);
--- a/fleet/src/orders.cc
+++ b/fleet/src/orders.cc
@@ -50,7 +50,7 @@
   for (std::uint32_t i = 0; i < rules.endpoints.size(); ++i) {
     const rules::Endpoint& endpoint = rules.endpoints[i];
     const bool fits = takes_work[i] && Serves(endpoint, model) &&
-                      placement[i].size() < endpoint.holds &&
+                      placement[i].size() < endpoint.max_loaded_models &&
                       !Holds(placement[i], model);
     if (!fits) continue;
     const std::tuple rank(
@@ -127,7 +127,7 @@
   for (const TargetHandle target : input.desired) {
     if (Holds(orders.loaded, target)) continue;
     if (!input.store_free) return std::nullopt;
-    if (orders.loaded.size() < input.holds) {
+    if (orders.loaded.size() < input.max_loaded_models) {
       return NextOrder{OrderKind::kLoad, target};
     }
     const auto victim = Removable(orders, input, now);
--- a/lab/include/egretladder/lab/engine_model.h
+++ b/lab/include/egretladder/lab/engine_model.h
@@ -43,7 +43,7 @@
   std::chrono::milliseconds report_lag{300};
   bool honours_fencing = true;
   std::vector<std::string> models;       ///< Loaded at start; empty: bears any.
-  std::uint32_t holds = 0;               ///< Models in memory; 0: no limit.
+  std::uint32_t max_loaded_models = 0;   ///< Models in memory; 0: no limit.
   std::chrono::milliseconds load{2000};  ///< Of one model on order.
 };
 
--- a/lab/src/engine_model.cc
+++ b/lab/src/engine_model.cc
@@ -156,8 +156,8 @@
 
 void LoadModel(EngineState& state, const std::string& model, Time now) {
   if (state.loaded.contains(model)) return;
-  const std::uint32_t holds = state.options.holds;
-  while (holds > 0 && state.loaded.size() >= holds) {
+  const std::uint32_t max_loaded_models = state.options.max_loaded_models;
+  while (max_loaded_models > 0 && state.loaded.size() >= max_loaded_models) {
     const auto oldest = std::min_element(
         state.loaded.begin(), state.loaded.end(),
         [](const auto& a, const auto& b) { return a.second < b.second; });
--- a/lab/src/stand_in_engine.cc
+++ b/lab/src/stand_in_engine.cc
@@ -227,7 +227,8 @@
   app.add_option("--listen", options.listen, "loopback IP:port")->required();
   app.add_option("--models", engine.models, "loaded at start; none: any")
       ->delimiter(',');
-  app.add_option("--holds", engine.holds, "models in memory; 0: no limit");
+  app.add_option("--holds", engine.max_loaded_models,
+                 "models in memory; 0: no limit");
   app.add_option("--max-batch", engine.max_batch, "calls in one step");
   app.add_option("--max-waiting", engine.max_waiting, "beyond: refused unrun");
   app.add_option("--step-ms", times.step_ms, "time of an empty step");
--- a/lab/tests/engine_model_test.cc
+++ b/lab/tests/engine_model_test.cc
@@ -189,7 +189,7 @@
 // for weights that nobody ordered.
 TEST(EngineModel, AModelThatIsNotLoadedIsRefusedUnrunUntilItIs) {
   options_.models = {"trace"};
-  options_.holds = 1;
+  options_.max_loaded_models = 1;
   Start();
   CHECK(el::SubmitResult::kModelNotLoaded == Submit(1, 1));
   el::TakeOrder(engine_, {"load", "", 1}, clock_.now);
