--- a/bench/place_bench.cc
+++ b/bench/place_bench.cc
@@ -16,8 +16,8 @@
 constexpr int kNodes = 300;
 constexpr int kEndpoints = 3000;
 
-er::FleetPart FleetOfMany() {
-  er::FleetPart fleet;
+er::FleetSnapshot FleetOfMany() {
+  er::FleetSnapshot fleet;
   for (int i = 0; i < kNodes; ++i) {
     fleet.names.push_back("front-zone-a-" + std::to_string(i));
   }
@@ -36,13 +36,13 @@
     entry.address = "10.0.0.1:80";
     entry.slots = 16;
     if (i < cold) entry.cold_left = std::chrono::seconds(100);
-    er::OnEntry(set, entry, kNow);
+    er::OnEntryPublished(set, entry, kNow);
   }
   return set;
 }
 
 void PlaceAmongCold(benchmark::State& state) {
-  const er::FleetPart fleet = FleetOfMany();
+  const er::FleetSnapshot fleet = FleetOfMany();
   const er::EndpointSet set = EndpointsWithCold(state.range(0));
   const er::Service service{.name = "engines", .cold_per_second = 4};
   er::Demand demand;
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -9,7 +9,7 @@
 
 using kernel::LogLevel;
 using kernel::LogPart;
-using routing::AttemptEnd;
+using routing::AttemptOutcome;
 using routing::NextStep;
 
 constexpr int kBadGateway = 502;
@@ -24,30 +24,30 @@
 }
 
 // What the end says of the endpoint.
-void NoteEnd(Proxy& proxy, const Call& call, AttemptEnd end) {
+void NoteEnd(Proxy& proxy, const Call& call, AttemptOutcome end) {
   routing::Endpoint& endpoint = *call.attempt->endpoint;
   const Time now = NowOf(proxy);
   switch (end) {
-    case AttemptEnd::kNotSent:
+    case AttemptOutcome::kNotSent:
       routing::OnConnectFailed(endpoint, now);
       break;
-    case AttemptEnd::kFull: {
+    case AttemptOutcome::kFull: {
       const auto jitter = milliseconds(kernel::RandomBelow(
           proxy.random,
           static_cast<std::uint64_t>(routing::kFullPause.count()) + 1));
-      routing::OnFull(endpoint, routing::kFullPause / 2 + jitter, now);
+      routing::OnEndpointFull(endpoint, routing::kFullPause / 2 + jitter, now);
       break;
     }
-    case AttemptEnd::kWrongInstance:
+    case AttemptOutcome::kWrongInstance:
       routing::OnWrongInstance(proxy.endpoints, endpoint.entry.id);
       break;
-    case AttemptEnd::kBroken:
-    case AttemptEnd::kBadAnswer:
-    case AttemptEnd::kSilent:
-    case AttemptEnd::kFailed:
-      routing::OnFailed(endpoint, now);
+    case AttemptOutcome::kBroken:
+    case AttemptOutcome::kBadAnswer:
+    case AttemptOutcome::kSilent:
+    case AttemptOutcome::kFailed:
+      routing::OnAttemptFailed(endpoint, now);
       break;
-    case AttemptEnd::kSucceeded:
+    case AttemptOutcome::kSucceeded:
       routing::OnAnswered(endpoint, Between(call.attempt->sent, now), now);
       break;
   }
@@ -55,24 +55,25 @@
 
 // What the end says of the request: one that crashes endpoints shows by breaks
 // at one after the other.
-void NoteSuspect(Proxy& proxy, Call& call, AttemptEnd end) {
+void NoteSuspect(Proxy& proxy, Call& call, AttemptOutcome end) {
   const Attempt& attempt = *call.attempt;
   const Time now = NowOf(proxy);
-  if (end == AttemptEnd::kBroken) {
-    routing::OnBroke(
+  if (end == AttemptOutcome::kBroken) {
+    routing::OnConnectionBroke(
         proxy.suspects, FingerprintOf(call),
         {kernel::HashBytes(attempt.endpoint->entry.id), attempt.sent, now});
     return;
   }
-  const bool ran = end == AttemptEnd::kSucceeded || end == AttemptEnd::kFailed;
+  const bool ran =
+      end == AttemptOutcome::kSucceeded || end == AttemptOutcome::kFailed;
   if (ran && !proxy.suspects.by_request.empty()) {
-    routing::OnRan(proxy.suspects, FingerprintOf(call), now);
+    routing::OnRequestRan(proxy.suspects, FingerprintOf(call), now);
   }
 }
 
 void Release(const CallPtr& call, const Attempt& attempt) {
-  routing::OnStarted(*attempt.endpoint, call->demand, attempt.number,
-                     attempt.placement);
+  routing::OnAttemptStarted(*attempt.endpoint, call->demand, attempt.number,
+                            attempt.placement);
   routing::OnDone(*attempt.endpoint);
 }
 
@@ -88,18 +89,19 @@
         call->caller->OnGone(nullptr);
         call->caller->End();
         call->ended_well = true;
-        routing::OnStreamEnded(proxy.endpoints.paces[call->service->name],
-                               call->route->name,
-                               static_cast<double>(call->events),
-                               Between(call->first_event_at, NowOf(proxy)));
+        routing::OnStreamEnded(
+            proxy.endpoints.service_paces[call->service->name],
+            call->route->name, static_cast<double>(call->events),
+            Between(call->first_event_at, NowOf(proxy)));
         EndCall(proxy, call, "answered");
       } else {
         PassOn(proxy, call, *attempt);
       }
       return;
     case NextStep::kRefuse:
-      RefuseCall(proxy, call, kUnavailable, "no_endpoint",
-                 routing::ComeBackAfter({}, call->route->target, proxy.random));
+      RefuseCall(
+          proxy, call, kUnavailable, "no_endpoint",
+          routing::RetryAfterRejection({}, call->route->target, proxy.random));
       return;
     case NextStep::kUnknown:
       RefuseCall(proxy, call, kBadGateway, "outcome_unknown", {});
@@ -113,8 +115,8 @@
 
 // What follows an attempt that ended, with room in the retry share taken where
 // it is sent again.
-NextStep NextFor(Proxy& proxy, const Call& call, AttemptEnd end) {
-  routing::AfterAttempt after;
+NextStep NextFor(Proxy& proxy, const Call& call, AttemptOutcome end) {
+  routing::NextStepInput after;
   after.end = end;
   after.may_repeat = routing::MayRepeat(*call.route);
   after.resumable = call.route->resumable && !call.last_event_id.empty();
@@ -124,20 +126,21 @@
   after.not_run = call.not_run;
   after.not_sent = call.not_sent;
   after.time_left = NowOf(proxy) < call.deadline;
-  const NextStep step = routing::DecideNext(after);
+  const NextStep step = routing::DecideNextStep(after);
   const bool again = step == NextStep::kSendAgain || step == NextStep::kResume;
   // Impatience took its retry before it gave the attempt up.
-  if (!again || end == AttemptEnd::kSilent || call.arrivals == 0) return step;
+  if (!again || end == AttemptOutcome::kSilent || call.arrivals == 0)
+    return step;
   if (TakeRetry(proxy, call)) {
     return step;
   }
   after.time_left = false;
-  return routing::DecideNext(after);
+  return routing::DecideNextStep(after);
 }
 
-void CountEnd(Call& call, AttemptEnd end,
+void CountEnd(Call& call, AttemptOutcome end,
               const routing::EndpointPtr& endpoint) {
-  if (end == AttemptEnd::kNotSent) {
+  if (end == AttemptOutcome::kNotSent) {
     ++call.not_sent;
     return;
   }
@@ -174,7 +177,7 @@
   Release(call, *attempt);
 }
 
-void EndAttempt(Proxy& proxy, const CallPtr& call, AttemptEnd end,
+void EndAttempt(Proxy& proxy, const CallPtr& call, AttemptOutcome end,
                 const std::string& detail) {
   if (call->attempt == nullptr) return;
   call->patience = {};
@@ -186,7 +189,7 @@
   const NextStep step = NextFor(proxy, *call, end);
   Count(proxy, "egretladder_attempts_total", "Attempts ended, by how.",
         std::string("end=\"") + routing::NameOf(end) + "\"");
-  if (end != AttemptEnd::kSucceeded) {
+  if (end != AttemptOutcome::kSucceeded) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "attempt-ended",
                      {{"req", call->facts.id},
                       {"endpoint", attempt->endpoint->entry.id},
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -9,7 +9,7 @@
 
 using kernel::LogLevel;
 using kernel::LogPart;
-using routing::AttemptEnd;
+using routing::AttemptOutcome;
 
 constexpr int kUnavailable = 503;
 constexpr int kMisdirected = 421;
@@ -31,8 +31,8 @@
   if (attempt.started) return;
   attempt.started = true;
   const Time now = NowOf(proxy);
-  routing::OnStarted(*attempt.endpoint, call->demand, attempt.number,
-                     attempt.placement);
+  routing::OnAttemptStarted(*attempt.endpoint, call->demand, attempt.number,
+                            attempt.placement);
   routing::OnFirstByte(
       *attempt.endpoint, Between(attempt.sent, now),
       milliseconds(static_cast<std::int64_t>(attempt.placement.expected_ms)));
@@ -40,21 +40,22 @@
                   now - call->arrived);
 }
 
-AttemptEnd EndOfWhole(const Attempt& attempt) {
+AttemptOutcome EndOfWhole(const Attempt& attempt) {
   const int status = attempt.head.status;
   if (attempt.facts.not_run) {
-    return status == kMisdirected ? AttemptEnd::kWrongInstance
-                                  : AttemptEnd::kFull;
+    return status == kMisdirected ? AttemptOutcome::kWrongInstance
+                                  : AttemptOutcome::kFull;
   }
   if (IsSuccess(status)) {
     return attempt.facts.sealed && !attempt.facts.encoded
-               ? AttemptEnd::kSucceeded
-               : AttemptEnd::kBadAnswer;
+               ? AttemptOutcome::kSucceeded
+               : AttemptOutcome::kBadAnswer;
   }
   if (PromisesNotRun(status) || attempt.facts.encoded) {
-    return AttemptEnd::kBadAnswer;
+    return AttemptOutcome::kBadAnswer;
   }
-  return status >= kServerErrors ? AttemptEnd::kFailed : AttemptEnd::kSucceeded;
+  return status >= kServerErrors ? AttemptOutcome::kFailed
+                                 : AttemptOutcome::kSucceeded;
 }
 
 net::HeadVerdict OnHead(Proxy& proxy, const CallPtr& call,
@@ -68,7 +69,7 @@
                       {"answers", facts.id}});
     return net::HeadVerdict::kSkip;
   }
-  routing::OnHeard(*attempt.endpoint, NowOf(proxy));
+  routing::OnSignOfLife(*attempt.endpoint, NowOf(proxy));
   if (head.status != kMisdirected) NoteLimit(proxy, *call, facts);
   attempt.head = head;
   attempt.facts = facts;
@@ -86,13 +87,14 @@
     return;
   }
   attempt.paced_events += events;
-  if (attempt.paced_events < routing::kPaceEvery) return;
+  if (attempt.paced_events < routing::kEventsPerPaceSample) return;
   const std::chrono::duration<double, std::milli> took = now - attempt.paced;
   routing::Endpoint& endpoint = *attempt.endpoint;
-  routing::ServicePace& pace = proxy.endpoints.paces[call.service->name];
-  routing::OnPause(endpoint.pace, pace,
-                   endpoint.in_flight + endpoint.others_in_flight,
-                   took / static_cast<double>(attempt.paced_events));
+  routing::ServicePace& pace =
+      proxy.endpoints.service_paces[call.service->name];
+  routing::OnEventInterval(endpoint.pace, pace,
+                           endpoint.in_flight + endpoint.peers_in_flight,
+                           took / static_cast<double>(attempt.paced_events));
   routing::OnStreamRunning(pace, call.route->name,
                            static_cast<double>(call.events));
   attempt.paced = now;
@@ -118,7 +120,7 @@
     return;
   }
   net::Cancel(call->attempt->exchange);
-  EndAttempt(proxy, call, AttemptEnd::kSilent, "no event in time");
+  EndAttempt(proxy, call, AttemptOutcome::kSilent, "no event in time");
 }
 
 void SetPatience(Proxy& proxy, const CallPtr& call, milliseconds patience) {
@@ -187,7 +189,7 @@
 
 void OnBody(Proxy& proxy, const CallPtr& call, std::string_view piece) {
   Attempt& attempt = *call->attempt;
-  routing::OnHeard(*attempt.endpoint, NowOf(proxy));
+  routing::OnSignOfLife(*attempt.endpoint, NowOf(proxy));
   if (attempt.events) {
     NoteStarted(proxy, call);
     PassEvents(proxy, call, piece);
@@ -201,7 +203,8 @@
   attempt.body.append(piece);
   if (attempt.body.size() > kWholeAnswerMost) {
     net::Cancel(attempt.exchange);
-    EndAttempt(proxy, call, AttemptEnd::kBadAnswer, "the answer is too large");
+    EndAttempt(proxy, call, AttemptOutcome::kBadAnswer,
+               "the answer is too large");
   }
 }
 
@@ -213,20 +216,21 @@
     return;
   }
   const bool whole = attempt.splitter.rest.empty() && call->events > 0;
-  EndAttempt(proxy, call, whole ? AttemptEnd::kSucceeded : AttemptEnd::kBroken,
+  EndAttempt(proxy, call,
+             whole ? AttemptOutcome::kSucceeded : AttemptOutcome::kBroken,
              whole ? "" : "the stream ended inside an event");
 }
 
-AttemptEnd EndOfFault(net::ExchangeFault fault) {
+AttemptOutcome EndOfFault(net::ExchangeFault fault) {
   switch (fault) {
     case net::ExchangeFault::kNotConnected:
-      return AttemptEnd::kNotSent;
+      return AttemptOutcome::kNotSent;
     case net::ExchangeFault::kBroken:
-      return AttemptEnd::kBroken;
+      return AttemptOutcome::kBroken;
     case net::ExchangeFault::kBadAnswer:
       break;
   }
-  return AttemptEnd::kBadAnswer;
+  return AttemptOutcome::kBadAnswer;
 }
 
 void LogSent(const Proxy& proxy, const Call& call, Time now) {
@@ -238,11 +242,11 @@
                     {"why", routing::NameOf(placement.reason)},
                     {"expected_ms", placement.expected_ms},
                     {"cost", routing::Describe(placement.costs)},
-                    {"tight_part", proxy.endpoints.tight_part},
+                    {"tight_part", proxy.endpoints.tight_fraction},
                     {"waited_ms", Between(call.arrived, now)},
                     {"left_ms", Between(now, call.deadline)},
                     {"in_flight", endpoint.in_flight},
-                    {"others", endpoint.others_in_flight},
+                    {"others", endpoint.peers_in_flight},
                     {"phase", routing::NameOf(endpoint.phase)},
                     {"tier", call.demand.tier},
                     {"route", call.route->name},
@@ -264,7 +268,7 @@
 
 net::Reuse ReuseFor(const Call& call, Time now) {
   if (routing::MayRepeat(*call.route)) return net::Reuse::kAny;
-  return routing::IsHeardLately(*call.attempt->endpoint, now)
+  return routing::IsRecentlyHeard(*call.attempt->endpoint, now)
              ? net::Reuse::kYoung
              : net::Reuse::kNone;
 }
@@ -320,8 +324,8 @@
   attempt.placement = placement;
   attempt.sent = now;
   routing::OnPlaced(proxy.sides, call->demand, placement, now);
-  routing::OnSent(*placement.endpoint, call->demand, attempt.number, placement,
-                  now);
+  routing::OnAttemptSent(*placement.endpoint, call->demand, attempt.number,
+                         placement, now);
   kernel::Observe(proxy.metrics, call->measures->waited, now - call->arrived);
   LogSent(proxy, *call, now);
   attempt.exchange = proxy.client->Start(ExchangeFor(proxy, *call, now),
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -50,7 +50,7 @@
                                 std::max(route.timeout, milliseconds(1)));
   call->deadline = now + allowed;
   const auto target =
-      routing::DrawTarget(route, kernel::RandomFraction(proxy.random));
+      routing::PickTarget(route, kernel::RandomFraction(proxy.random));
   call->service = &proxy.rules->services[target.idx];
   call->demand.service = call->service;
   call->demand.tier = routing::RankOf(*proxy.rules, route, account);
@@ -60,12 +60,13 @@
     if (route.kind == routing::RouteKind::kStream) {
       const routing::ServicePace& pace =
           routing::PaceOf(proxy.endpoints, call->service->name);
-      call->demand.events = routing::EventsExpected(pace, route.name);
-      call->demand.longest = routing::EventsAtMost(pace, route.name);
-      call->demand.length_ms = routing::LengthExpected(pace, route.name);
+      call->demand.events = routing::ExpectedStreamEvents(pace, route.name);
+      call->demand.longest = routing::LongStreamEvents(pace, route.name);
+      call->demand.expected_stream_ms =
+          routing::ExpectedStreamMs(pace, route.name);
     }
-    call->demand.tight =
-        route.gap_target.count() > 0 && route.gap_target <= routing::kTightGap;
+    call->demand.tight = route.gap_target.count() > 0 &&
+                         route.gap_target <= routing::kMaxTightGap;
   }
   call->facts = std::move(facts);
   call->body_bytes = caller->request().body.size();
@@ -124,7 +125,7 @@
   }
   if (proxy.rules == nullptr) {
     Reject(proxy, caller, kUnavailable, "not_ready", "no rules are known yet",
-           routing::ComeBackWhenReady(
+           routing::RetryAfterNotReady(
                Between(proxy.members.started, NowOf(proxy)), proxy.random));
     return false;
   }
@@ -241,33 +242,33 @@
     RefuseSuspect(proxy, call, held);
     return;
   }
-  const routing::FleetPart fleet = routing::PartOf(proxy.members, now);
+  const routing::FleetSnapshot fleet = routing::PartOf(proxy.members, now);
   const routing::Placement placement = routing::Place(
       proxy.endpoints, call->demand, call->tried, fleet, proxy.random, now);
-  routing::AdmitAsk ask;
+  routing::AdmissionInput ask;
   if (!call->waiting) call->waits_since = now;
   ask.waits_since = call->waits_since;
   ask.deadline = call->deadline;
   ask.target = call->route->target;
-  ask.came_before = call->arrivals > 0;
-  const routing::AdmitVerdict verdict =
-      routing::DecideSend(ask, placement, now);
+  ask.was_sent_before = call->arrivals > 0;
+  const routing::AdmissionVerdict verdict =
+      routing::DecideAdmission(ask, placement, now);
   // A stopping node refuses what it can't finish before it waits for a free
   // endpoint: its caller's time is for another node.
   const bool goes_on =
-      verdict == routing::AdmitVerdict::kSend ||
-      (verdict == routing::AdmitVerdict::kWait && !call->waiting);
+      verdict == routing::AdmissionVerdict::kSend ||
+      (verdict == routing::AdmissionVerdict::kWait && !call->waiting);
   if (goes_on && call->may_have_run == 0 &&
       !CanStillFinish(proxy, *call, placement)) {
     RefuseCall(proxy, call, kUnavailable, "leaving", kLeavingRetry);
     return;
   }
-  if (verdict == routing::AdmitVerdict::kWait) {
+  if (verdict == routing::AdmissionVerdict::kWait) {
     Wait(proxy, call);
     return;
   }
   StopWaiting(proxy, call);
-  if (verdict == routing::AdmitVerdict::kSend) {
+  if (verdict == routing::AdmissionVerdict::kSend) {
     StartAttempt(proxy, call, placement);
     return;
   }
@@ -281,9 +282,9 @@
                     {"service", call->service->name},
                     {"tier", call->demand.tier},
                     {"nodes", fleet.nodes}});
-  RefuseOrBreak(
-      proxy, call, routing::NameOf(verdict),
-      routing::ComeBackAfter(placement, call->route->target, proxy.random));
+  RefuseOrBreak(proxy, call, routing::NameOf(verdict),
+                routing::RetryAfterRejection(placement, call->route->target,
+                                             proxy.random));
 }
 
 void DispatchWaiting(Proxy& proxy) {
--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -42,7 +42,7 @@
 void LogTransfer(const Proxy& proxy, Feed feed, const std::string& from,
                  const PackedChanges& packed, std::uint64_t revision,
                  Time asked) {
-  if (packed.bytes.size() <= routing::kSmallChanges) return;
+  if (packed.bytes.size() <= routing::kSmallChangesBytes) return;
   kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "fetched",
                    {{"feed", routing::NameOf(feed)},
                     {"from", from},
@@ -55,18 +55,20 @@
 void OnContent(Proxy& proxy, Feed feed, const std::string& from,
                const PackedChanges& packed, Time asked) {
   auto received = UnpackChanges(packed, feed);
-  routing::FeedPull& pull = routing::PullOf(proxy.peers->pulls, feed);
+  routing::FeedFetch& pull =
+      routing::GetFeedFetch(proxy.peers->feed_fetches, feed);
   if (!received) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kWarning, "fetch-refused",
                      {{"feed", routing::NameOf(feed)},
                       {"from", from},
                       {"why", kernel::Describe(received.error())}});
     CountFetch(proxy, "refused");
-    routing::OnPullFailed(pull, from, routing::kPullSilentPause, NowOf(proxy));
+    routing::OnFetchFailed(pull, from, routing::kFetchTimeoutBackoff,
+                           NowOf(proxy));
     return;
   }
   CountFetch(proxy, "taken");
-  routing::OnPulled(pull, from);
+  routing::OnFetchDone(pull, from);
   LogTransfer(proxy, feed, from, packed, received.value().changes.revision,
               asked);
   TakeChanges(proxy, received.value().changes, Source::kPeer,
@@ -80,8 +82,9 @@
              answer.totalSize().wordCount);
   if (answer.getBusy()) {
     CountFetch(proxy, "busy");
-    routing::OnPullFailed(routing::PullOf(proxy.peers->pulls, feed), from,
-                          routing::kPullBusyPause, NowOf(proxy));
+    routing::OnFetchFailed(
+        routing::GetFeedFetch(proxy.peers->feed_fetches, feed), from,
+        routing::kFetchBusyBackoff, NowOf(proxy));
     return;
   }
   const auto bytes = answer.getPacked().getBytes();
@@ -94,9 +97,10 @@
 void Fetch(Proxy& proxy, Feed feed, const std::string& from) {
   PeerOut* peer = PeerAt(*proxy.peers, from);
   const Time now = NowOf(proxy);
-  routing::FeedPull& pull = routing::PullOf(proxy.peers->pulls, feed);
+  routing::FeedFetch& pull =
+      routing::GetFeedFetch(proxy.peers->feed_fetches, feed);
   if (peer == nullptr) {
-    routing::OnPullFailed(pull, from, routing::kPullSilentPause, now);
+    routing::OnFetchFailed(pull, from, routing::kFetchTimeoutBackoff, now);
     return;
   }
   auto request = peer->peer.fetchRequest();
@@ -125,7 +129,7 @@
 void ServeContent(Proxy& proxy, bool near, std::uint8_t feed_number,
                   std::uint64_t after,
                   exchange::Peer::FetchResults::Builder results) {
-  if (feed_number >= routing::kFeeds) {  // Of a newer node.
+  if (feed_number >= routing::kFeedCount) {  // Of a newer node.
     results.setBusy(true);
     return;
   }
@@ -160,8 +164,8 @@
     const auto feed = static_cast<Feed>(i);
     const std::uint64_t own = routing::StateOf(proxy.catalog, feed).revision;
     if (own == 0 && progress[i].known == 0) OnPeerKnowsNothing(proxy);
-    if (!routing::TakeProgress(proxy.catalog, feed, progress[i])) continue;
-    routing::OnOffer(proxy.peers->pulls.feeds[i], peer, near,
+    if (!routing::ApplyPeerProgress(proxy.catalog, feed, progress[i])) continue;
+    routing::OnOffer(proxy.peers->feed_fetches.feeds[i], peer, near,
                      progress[i].known);
     lacks = true;
   }
@@ -169,11 +173,11 @@
 }
 
 void FetchNews(Proxy& proxy) {
-  for (std::size_t i = 0; i < routing::kFeeds; ++i) {
+  for (std::size_t i = 0; i < routing::kFeedCount; ++i) {
     const auto feed = static_cast<Feed>(i);
     if (WaitsForStore(proxy, feed)) continue;
-    const std::string peer = routing::NextPull(
-        proxy.peers->pulls.feeds[i],
+    const std::string peer = routing::StartNextFetch(
+        proxy.peers->feed_fetches.feeds[i],
         routing::StateOf(proxy.catalog, feed).revision, NowOf(proxy));
     if (!peer.empty()) Fetch(proxy, feed, peer);
   }
--- a/proxy/src/knowledge.cc
+++ b/proxy/src/knowledge.cc
@@ -102,8 +102,9 @@
     routing::OnEntryRemoved(proxy.endpoints, id, false, now);
     return;
   }
-  LogEndpoint(id, routing::OnEntry(proxy.endpoints, entry.value(), now), source,
-              item.rev);
+  LogEndpoint(id,
+              routing::OnEntryPublished(proxy.endpoints, entry.value(), now),
+              source, item.rev);
 }
 
 }  // namespace
@@ -142,8 +143,8 @@
   if (news.empty()) return;
   // Other nodes hear of it now rather than in some rounds.
   if (!routing::IsSmallFleet(proxy.members)) {
-    NewsSoon(proxy, source == Source::kPeer ? routing::kToldOnward
-                                            : routing::kToldAtOnce);
+    NewsSoon(proxy, source == Source::kPeer ? routing::kRelayFanout
+                                            : routing::kReaderFanout);
   }
   if (!proxy.waiting.empty()) DispatchWaiting(proxy);
 }
--- a/proxy/src/named_limits.cc
+++ b/proxy/src/named_limits.cc
@@ -28,7 +28,8 @@
   }
   if (!facts.limit && !facts.sealed) return;
   const double before = endpoint.limit.per_second;
-  if (routing::OnLimit(proxy.endpoints, endpoint, facts.limit, NowOf(proxy))) {
+  if (routing::OnAdvertisedLimit(proxy.endpoints, endpoint, facts.limit,
+                                 NowOf(proxy))) {
     LogLimit(endpoint, before, "answer");
   }
 }
@@ -36,13 +37,13 @@
 void WriteLimits(Proxy& proxy, exchange::News::Builder news) {
   if (proxy.endpoints.limited.empty()) return;
   const auto told =
-      routing::LimitsToTell(proxy.endpoints, proxy.random, NowOf(proxy));
+      routing::MakeLimitGossip(proxy.endpoints, proxy.random, NowOf(proxy));
   auto list = news.initLimits(static_cast<unsigned>(told.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setEndpoint(told[i].endpoint);
     list[i].setPerSecond(told[i].per_second);
     list[i].setNamedAgoMs(static_cast<std::uint32_t>(
-        std::max<std::int64_t>(0, told[i].named_ago.count())));
+        std::max<std::int64_t>(0, told[i].advertised_ago.count())));
   }
 }
 
@@ -52,7 +53,7 @@
     const auto at = proxy.endpoints.by_id.find(id);
     if (at == proxy.endpoints.by_id.end()) continue;
     const double before = at->second->limit.per_second;
-    const bool changed = routing::HearLimit(
+    const bool changed = routing::ApplyLimitGossip(
         proxy.endpoints,
         {id, told.getPerSecond(), milliseconds(told.getNamedAgoMs())},
         NowOf(proxy));
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -97,18 +97,18 @@
 // Sums up anew what peers said; what is too old no longer counts.
 void SumLoads(Proxy& proxy, Time now) {
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
-    endpoint->others_in_flight = 0;
-    endpoint->others_tokens = 0;
+    endpoint->peers_in_flight = 0;
+    endpoint->peers_waiting_tokens = 0;
   }
   std::erase_if(proxy.peer_loads, [now](const auto& entry) {
-    return now - entry.second.told > routing::kLoadKept;
+    return now - entry.second.told > routing::kPeerLoadRetention;
   });
   for (const auto& [node, told] : proxy.peer_loads) {
     for (const PeerLoads::Load& load : told.loads) {
       const auto at = proxy.endpoints.by_id.find(load.endpoint);
       if (at == proxy.endpoints.by_id.end()) continue;
-      at->second->others_in_flight += load.in_flight;
-      at->second->others_tokens += load.waiting_tokens;
+      at->second->peers_in_flight += load.in_flight;
+      at->second->peers_waiting_tokens += load.waiting_tokens;
     }
   }
 }
@@ -138,7 +138,7 @@
 
 void WriteSuspects(const Proxy& proxy, exchange::News::Builder news, Time now) {
   if (proxy.suspects.by_request.empty()) return;
-  const auto told = routing::SuspectsToTell(proxy.suspects, now);
+  const auto told = routing::MakeSuspectGossip(proxy.suspects, now);
   auto list = news.initSuspects(static_cast<unsigned>(told.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setRequest(told[i].request);
@@ -155,7 +155,7 @@
 
 void TakeSuspects(Proxy& proxy, exchange::News::Reader news, Time now) {
   for (const auto reader : news.getSuspects()) {
-    routing::ToldSuspect told;
+    routing::SuspectGossip told;
     told.request = reader.getRequest();
     told.cleared_ago = milliseconds(reader.getClearedAgoMs());
     for (const auto seen : reader.getBreaks()) {
@@ -163,11 +163,11 @@
                              milliseconds(seen.getSentAgoMs()),
                              milliseconds(seen.getBrokeAgoMs())});
     }
-    routing::HearSuspect(proxy.suspects, told, now);
+    routing::ApplySuspectGossip(proxy.suspects, told, now);
   }
 }
 
-void WriteMembers(const routing::MemberNews& told,
+void WriteMembers(const routing::MemberGossip& told,
                   exchange::News::Builder news) {
   auto members = news.initMembers(static_cast<unsigned>(told.members.size()));
   for (unsigned i = 0; i < members.size(); ++i) {
@@ -188,8 +188,8 @@
   }
 }
 
-routing::MemberNews ReadMembers(exchange::News::Reader news) {
-  routing::MemberNews told;
+routing::MemberGossip ReadMembers(exchange::News::Reader news) {
+  routing::MemberGossip told;
   for (const auto member : news.getMembers()) {
     told.members.push_back(ReadMember(member));
   }
@@ -201,7 +201,7 @@
   return told;
 }
 
-void TakeMembers(Proxy& proxy, const routing::MemberNews& told, Time now) {
+void TakeMembers(Proxy& proxy, const routing::MemberGossip& told, Time now) {
   for (const std::string& node : routing::Hear(proxy.members, told, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-there",
                      {{"node", node}});
@@ -213,7 +213,8 @@
 Progress OwnProgress(const Proxy& proxy) {
   Progress own{};
   for (std::size_t i = 0; i < own.size(); ++i) {
-    own[i] = routing::ProgressOf(proxy.catalog, static_cast<routing::Feed>(i));
+    own[i] =
+        routing::GetFeedProgress(proxy.catalog, static_cast<routing::Feed>(i));
   }
   return own;
 }
@@ -239,7 +240,7 @@
   const Time now = NowOf(proxy);
   WriteMembers(routing::ToTell(proxy.members, unknown, proxy.random, now),
                news);
-  WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeeds));
+  WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeedCount));
   news.setTightDemand(static_cast<float>(proxy.agreed.mean.tight));
   news.setRestDemand(static_cast<float>(proxy.agreed.mean.rest));
   WriteLoads(proxy, news);
@@ -249,12 +250,12 @@
 
 PeerState TakeNews(Proxy& proxy, exchange::News::Reader news) {
   const Time now = NowOf(proxy);
-  const routing::MemberNews told = ReadMembers(news);
+  const routing::MemberGossip told = ReadMembers(news);
   TakeMembers(proxy, told, now);
   TakeSuspects(proxy, news, now);
   TakeLimits(proxy, news);
   routing::Agree(proxy.agreed, {news.getTightDemand(), news.getRestDemand()});
-  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed.mean);
+  proxy.endpoints.tight_fraction = routing::TightFraction(proxy.agreed.mean);
   PeerState peer;
   // The first member is the sender itself.
   if (!told.members.empty()) {
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -35,8 +35,8 @@
     near_ = IsNear(proxy_, peer.zone);
     CountBytes(proxy_, "in", MessageKind::kExchange, near_,
                told.totalSize().wordCount);
-    routing::OnExchanged(proxy_.members, NowOf(proxy_));
-    routing::OnHeardFrom(proxy_.members, peer.peers, NowOf(proxy_));
+    routing::OnExchangeAnswered(proxy_.members, NowOf(proxy_));
+    routing::OnPeerMessage(proxy_.members, peer.peers, NowOf(proxy_));
     auto news = context.getResults().initNews();
     WriteNews(proxy_, peer.unknown, news);
     CountBytes(proxy_, "out", MessageKind::kExchange, near_,
@@ -58,7 +58,7 @@
     CountBytes(proxy_, "in", MessageKind::kAnnounce, near_,
                told.totalSize().wordCount);
     const std::string peer = told.getPeers();
-    routing::OnHeardFrom(proxy_.members, peer, NowOf(proxy_));
+    routing::OnPeerMessage(proxy_.members, peer, NowOf(proxy_));
     HearProgress(proxy_, peer, near_, ReadProgress(told.getProgress()));
     return kj::READY_NOW;
   }
@@ -93,11 +93,12 @@
     const PeerOut& peer = *at->second;
     const bool over = IsOver(peer, now);
     if (over && !peer.answered && now - peer.opened < kRefusedWithin) {
-      routing::OnUnreachable(net.proxy->members, at->first, now);
+      routing::OnPeerUnreachable(net.proxy->members, at->first, now);
     }
     if (over) {
-      for (routing::FeedPull& pull : net.pulls.feeds) {
-        routing::OnPullFailed(pull, at->first, routing::kPullSilentPause, now);
+      for (routing::FeedFetch& pull : net.feed_fetches.feeds) {
+        routing::OnFetchFailed(pull, at->first, routing::kFetchTimeoutBackoff,
+                               now);
       }
     }
     at = over || now - peer.asked > kPeerIdleTime ? net.out.erase(at)
@@ -138,8 +139,8 @@
   peer->tasks.add(request.send().then([&proxy, peer, address](auto&& answer) {
     peer->exchanging = false;
     OnAnswer(*peer, NowOf(proxy));
-    routing::OnExchanged(proxy.members, NowOf(proxy));
-    routing::OnHeardFrom(proxy.members, address, NowOf(proxy));
+    routing::OnExchangeAnswered(proxy.members, NowOf(proxy));
+    routing::OnPeerMessage(proxy.members, address, NowOf(proxy));
     PeerState state = TakeNews(proxy, answer.getNews());
     peer->near = IsNear(proxy, state.zone);
     CountBytes(proxy, "in", MessageKind::kExchange, peer->near,
@@ -154,7 +155,8 @@
   const auto hanging =
       std::count_if(net.out.begin(), net.out.end(), [now](const auto& entry) {
         const PeerOut& peer = *entry.second;
-        return peer.exchanging && now - peer.waits_since >= routing::kHanging;
+        return peer.exchanging &&
+               now - peer.waits_since >= routing::kExchangeStallTime;
       });
   return static_cast<std::size_t>(hanging);
 }
@@ -164,7 +166,7 @@
   const Time now = NowOf(proxy);
   std::vector<std::string> peers;
   for (const auto& [node, known] : proxy.members.others) {
-    if (routing::IsThere(proxy.members, known, now)) {
+    if (routing::IsMemberAvailable(proxy.members, known, now)) {
       peers.push_back(known.member.peers);
     }
   }
@@ -184,7 +186,7 @@
   auto request = peer->peer.announceRequest();
   request.setPeers(proxy.members.self.peers);
   request.setZone(proxy.members.self.zone);
-  WriteProgress(OwnProgress(proxy), request.initProgress(routing::kFeeds));
+  WriteProgress(OwnProgress(proxy), request.initProgress(routing::kFeedCount));
   CountBytes(proxy, "out", MessageKind::kAnnounce, peer->near,
              request.totalSize().wordCount);
   OnAsk(*peer, NowOf(proxy));
@@ -247,19 +249,19 @@
 void Exchange(Proxy& proxy) {
   const Time now = NowOf(proxy);
   routing::Pull(proxy.agreed, proxy.sides, now);
-  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed.mean);
+  proxy.endpoints.tight_fraction = routing::TightFraction(proxy.agreed.mean);
   routing::Beat(proxy.members, now);
-  const std::size_t peers = routing::PeersToTry(Hanging(*proxy.peers, now));
+  const std::size_t peers = routing::MaxPeersToTry(Hanging(*proxy.peers, now));
   for (std::size_t i = 0; i < peers; ++i) {
     const std::string address =
-        routing::NextPeer(proxy.members, proxy.random, now);
+        routing::PickExchangePeer(proxy.members, proxy.random, now);
     if (!address.empty()) ExchangeWith(*proxy.peers, address);
   }
 }
 
 void TellMany(Proxy& proxy) {
   routing::Beat(proxy.members, NowOf(proxy));
-  for (const std::string& peer : DrawPeers(proxy, routing::kToldAtOnce)) {
+  for (const std::string& peer : DrawPeers(proxy, routing::kReaderFanout)) {
     ExchangeWith(*proxy.peers, peer);
   }
 }
@@ -267,7 +269,7 @@
 void TellStandbys(Proxy& proxy) {
   if (routing::IsSmallFleet(proxy.members)) return;
   for (const std::string& peer :
-       routing::StandbysOf(proxy.members, NowOf(proxy))) {
+       routing::StandbyAddresses(proxy.members, NowOf(proxy))) {
     AnnounceTo(*proxy.peers, peer);
   }
 }
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -56,8 +56,8 @@
   net::Listener listener;
   std::map<std::string, std::unique_ptr<PeerOut>> out;
   std::vector<std::unique_ptr<net::RpcServerConnection>> in;
-  routing::Pulls pulls;
-  std::array<KeptContent, routing::kFeeds> content;
+  routing::FeedFetches feed_fetches;
+  std::array<KeptContent, routing::kFeedCount> content;
   kernel::EventWatcher sweep;
   kernel::EventWatcher soon;
   bool soon_armed = false;
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -25,12 +25,13 @@
   proxy.ticked = now;
   if (gap > kPaused) OnPaused(proxy, gap);
   OnStopTick(proxy);
-  for (const std::string& id : routing::DropLapsed(proxy.endpoints, now)) {
+  for (const std::string& id :
+       routing::RemoveLapsedEndpoints(proxy.endpoints, now)) {
     kernel::LogEvent(
         LogPart::kPlatform, LogLevel::kInfo, "endpoint",
         {{"endpoint", id}, {"change", "gone"}, {"source", "lapsed"}});
   }
-  routing::ForgetRemovals(proxy.catalog, now);
+  routing::PruneTombstones(proxy.catalog, now);
   routing::ForgetSuspects(proxy.suspects, now);
   for (const std::string& node : routing::ForgetMembers(proxy.members, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-forgotten",
@@ -43,7 +44,8 @@
 void ExchangeWhenDue(Proxy& proxy) {
   const Time now = NowOf(proxy);
   // The timer is not exact, and a turn that is a little early must not be lost.
-  const auto due = routing::kExchangePeriodLarge - routing::kExchangePeriod / 2;
+  const auto due =
+      routing::kLargeFleetExchangeInterval - routing::kExchangeInterval / 2;
   if (!routing::IsSmallFleet(proxy.members) && now - proxy.exchanged < due) {
     return;
   }
@@ -143,12 +145,12 @@
   proxy->peers = std::move(net);
   const Time now = NowOf(*proxy);
   proxy->members =
-      routing::StartMembers(SelfOf(*proxy, peers), options.seeds, now);
+      routing::MakeMembers(SelfOf(*proxy, peers), options.seeds, now);
   proxy->ticked = now;
   proxy->tick =
       kernel::RunEvery(loop, kTick, [raw = proxy.get()] { OnTick(*raw); });
   proxy->exchange_tick =
-      kernel::RunEvery(loop, routing::kExchangePeriod,
+      kernel::RunEvery(loop, routing::kExchangeInterval,
                        [raw = proxy.get()] { ExchangeWhenDue(*raw); });
   StartReading(*proxy);
   Exchange(*proxy);
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -151,9 +151,9 @@
   routing::EndpointSet endpoints;
   routing::Members members;
   std::map<std::string, PeerLoads> peer_loads;
-  routing::SideMeter sides;
-  routing::AgreedDemand agreed;
-  std::unordered_map<std::string, routing::RetryShare> retry_shares;
+  routing::SplitDemandMeter sides;
+  routing::FleetDemand agreed;
+  std::unordered_map<std::string, routing::NodeRetryBudget> retry_shares;
   routing::Suspects suspects;
   Time store_trouble{};  ///< Last failed call; default: none.
 
@@ -163,7 +163,7 @@
   std::unique_ptr<net::HttpServer> ready;
   std::unique_ptr<net::HttpServer> directory;
   std::unique_ptr<net::HttpServer> metrics_server;
-  std::array<StoreReader, routing::kFeeds> readers;
+  std::array<StoreReader, routing::kFeedCount> readers;
   bool reads_store = false;  ///< Else other nodes read it for this one.
   /// A node that knows nothing reads the store from then on.
   Time store_from{};
@@ -195,9 +195,9 @@
 }
 
 /// Those among whom the allowance of repeats is shared.
-inline routing::RetryFleet RetryFleetOf(Proxy& proxy) {
+inline routing::RetryBudgetFleet RetryFleetOf(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  return {routing::NodesOf(proxy.members, now),
+  return {routing::EstimateFleetSize(proxy.members, now),
           Between(proxy.members.started, now)};
 }
 
@@ -258,7 +258,7 @@
                   const routing::Placement& placement);
 /// Stops the attempt without a decision; the endpoint sees a closed connection.
 void DropAttempt(Proxy& proxy, const CallPtr& call);
-void EndAttempt(Proxy& proxy, const CallPtr& call, routing::AttemptEnd end,
+void EndAttempt(Proxy& proxy, const CallPtr& call, routing::AttemptOutcome end,
                 const std::string& detail);
 
 // named_limits.cc
@@ -301,7 +301,7 @@
 kernel::Result<PeerNetPtr> OpenPeers(Proxy& proxy, std::string* address);
 /// One exchange with one peer.
 void Exchange(Proxy& proxy);
-/// Tells `kToldAtOnce` peers drawn at random at once.
+/// Tells `kReaderFanout` peers drawn at random at once.
 void TellMany(Proxy& proxy);
 /// A reader shows the nodes that would take its place that it is there.
 void TellStandbys(Proxy& proxy);
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -48,8 +48,9 @@
   }
 }
 
-void LogTake(Proxy& proxy, const Call& call, const routing::StopAsk& ask,
-             routing::StopVerdict verdict) {
+void LogTake(Proxy& proxy, const Call& call,
+             const routing::StopAdmissionInput& ask,
+             routing::StopAdmissionVerdict verdict) {
   Count(proxy, "egretladder_stop_requests_total",
         "Requests that met a node that stops, by what was decided.",
         std::string("verdict=\"") + routing::NameOf(verdict) + "\"");
@@ -97,15 +98,16 @@
 bool CanStillFinish(Proxy& proxy, const Call& call,
                     const routing::Placement& placement) {
   if (!proxy.leaving) return true;
-  routing::StopAsk ask;
+  routing::StopAdmissionInput ask;
   ask.arrived = Between(proxy.leaving_since, call.arrived);
   ask.since = StoppingFor(proxy);
   ask.deadline = Between(NowOf(proxy), call.deadline) + kDeadlineMargin;
-  ask.longest = routing::LongestWhole(proxy.endpoints, call.demand, placement);
-  const routing::StopVerdict verdict =
-      routing::DecideTake(StopPlanOf(proxy.options), ask);
+  ask.longest =
+      routing::EstimateLongAnswerTime(proxy.endpoints, call.demand, placement);
+  const routing::StopAdmissionVerdict verdict =
+      routing::DecideStopAdmission(StopPlanOf(proxy.options), ask);
   LogTake(proxy, call, ask, verdict);
-  return routing::IsTaken(verdict);
+  return routing::IsAdmitted(verdict);
 }
 
 void OnStopTick(Proxy& proxy) {
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -220,14 +220,14 @@
   const auto tell = [&proxy] { TellStandbys(proxy); };
   proxy.standby_soon = kernel::RunAfter(*proxy.loop, milliseconds(0), tell);
   proxy.standby_tick =
-      kernel::RunEvery(*proxy.loop, routing::kReaderPulse, tell);
+      kernel::RunEvery(*proxy.loop, routing::kReaderHeartbeatInterval, tell);
 }
 
 }  // namespace
 
 bool IsStoreTroubled(const Proxy& proxy) {
   return proxy.store_trouble != Time{} &&
-         NowOf(proxy) - proxy.store_trouble < routing::kTroubleRecent;
+         NowOf(proxy) - proxy.store_trouble < routing::kRecentOutageWindow;
 }
 
 void StartReading(Proxy& proxy) {
--- a/routing/include/egretladder/routing/engine_split.h
+++ b/routing/include/egretladder/routing/engine_split.h
@@ -28,7 +28,7 @@
 };
 
 /// Measures the demand that one node sees.
-struct SideMeter {
+struct SplitDemandMeter {
   SideDemand demand;  ///< As of `at`.
   Time at{};
 };
@@ -36,38 +36,40 @@
 /// A request is about to be sent where it was placed. What the engine will read
 /// of it counts, with shared parts that it doesn't hold, and its stream's part
 /// of a full batch there. Requests of neither side don't count.
-void OnPlaced(SideMeter& meter, const Demand& demand,
+void OnPlaced(SplitDemandMeter& meter, const Demand& demand,
               const Placement& placement, Time now);
 
 /// The demand as of now.
-SideDemand DemandOf(const SideMeter& meter, Time now);
+SideDemand DemandOf(const SplitDemandMeter& meter, Time now);
 
 /// What nodes agree on of the mean demand of one node.
 ///
-/// Each exchange takes the mean of both sides' figures, and each node pulls its
-/// own slowly towards the demand that it measures (averaging by gossip:
-/// Jelasity and others, "Gossip-Based Aggregation in Large Dynamic Networks").
-/// Nodes that each went by a measurement of their own would set boundaries that
-/// differ by a fifth, and the engines between them would get both kinds.
-struct AgreedDemand {
+/// Each exchange takes the mean of both sides' figures, and each node
+/// feed_fetches its own slowly towards the demand that it measures (averaging
+/// by gossip: Jelasity and others, "Gossip-Based Aggregation in Large Dynamic
+/// Networks"). Nodes that each went by a measurement of their own would set
+/// boundaries that differ by a fifth, and the engines between them would get
+/// both kinds.
+struct FleetDemand {
   SideDemand mean;
   bool known = false;
   Time pulled{};
 };
 
 /// A peer told its figure.
-void Agree(AgreedDemand& agreed, const SideDemand& told);
-/// Pulls the figure towards the demand measured here; call at each exchange.
-void Pull(AgreedDemand& agreed, const SideMeter& meter, Time now);
+void Agree(FleetDemand& agreed, const SideDemand& told);
+/// FeedFetches the figure towards the demand measured here; call at each
+/// exchange.
+void Pull(FleetDemand& agreed, const SplitDemandMeter& meter, Time now);
 
 /// The part of the engines that is for tight streams.
-double TightPartOf(const SideDemand& mean);
+double TightFraction(const SideDemand& mean);
 
 /// True for a prompt that is read in several parts.
 bool IsLongPrompt(const Demand& demand);
 
 /// Whether the endpoint is on the demand's side; true for demands of neither.
 bool IsOnItsSide(const Endpoint& endpoint, const Demand& demand,
-                 double tight_part);
+                 double tight_fraction);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/placement_cost.h
+++ b/routing/include/egretladder/routing/placement_cost.h
@@ -29,13 +29,13 @@
   const Demand& demand;
   const Uncached& uncached;
   const ServicePace& pace;
-  const FleetPart& fleet;
+  const FleetSnapshot& fleet;
   bool preferred = false;  ///< By the session's hash.
   Time now{};
 };
 
 /// All terms that aren't switched off.
-Costs CostsOf(const CostAsk& ask, const MechanismsOff& off);
+Costs CostsOf(const CostAsk& ask, const DisabledMechanisms& off);
 
 /// The name of a mechanism as settings and logs show it.
 const char* NameOf(Mechanism mechanism);
--- a/routing/src/engine_split.cc
+++ b/routing/src/engine_split.cc
@@ -11,7 +11,7 @@
   const Endpoint& engine = *placement.endpoint;
   const double slots = std::max<std::uint32_t>(engine.entry.slots, 1);
   return placement.uncached_tokens / kPromptTokensPerMs +
-         demand.length_ms / slots;
+         demand.expected_stream_ms / slots;
 }
 
 double Decay(Time from, Time to) {
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void OnPlaced(SideMeter& meter, const Demand& demand,
+void OnPlaced(SplitDemandMeter& meter, const Demand& demand,
               const Placement& placement, Time now) {
   const bool is_long = IsLongPrompt(demand);
   if (!demand.tight && !is_long) return;
@@ -36,12 +36,12 @@
   }
 }
 
-SideDemand DemandOf(const SideMeter& meter, Time now) {
+SideDemand DemandOf(const SplitDemandMeter& meter, Time now) {
   const double left = Decay(meter.at, now);
   return {meter.demand.tight * left, meter.demand.rest * left};
 }
 
-void Agree(AgreedDemand& agreed, const SideDemand& told) {
+void Agree(FleetDemand& agreed, const SideDemand& told) {
   if (told.tight + told.rest <= 0) return;  // It knows nothing yet.
   if (!agreed.known) {
     agreed.mean = told;
@@ -52,7 +52,7 @@
   agreed.mean.rest = (agreed.mean.rest + told.rest) / 2;
 }
 
-void Pull(AgreedDemand& agreed, const SideMeter& meter, Time now) {
+void Pull(FleetDemand& agreed, const SplitDemandMeter& meter, Time now) {
   const SideDemand own = DemandOf(meter, now);
   if (!agreed.known) {
     agreed.known = own.tight + own.rest > 0;
@@ -70,7 +70,7 @@
   agreed.mean.rest += part * (own.rest - agreed.mean.rest);
 }
 
-double TightPartOf(const SideDemand& mean) {
+double TightFraction(const SideDemand& mean) {
   const double sum = mean.tight + mean.rest;
   if (sum <= 0) return kTightPartUnknown;
   return std::clamp(mean.tight / sum, kTightPartLeast, kTightPartMost);
@@ -81,9 +81,9 @@
 }
 
 bool IsOnItsSide(const Endpoint& endpoint, const Demand& demand,
-                 double tight_part) {
+                 double tight_fraction) {
   if (!demand.tight && !IsLongPrompt(demand)) return true;
-  return (endpoint.order < tight_part) == demand.tight;
+  return (endpoint.order < tight_fraction) == demand.tight;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/next_step.cc
+++ b/routing/src/next_step.cc
@@ -3,12 +3,12 @@
 namespace egretladder::routing {
 namespace {
 
-bool MayTryAgain(const AfterAttempt& after) {
+bool MayTryAgain(const NextStepInput& after) {
   return after.time_left && after.not_run < kNotRunMost &&
          after.not_sent < kNotSentMost;
 }
 
-NextStep AfterNotRun(const AfterAttempt& after) {
+NextStep AfterNotRun(const NextStepInput& after) {
   if (after.answer_begun) {
     return after.resumable && MayTryAgain(after) ? NextStep::kResume
                                                  : NextStep::kBreakOff;
@@ -20,23 +20,23 @@
 
 }  // namespace
 
-const char* NameOf(AttemptEnd end) {
+const char* NameOf(AttemptOutcome end) {
   switch (end) {
-    case AttemptEnd::kNotSent:
+    case AttemptOutcome::kNotSent:
       return "not-sent";
-    case AttemptEnd::kFull:
+    case AttemptOutcome::kFull:
       return "full";
-    case AttemptEnd::kWrongInstance:
+    case AttemptOutcome::kWrongInstance:
       return "wrong-instance";
-    case AttemptEnd::kBroken:
+    case AttemptOutcome::kBroken:
       return "broken";
-    case AttemptEnd::kBadAnswer:
+    case AttemptOutcome::kBadAnswer:
       return "bad-answer";
-    case AttemptEnd::kSilent:
+    case AttemptOutcome::kSilent:
       return "silent";
-    case AttemptEnd::kFailed:
+    case AttemptOutcome::kFailed:
       return "failed";
-    case AttemptEnd::kSucceeded:
+    case AttemptOutcome::kSucceeded:
       return "succeeded";
   }
   return "unknown";
@@ -60,21 +60,21 @@
   return "unknown";
 }
 
-bool IsNotRun(AttemptEnd end) {
-  return end == AttemptEnd::kNotSent || end == AttemptEnd::kFull ||
-         end == AttemptEnd::kWrongInstance;
+bool IsNotRun(AttemptOutcome end) {
+  return end == AttemptOutcome::kNotSent || end == AttemptOutcome::kFull ||
+         end == AttemptOutcome::kWrongInstance;
 }
 
-NextStep DecideNext(const AfterAttempt& after) {
-  if (after.end == AttemptEnd::kSucceeded) return NextStep::kPassOn;
+NextStep DecideNextStep(const NextStepInput& after) {
+  if (after.end == AttemptOutcome::kSucceeded) return NextStep::kPassOn;
   if (IsNotRun(after.end)) return AfterNotRun(after);
   const bool more = after.time_left && after.may_have_run < after.attempts;
   if (after.answer_begun) {
     return after.resumable && more ? NextStep::kResume : NextStep::kBreakOff;
   }
   if (after.may_repeat && more) return NextStep::kSendAgain;
-  return after.end == AttemptEnd::kFailed ? NextStep::kPassOn
-                                          : NextStep::kUnknown;
+  return after.end == AttemptOutcome::kFailed ? NextStep::kPassOn
+                                              : NextStep::kUnknown;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -18,7 +18,8 @@
   return parts[parts.size() > 1 ? parts.size() - 2 : 0].id;
 }
 
-std::uint32_t SlotsOfNode(const Endpoint& endpoint, const FleetPart& fleet) {
+std::uint32_t SlotsOfNode(const Endpoint& endpoint,
+                          const FleetSnapshot& fleet) {
   const double even =
       static_cast<double>(endpoint.entry.slots) /
       static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
@@ -58,7 +59,7 @@
 
 // Remembers when room is expected at an endpoint that can't be used now.
 void NoteRoom(Usable& usable, PlaceReason use, const Endpoint& endpoint,
-              const Demand& demand, const FleetPart& fleet, Time now) {
+              const Demand& demand, const FleetSnapshot& fleet, Time now) {
   if (use == PlaceReason::kAllLeaving) return;
   const auto rate = SharedRateOf(endpoint, *demand.service, now);
   if (use != PlaceReason::kAllLimited || !rate) {
@@ -78,7 +79,7 @@
 
 // Why it can't be used now; `kCheapest` when it can.
 PlaceReason UseOf(const EndpointSet& set, const Endpoint& endpoint,
-                  const Demand& demand, const FleetPart& fleet, Time now) {
+                  const Demand& demand, const FleetSnapshot& fleet, Time now) {
   if (endpoint.phase == EndpointPhase::kLeaving ||
       endpoint.phase == EndpointPhase::kGone ||
       IsZoneOut(set, endpoint.entry.zone)) {
@@ -100,8 +101,8 @@
 }
 
 Usable FindUsable(const EndpointSet& set, const Demand& demand,
-                  const std::vector<EndpointPtr>& tried, const FleetPart& fleet,
-                  Time now) {
+                  const std::vector<EndpointPtr>& tried,
+                  const FleetSnapshot& fleet, Time now) {
   Usable usable;
   const auto at = set.by_service.find(demand.service->name);
   if (at == set.by_service.end()) return usable;
@@ -137,10 +138,10 @@
 
 // Leaves those on the demand's side, if there are any.
 void KeepItsSide(std::vector<EndpointPtr>& endpoints, const Demand& demand,
-                 double tight_part) {
+                 double tight_fraction) {
   const auto end = std::stable_partition(
       endpoints.begin(), endpoints.end(), [&](const EndpointPtr& endpoint) {
-        return IsOnItsSide(*endpoint, demand, tight_part);
+        return IsOnItsSide(*endpoint, demand, tight_fraction);
       });
   if (end != endpoints.begin()) endpoints.erase(end, endpoints.end());
 }
@@ -194,8 +195,8 @@
 }
 
 Placement Place(const EndpointSet& set, const Demand& demand,
-                const std::vector<EndpointPtr>& tried, const FleetPart& fleet,
-                kernel::Random& random, Time now) {
+                const std::vector<EndpointPtr>& tried,
+                const FleetSnapshot& fleet, kernel::Random& random, Time now) {
   Placement best;
   Usable usable = FindUsable(set, demand, tried, fleet, now);
   if (usable.endpoints.empty() && usable.why_none == PlaceReason::kAllTried) {
@@ -213,7 +214,7 @@
   const std::uint64_t session =
       is_off(Mechanism::kSessions) ? 0 : SessionOf(demand);
   if (usable.endpoints.size() >= kSplitLeast && !is_off(Mechanism::kSides)) {
-    KeepItsSide(usable.endpoints, demand, set.tight_part);
+    KeepItsSide(usable.endpoints, demand, set.tight_fraction);
   }
   std::size_t preferred = 0;
   if (session != 0) {
@@ -243,8 +244,9 @@
   return best;
 }
 
-void OnSent(Endpoint& endpoint, const Demand& demand, std::uint64_t attempt,
-            const Placement& placement, Time now) {
+void OnAttemptSent(Endpoint& endpoint, const Demand& demand,
+                   std::uint64_t attempt, const Placement& placement,
+                   Time now) {
   ++endpoint.in_flight;
   endpoint.waiting_tokens[std::min<std::size_t>(demand.tier, kTiers - 1)] +=
       placement.uncached_tokens;
@@ -255,11 +257,12 @@
   parts.reserve(demand.parts.size());
   for (const PromptPart& part : demand.parts) parts.push_back(part.id);
   NoteParts(endpoint, parts, now);
-  if (SharedRateOf(endpoint, *demand.service, now)) endpoint.rated_sent = now;
+  if (SharedRateOf(endpoint, *demand.service, now))
+    endpoint.last_limited_send = now;
 }
 
-void OnStarted(Endpoint& endpoint, const Demand& demand, std::uint64_t attempt,
-               const Placement& placement) {
+void OnAttemptStarted(Endpoint& endpoint, const Demand& demand,
+                      std::uint64_t attempt, const Placement& placement) {
   if (endpoint.unanswered.erase(attempt) == 0) return;
   double& waiting =
       endpoint.waiting_tokens[std::min<std::size_t>(demand.tier, kTiers - 1)];
--- a/routing/src/suspects.cc
+++ b/routing/src/suspects.cc
@@ -74,12 +74,13 @@
 
 }  // namespace
 
-void OnBroke(Suspects& suspects, std::uint64_t request, const Break& seen) {
+void OnConnectionBroke(Suspects& suspects, std::uint64_t request,
+                       const Break& seen) {
   Suspect& suspect = SuspectOf(suspects, request);
   if (Merge(suspect, seen)) suspect.changed = seen.broke;
 }
 
-void OnRan(Suspects& suspects, std::uint64_t request, Time now) {
+void OnRequestRan(Suspects& suspects, std::uint64_t request, Time now) {
   const auto at = suspects.by_request.find(request);
   if (at == suspects.by_request.end()) return;
   at->second.cleared = now;
@@ -95,7 +96,8 @@
   return std::max(milliseconds(0), kSuspectHeld - AgeOf(chain.last, now));
 }
 
-std::vector<ToldSuspect> SuspectsToTell(const Suspects& suspects, Time now) {
+std::vector<SuspectGossip> MakeSuspectGossip(const Suspects& suspects,
+                                             Time now) {
   std::vector<std::pair<Time, std::uint64_t>> newest;
   for (const auto& [request, suspect] : suspects.by_request) {
     if (now - suspect.changed >= kSuspectTold) continue;
@@ -103,10 +105,10 @@
   }
   std::sort(newest.rbegin(), newest.rend());
   if (newest.size() > kSuspectsTold) newest.resize(kSuspectsTold);
-  std::vector<ToldSuspect> told;
+  std::vector<SuspectGossip> told;
   for (const auto& [time, request] : newest) {
     const Suspect& suspect = suspects.by_request.at(request);
-    ToldSuspect one;
+    SuspectGossip one;
     one.request = request;
     one.cleared_ago =
         suspect.cleared == Time{} ? kNeverCleared : AgeOf(suspect.cleared, now);
@@ -119,7 +121,8 @@
   return told;
 }
 
-void HearSuspect(Suspects& suspects, const ToldSuspect& told, Time now) {
+void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& told,
+                        Time now) {
   Suspect& suspect = SuspectOf(suspects, told.request);
   if (told.cleared_ago < kSuspectKept) {
     const Time cleared = now - told.cleared_ago;
