--- a/bench/place_bench.cc
+++ b/bench/place_bench.cc
@@ -49,7 +49,8 @@
   demand.service = &service;
   egretladder::kernel::Random random{3};
   for (auto _ : state) {
-    benchmark::DoNotOptimize(er::Place(set, demand, {}, fleet, random, kNow));
+    benchmark::DoNotOptimize(
+        er::ChoosePlacement(set, demand, {}, fleet, random, kNow));
   }
 }
 BENCHMARK(PlaceAmongCold)
--- a/lab/src/command_routes.cc
+++ b/lab/src/command_routes.cc
@@ -61,7 +61,7 @@
       << "  first event within " << route->target.count()
       << " ms, given up after " << route->timeout.count() << " ms\n"
       << "  account " << (account == nullptr ? "none" : account->name)
-      << ", rank " << int{routing::RankOf(table, *route, account)}
+      << ", rank " << int{routing::FindRank(table, *route, account)}
       << " (0 goes first)\n";
   WriteTargets(table, *route, out);
   return kExitDone;
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -74,7 +74,7 @@
 void Release(const CallPtr& call, const Attempt& attempt) {
   routing::OnAttemptStarted(*attempt.endpoint, call->demand, attempt.number,
                             attempt.placement);
-  routing::OnDone(*attempt.endpoint);
+  routing::OnAttemptEnded(*attempt.endpoint);
 }
 
 void Follow(Proxy& proxy, const CallPtr& call, NextStep step,
@@ -118,9 +118,9 @@
 NextStep NextFor(Proxy& proxy, const Call& call, AttemptOutcome end) {
   routing::NextStepInput after;
   after.end = end;
-  after.may_repeat = routing::MayRepeat(*call.route);
+  after.is_repeatable = routing::IsRouteRepeatable(*call.route);
   after.resumable = call.route->resumable && !call.last_event_id.empty();
-  after.answer_begun = call.caller->begun();
+  after.is_answer_started = call.caller->begun();
   after.attempts = call.route->attempts;
   after.may_have_run = call.may_have_run;
   after.not_run = call.not_run;
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -162,7 +162,7 @@
     if (kept == nullptr || kept->attempt == nullptr) return;
     kept->caller->OnDrained(nullptr);
     net::SetReading(kept->attempt->exchange, true);
-    if (routing::MayRepeat(*kept->route)) {
+    if (routing::IsRouteRepeatable(*kept->route)) {
       SetPatience(proxy, kept, StallOf(*kept));
     }
   });
@@ -194,7 +194,7 @@
     NoteStarted(proxy, call);
     PassEvents(proxy, call, piece);
     const bool held_back = call->caller->Unsent() > kCallerBacklog;
-    if (call->attempt != nullptr && routing::MayRepeat(*call->route) &&
+    if (call->attempt != nullptr && routing::IsRouteRepeatable(*call->route) &&
         !held_back) {
       SetPatience(proxy, call, StallOf(*call));
     }
@@ -267,7 +267,7 @@
 }
 
 net::Reuse ReuseFor(const Call& call, Time now) {
-  if (routing::MayRepeat(*call.route)) return net::Reuse::kAny;
+  if (routing::IsRouteRepeatable(*call.route)) return net::Reuse::kAny;
   return routing::IsRecentlyHeard(*call.attempt->endpoint, now)
              ? net::Reuse::kYoung
              : net::Reuse::kNone;
@@ -330,7 +330,7 @@
   LogSent(proxy, *call, now);
   attempt.exchange = proxy.client->Start(ExchangeFor(proxy, *call, now),
                                          HandlersFor(proxy, call));
-  if (routing::MayRepeat(*call->route)) {
+  if (routing::IsRouteRepeatable(*call->route)) {
     SetPatience(proxy, call, PatienceFor(*call, placement));
   }
 }
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -53,13 +53,13 @@
       routing::PickTarget(route, kernel::RandomFraction(proxy.random));
   call->service = &proxy.rules->services[target.idx];
   call->demand.service = call->service;
-  call->demand.tier = routing::RankOf(*proxy.rules, route, account);
+  call->demand.tier = routing::FindRank(*proxy.rules, route, account);
   if (call->service->generates) {
     call->demand.parts = facts.parts;
     call->demand.prompt_tokens = std::max(facts.prompt_tokens, 1U);
     if (route.kind == routing::RouteKind::kStream) {
       const routing::ServicePace& pace =
-          routing::PaceOf(proxy.endpoints, call->service->name);
+          routing::FindServicePace(proxy.endpoints, call->service->name);
       call->demand.events = routing::ExpectedStreamEvents(pace, route.name);
       call->demand.longest = routing::LongStreamEvents(pace, route.name);
       call->demand.expected_stream_ms =
@@ -85,7 +85,7 @@
 
 void Wait(Proxy& proxy, const CallPtr& call) {
   if (call->waiting) return;
-  if (proxy.waiting.size() >= routing::kWaitingMost) {
+  if (proxy.waiting.size() >= routing::kMaxWaitingRequests) {
     // The least urgent that came last makes room, which may be this one.
     const auto last = std::prev(proxy.waiting.end());
     if (last->first.first <= call->demand.tier) {
@@ -242,12 +242,13 @@
     RefuseSuspect(proxy, call, held);
     return;
   }
-  const routing::FleetSnapshot fleet = routing::PartOf(proxy.members, now);
-  const routing::Placement placement = routing::Place(
+  const routing::FleetSnapshot fleet =
+      routing::MakeFleetSnapshot(proxy.members, now);
+  const routing::Placement placement = routing::ChoosePlacement(
       proxy.endpoints, call->demand, call->tried, fleet, proxy.random, now);
   routing::AdmissionInput ask;
-  if (!call->waiting) call->waits_since = now;
-  ask.waits_since = call->waits_since;
+  if (!call->waiting) call->waiting_since = now;
+  ask.waiting_since = call->waiting_since;
   ask.deadline = call->deadline;
   ask.target = call->route->target;
   ask.was_sent_before = call->arrivals > 0;
@@ -278,7 +279,7 @@
                     {"place", routing::NameOf(placement.reason)},
                     {"expected_ms", placement.expected_ms},
                     {"left_ms", Between(now, call->deadline)},
-                    {"waited_ms", Between(call->waits_since, now)},
+                    {"waited_ms", Between(call->waiting_since, now)},
                     {"service", call->service->name},
                     {"tier", call->demand.tier},
                     {"nodes", fleet.nodes}});
--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -143,7 +143,7 @@
     return;
   }
   const PackedChanges& packed = *content.value();
-  if (!routing::MaySend(packed.bytes.size(), UnsentOf(*proxy.peers))) {
+  if (!routing::CanSendChanges(packed.bytes.size(), UnsentOf(*proxy.peers))) {
     results.setBusy(true);
     return;
   }
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -202,7 +202,8 @@
 }
 
 void TakeMembers(Proxy& proxy, const routing::MemberGossip& told, Time now) {
-  for (const std::string& node : routing::Hear(proxy.members, told, now)) {
+  for (const std::string& node :
+       routing::ApplyMemberGossip(proxy.members, told, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-there",
                      {{"node", node}});
   }
@@ -238,8 +239,9 @@
 void WriteNews(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
                exchange::News::Builder news) {
   const Time now = NowOf(proxy);
-  WriteMembers(routing::ToTell(proxy.members, unknown, proxy.random, now),
-               news);
+  WriteMembers(
+      routing::MakeMemberGossip(proxy.members, unknown, proxy.random, now),
+      news);
   WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeedCount));
   news.setTightDemand(static_cast<float>(proxy.agreed.mean.tight));
   news.setRestDemand(static_cast<float>(proxy.agreed.mean.rest));
@@ -254,7 +256,8 @@
   TakeMembers(proxy, told, now);
   TakeSuspects(proxy, news, now);
   TakeLimits(proxy, news);
-  routing::Agree(proxy.agreed, {news.getTightDemand(), news.getRestDemand()});
+  routing::MergePeerDemand(proxy.agreed,
+                           {news.getTightDemand(), news.getRestDemand()});
   proxy.endpoints.tight_fraction = routing::TightFraction(proxy.agreed.mean);
   PeerState peer;
   // The first member is the sender itself.
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -84,7 +84,7 @@
 
 bool IsOver(const PeerOut& peer, Time now) {
   return peer.broken || peer.rpc.stream.IsOver() ||
-         (peer.unanswered > 0 && now - peer.waits_since > kExchangeTime);
+         (peer.unanswered > 0 && now - peer.waiting_since > kExchangeTime);
 }
 
 void Sweep(PeerNet& net) {
@@ -156,7 +156,7 @@
       std::count_if(net.out.begin(), net.out.end(), [now](const auto& entry) {
         const PeerOut& peer = *entry.second;
         return peer.exchanging &&
-               now - peer.waits_since >= routing::kExchangeStallTime;
+               now - peer.waiting_since >= routing::kExchangeStallTime;
       });
   return static_cast<std::size_t>(hanging);
 }
@@ -218,13 +218,13 @@
 }
 
 void OnAsk(PeerOut& peer, Time now) {
-  if (peer.unanswered++ == 0) peer.waits_since = now;
+  if (peer.unanswered++ == 0) peer.waiting_since = now;
   peer.asked = now;
 }
 
 void OnAnswer(PeerOut& peer, Time now) {
   --peer.unanswered;
-  peer.waits_since = now;
+  peer.waiting_since = now;
   peer.answered = true;
 }
 
@@ -248,9 +248,9 @@
 
 void Exchange(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  routing::Pull(proxy.agreed, proxy.sides, now);
+  routing::FollowMeasuredDemand(proxy.agreed, proxy.sides, now);
   proxy.endpoints.tight_fraction = routing::TightFraction(proxy.agreed.mean);
-  routing::Beat(proxy.members, now);
+  routing::IncrementHeartbeat(proxy.members, now);
   const std::size_t peers = routing::MaxPeersToTry(Hanging(*proxy.peers, now));
   for (std::size_t i = 0; i < peers; ++i) {
     const std::string address =
@@ -260,7 +260,7 @@
 }
 
 void TellMany(Proxy& proxy) {
-  routing::Beat(proxy.members, NowOf(proxy));
+  routing::IncrementHeartbeat(proxy.members, NowOf(proxy));
   for (const std::string& peer : DrawPeers(proxy, routing::kReaderFanout)) {
     ExchangeWith(*proxy.peers, peer);
   }
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -33,7 +33,7 @@
   Time opened{};
   Time asked{};                ///< Last.
   std::size_t unanswered = 0;  ///< Calls.
-  Time waits_since{};          ///< While one is unanswered.
+  Time waiting_since{};        ///< While one is unanswered.
   bool exchanging = false;     ///< An exchange is unanswered.
   bool answered = false;       ///< At least one call was.
   bool broken = false;
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -84,7 +84,7 @@
   Time last_event_at{};
   milliseconds longest_pause{};  ///< Between two events that callers got.
   bool waiting = false;
-  Time waits_since{};  ///< Since it has needed an endpoint.
+  Time waiting_since{};  ///< Since it has needed an endpoint.
   kernel::EventWatcher timeout;
   kernel::EventWatcher patience;
   std::size_t body_bytes = 0;
--- a/routing/src/engine_split.cc
+++ b/routing/src/engine_split.cc
@@ -41,7 +41,7 @@
   return {meter.demand.tight * left, meter.demand.rest * left};
 }
 
-void Agree(FleetDemand& agreed, const SideDemand& told) {
+void MergePeerDemand(FleetDemand& agreed, const SideDemand& told) {
   if (told.tight + told.rest <= 0) return;  // It knows nothing yet.
   if (!agreed.known) {
     agreed.mean = told;
@@ -52,7 +52,8 @@
   agreed.mean.rest = (agreed.mean.rest + told.rest) / 2;
 }
 
-void Pull(FleetDemand& agreed, const SplitDemandMeter& meter, Time now) {
+void FollowMeasuredDemand(FleetDemand& agreed, const SplitDemandMeter& meter,
+                          Time now) {
   const SideDemand own = DemandOf(meter, now);
   if (!agreed.known) {
     agreed.known = own.tight + own.rest > 0;
