--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -175,7 +175,7 @@
   }
   auto pulses = news.initPulses(static_cast<unsigned>(told.pulses.size()));
   for (unsigned i = 0; i < pulses.size(); ++i) {
-    const routing::Pulse& pulse = told.pulses[i];
+    const routing::MemberHeartbeat& pulse = told.pulses[i];
     pulses[i].setNode(pulse.node);
     pulses[i].setLife(pulse.life);
     pulses[i].setHeartbeat(static_cast<std::uint32_t>(pulse.heartbeat));
