--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -125,7 +125,7 @@
   after.may_have_run = call.may_have_run;
   after.not_run = call.not_run;
   after.not_sent = call.not_sent;
-  after.time_left = NowOf(proxy) < call.deadline;
+  after.has_time_left = NowOf(proxy) < call.deadline;
   const NextStep step = routing::DecideNextStep(after);
   const bool again = step == NextStep::kSendAgain || step == NextStep::kResume;
   // Impatience took its retry before it gave the attempt up.
@@ -134,7 +134,7 @@
   if (TakeRetry(proxy, call)) {
     return step;
   }
-  after.time_left = false;
+  after.has_time_left = false;
   return routing::DecideNextStep(after);
 }
 
