--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -185,44 +185,44 @@
 }
 
 void OnConnectFailed(Endpoint& endpoint, Time now) {
-  Trust& trust = endpoint.trust;
+  Trust& health = endpoint.health;
   constexpr std::uint32_t kDoublings = 5;
-  const auto pause = kAvoidFirst * (1U << std::min(trust.refused, kDoublings));
-  trust.avoid_until = now + std::min<milliseconds>(pause, kAvoidMost);
-  ++trust.refused;
+  const auto pause = kAvoidFirst * (1U << std::min(health.refused, kDoublings));
+  health.avoid_until = now + std::min<milliseconds>(pause, kAvoidMost);
+  ++health.refused;
 }
 
 void OnAttemptFailed(Endpoint& endpoint, Time now) {
-  Trust& trust = endpoint.trust;
-  trust.failing = Smooth(FailingOf(trust, now), 1);
-  trust.failing_at = now;
+  Trust& health = endpoint.health;
+  health.failing = Smooth(FailingOf(health, now), 1);
+  health.failing_at = now;
 }
 
 void OnEndpointFull(Endpoint& endpoint, milliseconds pause, Time now) {
-  endpoint.trust.full_until = now + pause;
-  endpoint.trust.refused = 0;
+  endpoint.health.full_until = now + pause;
+  endpoint.health.refused = 0;
 }
 
 void OnFirstByte(Endpoint& endpoint, milliseconds took, milliseconds expected) {
   const double late =
       std::max(0.0, static_cast<double>((took - expected).count()));
-  endpoint.trust.drift_ms = Smooth(endpoint.trust.drift_ms, late);
+  endpoint.health.drift_ms = Smooth(endpoint.health.drift_ms, late);
 }
 
 void OnAnswered(Endpoint& endpoint, milliseconds took, Time now) {
-  Trust& trust = endpoint.trust;
-  trust.refused = 0;
-  trust.avoid_until = {};
-  trust.failing = Smooth(FailingOf(trust, now), 0);
-  trust.failing_at = now;
+  Trust& health = endpoint.health;
+  health.refused = 0;
+  health.avoid_until = {};
+  health.failing = Smooth(FailingOf(health, now), 0);
+  health.failing_at = now;
   const auto ms = static_cast<double>(took.count());
-  trust.mean_ms = trust.mean_ms == 0 ? ms : Smooth(trust.mean_ms, ms);
+  health.mean_ms = health.mean_ms == 0 ? ms : Smooth(health.mean_ms, ms);
 }
 
-double FailingOf(const Trust& trust, Time now) {
+double FailingOf(const Trust& health, Time now) {
   const auto age =
-      std::chrono::duration<double, std::milli>(now - trust.failing_at);
-  return trust.failing *
+      std::chrono::duration<double, std::milli>(now - health.failing_at);
+  return health.failing *
          std::exp2(-age.count() /
                    static_cast<double>(kFailureHalfLife.count()));
 }
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -85,8 +85,8 @@
       IsZoneOut(set, endpoint.entry.zone)) {
     return PlaceReason::kAllLeaving;
   }
-  if (now < endpoint.trust.avoid_until) return PlaceReason::kAllDown;
-  if (now < endpoint.trust.full_until ||
+  if (now < endpoint.health.avoid_until) return PlaceReason::kAllDown;
+  if (now < endpoint.health.full_until ||
       endpoint.in_flight >= SlotsOfNode(endpoint, fleet)) {
     return PlaceReason::kAllFull;
   }
--- a/routing/src/placement_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -30,8 +30,8 @@
     return TokensAhead(endpoint, ask.demand.tier) / kPromptTokensPerMs +
            running * kCostPerRunningMs;
   }
-  const double mean = endpoint.trust.mean_ms > 0 ? endpoint.trust.mean_ms
-                                                 : kServiceTimeUnknownMs;
+  const double mean = endpoint.health.mean_ms > 0 ? endpoint.health.mean_ms
+                                                  : kServiceTimeUnknownMs;
   return mean * running / std::max<std::uint32_t>(endpoint.entry.slots, 1);
 }
 
@@ -51,10 +51,10 @@
          EventMs(ask.endpoint.pace, ask.pace, RunningAt(ask.endpoint));
 }
 
-double Drift(const CostAsk& ask) { return ask.endpoint.trust.drift_ms; }
+double Drift(const CostAsk& ask) { return ask.endpoint.health.drift_ms; }
 
 double Failing(const CostAsk& ask) {
-  return FailingOf(ask.endpoint.trust, ask.now) * kFailingMs;
+  return FailingOf(ask.endpoint.health, ask.now) * kFailingMs;
 }
 
 double Silence(const CostAsk& ask) {
--- a/routing/src/stop_admission.cc
+++ b/routing/src/stop_admission.cc
@@ -53,7 +53,7 @@
           EventMs(endpoint.pace, FindServicePace(set, demand.service->name),
                   running);
   } else {
-    ms += endpoint.trust.mean_ms * kLongWhole;
+    ms += endpoint.health.mean_ms * kLongWhole;
   }
   return milliseconds(std::llround(std::max(ms, 0.0)));
 }
--- a/routing/tests/endpoints_test.cc
+++ b/routing/tests/endpoints_test.cc
@@ -120,17 +120,17 @@
   er::OnEntryPublished(set, Entry("x"), kStart);
   er::Endpoint& endpoint = *set.by_id["x"];
   er::OnAttemptFailed(endpoint, kStart);
-  const double failing = er::FailingOf(endpoint.trust, kStart);
+  const double failing = er::FailingOf(endpoint.health, kStart);
   CHECK(failing > 0);
   DOUBLES_EQUAL(failing / 2,
-                er::FailingOf(endpoint.trust, kStart + er::kFailureHalfLife),
+                er::FailingOf(endpoint.health, kStart + er::kFailureHalfLife),
                 0.001);
   er::OnConnectFailed(endpoint, kStart);
-  CHECK(endpoint.trust.avoid_until == kStart + er::kAvoidFirst);
+  CHECK(endpoint.health.avoid_until == kStart + er::kAvoidFirst);
   er::OnConnectFailed(endpoint, kStart);
-  CHECK(endpoint.trust.avoid_until == kStart + 2 * er::kAvoidFirst);
+  CHECK(endpoint.health.avoid_until == kStart + 2 * er::kAvoidFirst);
   er::OnAnswered(endpoint, 10ms, kStart);
-  CHECK(endpoint.trust.avoid_until == er::Time{});
+  CHECK(endpoint.health.avoid_until == er::Time{});
 }
 
 TEST(Endpoints, ForgetsTheOlderHalfOfTheParts) {
