--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -21,7 +21,8 @@
 kernel::Result<const PackedChanges*> ContentAfter(Proxy& proxy, Feed feed,
                                                   std::uint64_t after) {
   KeptContent& kept = proxy.peers->content[static_cast<std::size_t>(feed)];
-  const std::uint64_t revision = routing::StateOf(proxy.catalog, feed).revision;
+  const std::uint64_t revision =
+      routing::GetFeedState(proxy.catalog, feed).revision;
   const bool troubled = IsStoreTroubled(proxy);
   if (kept.after == after && kept.revision == revision &&
       kept.store_troubled == troubled) {
@@ -105,7 +106,7 @@
   }
   auto request = peer->peer.fetchRequest();
   request.setFeed(static_cast<std::uint8_t>(feed));
-  request.setAfter(routing::StateOf(proxy.catalog, feed).revision);
+  request.setAfter(routing::GetFeedState(proxy.catalog, feed).revision);
   OnAsk(*peer, now);
   peer->tasks.add(
       request.send().then([&proxy, peer, feed, from, now](auto&& answer) {
@@ -120,7 +121,7 @@
 // is about to answer the same.
 bool WaitsForStore(const Proxy& proxy, Feed feed) {
   return proxy.reads_store && !IsStoreTroubled(proxy) &&
-         routing::StateOf(proxy.catalog, feed).revision == 0 &&
+         routing::GetFeedState(proxy.catalog, feed).revision == 0 &&
          NowOf(proxy) - proxy.store_from < kStoreFirst;
 }
 
@@ -162,7 +163,8 @@
   bool lacks = false;
   for (std::size_t i = 0; i < progress.size(); ++i) {
     const auto feed = static_cast<Feed>(i);
-    const std::uint64_t own = routing::StateOf(proxy.catalog, feed).revision;
+    const std::uint64_t own =
+        routing::GetFeedState(proxy.catalog, feed).revision;
     if (own == 0 && progress[i].known == 0) OnPeerKnowsNothing(proxy);
     if (!routing::ApplyPeerProgress(proxy.catalog, feed, progress[i])) continue;
     routing::OnOffer(proxy.peers->feed_fetches.feeds[i], peer, near,
@@ -178,7 +180,7 @@
     if (WaitsForStore(proxy, feed)) continue;
     const std::string peer = routing::StartNextFetch(
         proxy.peers->feed_fetches.feeds[i],
-        routing::StateOf(proxy.catalog, feed).revision, NowOf(proxy));
+        routing::GetFeedState(proxy.catalog, feed).revision, NowOf(proxy));
     if (!peer.empty()) Fetch(proxy, feed, peer);
   }
 }
--- a/proxy/src/measures.cc
+++ b/proxy/src/measures.cc
@@ -39,8 +39,8 @@
   return std::chrono::duration<double>(now - then).count();
 }
 
-const char* StateOf(const Proxy& proxy, const routing::Endpoint& endpoint,
-                    Time now) {
+const char* GetFeedState(const Proxy& proxy, const routing::Endpoint& endpoint,
+                         Time now) {
   if (endpoint.phase != routing::EndpointPhase::kServing) {
     return routing::NameOf(endpoint.phase);
   }
@@ -58,8 +58,9 @@
   // States that nothing is in any more are shown as 0.
   for (auto& [labels, count] : proxy.measures.endpoint_states) count = 0;
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
-    const std::string labels = Label("service", endpoint->entry.service) + "," +
-                               Label("state", StateOf(proxy, *endpoint, now));
+    const std::string labels =
+        Label("service", endpoint->entry.service) + "," +
+        Label("state", GetFeedState(proxy, *endpoint, now));
     ++proxy.measures.endpoint_states[labels];
   }
   for (const auto& [labels, count] : proxy.measures.endpoint_states) {
@@ -77,11 +78,11 @@
   for (const auto feed : {routing::Feed::kRules, routing::Feed::kEndpoints}) {
     const std::string label =
         Label("feed", feed == routing::Feed::kRules ? "rules" : "endpoints");
-    SetGauge(
-        proxy, "egretladder_store_revision",
-        "Revision of the store up to which a feed is known.",
-        static_cast<double>(routing::StateOf(proxy.catalog, feed).revision),
-        label);
+    SetGauge(proxy, "egretladder_store_revision",
+             "Revision of the store up to which a feed is known.",
+             static_cast<double>(
+                 routing::GetFeedState(proxy.catalog, feed).revision),
+             label);
   }
   SetGauge(proxy, "egretladder_store_trouble",
            "1 while reads of the store failed lately.",
