--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -126,7 +126,7 @@
       endpoints * kSlots + static_cast<std::uint32_t>(run.range(1));
   for (std::uint32_t i = 0; i < total; ++i) bench.Arrive();
   for ([[maybe_unused]] auto _ : run) {
-    ek::Advance(bench.clock, ep::kSchedulerTick);
+    ek::Advance(bench.clock, ep::kSchedulerTickInterval);
     bench.plugin->on_tick(*bench.state, bench.clock.now, bench.out);
     bench.out.clear();
   }
--- a/fleet/include/egretladder/fleet/fleet.h
+++ b/fleet/include/egretladder/fleet/fleet.h
@@ -155,7 +155,7 @@
                     const std::vector<std::uint64_t>& running, Time now,
                     Actions& out);
 /// A body with this fingerprint got its answer: it is no longer a suspect.
-void OnRanWell(FleetState& state, std::uint64_t fingerprint);
+void ClearSuspect(FleetState& state, std::uint64_t fingerprint);
 /// True when an endpoint died under this body; see policy/poison.h.
 bool IsSuspect(const FleetState& state, std::uint64_t fingerprint, Time now);
 /// Begins a graceful leave: peers are told, keeper duties end.
--- a/fleet/src/fleet.cc
+++ b/fleet/src/fleet.cc
@@ -115,8 +115,8 @@
   }
 }
 
-void OnRanWell(FleetState& state, std::uint64_t fingerprint) {
-  policy::OnRanWell(state.poison, fingerprint);
+void ClearSuspect(FleetState& state, std::uint64_t fingerprint) {
+  policy::ClearSuspect(state.poison, fingerprint);
 }
 
 bool IsSuspect(const FleetState& state, std::uint64_t fingerprint, Time now) {
--- a/fleet/src/fleet_gossip.cc
+++ b/fleet/src/fleet_gossip.cc
@@ -23,7 +23,7 @@
 std::vector<policy::Quarantined> BlamesToTell(const FleetState& state,
                                               Time now) {
   std::vector<policy::Quarantined> blames =
-      policy::ListBlames(state.poison, now);
+      policy::ListQuarantineNotices(state.poison, now);
   // The newest have the longest left; older ones were told before.
   std::sort(blames.begin(), blames.end(), [](const auto& a, const auto& b) {
     return a.deaths != b.deaths ? a.deaths > b.deaths : a.left > b.left;
@@ -134,7 +134,7 @@
                 const std::vector<policy::Quarantined>& blames, Time now,
                 Actions& out) {
   for (const policy::Quarantined& told : blames) {
-    if (!policy::OnTold(state.poison, told, now)) continue;
+    if (!policy::ApplyQuarantineNotice(state.poison, told, now)) continue;
     out.emplace_back(QuarantineAdded{told.fingerprint, told.left});
   }
 }
--- a/gateway/main/front_calls.cc
+++ b/gateway/main/front_calls.cc
@@ -38,7 +38,7 @@
  public:
   Stop(ek::Loop& loop, eg::Gateway& gateway, const eg::NodeConfig& config)
       : loop_(loop), gateway_(gateway) {
-    plan_.addresses_kept = config.gateway.linger;
+    plan_.address_ttl = config.gateway.linger;
     plan_.grace = config.stop_time;
     plan_.cut_margin = eg::kStopMargin;
     for (std::size_t i = 0; i < signals_.size(); ++i) {
@@ -66,7 +66,7 @@
     began_ = ek::Now(loop_.clock);
     Say(ek::LogLevel::kInfo,
         "Leaving: calls in progress end first. Staying for " +
-            std::to_string(plan_.addresses_kept.count()) +
+            std::to_string(plan_.address_ttl.count()) +
             " ms at least, for callers that still keep "
             "this address.");
     eg::Leave(gateway_);
@@ -74,11 +74,11 @@
   }
 
   void Look() {
-    const ep::StopPhase phase = ep::PhaseOf(plan_, Since());
+    const ep::StopPhase phase = ep::GetStopPhase(plan_, Since());
     if (phase >= ep::StopPhase::kCutting) Cut("the time was up");
     const bool answered =
         cut_ ? eg::IsAnswered(gateway_) : eg::CanShutDown(gateway_);
-    if (!ep::MayExit(phase, answered)) return;
+    if (!ep::CanExit(phase, answered)) return;
     if (!cut_) Say(ek::LogLevel::kInfo, "Left: no call was cut.");
     ek::StopLoop(loop_);
   }
--- a/gateway/src/settings.cc
+++ b/gateway/src/settings.cc
@@ -189,9 +189,9 @@
     return;
   }
   policy::StopPlan plan;
-  plan.addresses_kept = linger;
+  plan.address_ttl = linger;
   plan.cut_margin = kStopMargin;
-  const auto least = policy::ShortestGrace(plan);
+  const auto least = policy::MinGracePeriod(plan);
   if (config.stop_time >= least) return;
   checker.AddError("stop", "time",
                    "is " + std::to_string(config.stop_time.count()) +
--- a/lab/src/command_scenario.cc
+++ b/lab/src/command_scenario.cc
@@ -15,7 +15,7 @@
 
 struct ScenarioArgs {
   std::vector<std::string> files;
-  std::string policy{policy::kStandardScheduler};
+  std::string policy{policy::kDefaultScheduler};
   std::string plot;
   std::uint64_t seed = 0;  ///< In place of the scenario's own; 0: none.
   bool compare = false;
@@ -31,7 +31,7 @@
 /// held to the expectations.
 std::vector<std::string> PoliciesOf(const ScenarioArgs& args) {
   if (!args.compare) return {args.policy};
-  return {"fifo", "least", std::string(policy::kStandardScheduler)};
+  return {"fifo", "least", std::string(policy::kDefaultScheduler)};
 }
 
 int RunFile(const std::string& file, const ScenarioArgs& args,
--- a/node/include/egretladder/node/node.h
+++ b/node/include/egretladder/node/node.h
@@ -26,7 +26,7 @@
 /// What a node is started with, from its settings.
 struct NodeOptions {
   fleet::FleetOptions fleet;
-  std::string scheduler{policy::kStandardScheduler};
+  std::string scheduler{policy::kDefaultScheduler};
   std::string lane_secret;
 };
 
--- a/node/src/attempts.cc
+++ b/node/src/attempts.cc
@@ -78,9 +78,9 @@
   ApplyFleet(state, actions, now, out);
 }
 
-policy::RetryAnswer AskRetry(NodeState& state, const CallRecord& record,
-                             policy::EndKind end, bool started, Time now) {
-  policy::RetryQuestion question;
+policy::RetryDecision AskRetry(NodeState& state, const CallRecord& record,
+                               policy::EndKind end, bool started, Time now) {
+  policy::RetryContext question;
   question.end = end;
   question.repeatable = record.repeatable;
   question.answer_started = started;
@@ -92,7 +92,7 @@
 }
 
 void TryAgain(NodeState& state, CallRecord& record,
-              const policy::RetryAnswer& answer, Time now, Actions& out) {
+              const policy::RetryDecision& answer, Time now, Actions& out) {
   Decide(state, record, "retry", NameOf(answer.reason), now, out);
   record.request.avoid = record.endpoint;
   record.blamed = false;
@@ -102,7 +102,7 @@
 }
 
 void FailCall(NodeState& state, CallRecord& record,
-              const policy::RetryAnswer& answer, const std::string& detail,
+              const policy::RetryDecision& answer, const std::string& detail,
               Time now, Actions& out) {
   Decide(state, record, "no_retry", NameOf(answer.reason), now, out);
   const bool poison = answer.reason == policy::RetryReason::kPoison;
@@ -209,7 +209,7 @@
   CallRecord* record = FindAttempt(state, call, attempt);
   if (record == nullptr || !IsSent(record->stage)) return;
   policy::OnSuccess(state.retry_budget);
-  fleet::OnRanWell(*state.fleet, record->request.fingerprint);
+  fleet::ClearSuspect(*state.fleet, record->request.fingerprint);
   EndAttempt(state, *record, policy::EndKind::kDone, now);
   if (record->lane && answer != nullptr) {
     AnswerJoined(state, *record, answer, now, out);
--- a/node/tests/calls_test.cc
+++ b/node/tests/calls_test.cc
@@ -147,7 +147,7 @@
     harness_.Fail(n1_, send, ep::EndKind::kFailed);
     harness_.Step(300ms);
   }
-  CHECK_EQUAL(std::size_t{ep::kAttemptsMost}, n1_.sent.size());
+  CHECK_EQUAL(std::size_t{ep::kMaxAttempts}, n1_.sent.size());
   CheckError(n1_, AnswerCode::kEndpointFailed, Ran::kUnknown);
   CHECK(n1_.errors[0].retry_after > 0ms);
   CHECK_EQUAL(1U, n1_.errors.size());
--- a/node/tests/once_test.cc
+++ b/node/tests/once_test.cc
@@ -167,10 +167,10 @@
     harness_.Fail(n1_, send, ep::EndKind::kNotRun);
     harness_.Step(300ms);
   }
-  CHECK_EQUAL(std::size_t{ep::kAttemptsMost}, n1_.sent.size());
+  CHECK_EQUAL(std::size_t{ep::kMaxAttempts}, n1_.sent.size());
   CheckError(n1_, AnswerCode::kEndpointFailed, Ran::kNo);
   harness_.Send(n1_, Payment(2, lane));
-  CHECK_EQUAL(std::size_t{ep::kAttemptsMost}, n1_.sent.size());
+  CHECK_EQUAL(std::size_t{ep::kMaxAttempts}, n1_.sent.size());
   CheckError(n1_, AnswerCode::kLaneInvalid, Ran::kNo);
 }
 
--- a/policy/include/egretladder/policy/limits.h
+++ b/policy/include/egretladder/policy/limits.h
@@ -43,7 +43,7 @@
 /// Not larger: nodes that start into an outage all spend it at once, before any
 /// success shows that retries help.
 inline constexpr double kRetryBudgetAtStart = 5;
-inline constexpr std::uint8_t kAttemptsMost = 3;
+inline constexpr std::uint8_t kMaxAttempts = 3;
 /// Delay before the second attempt; doubles with each. Jittered, so that those
 /// that failed together don't return together.
 inline constexpr milliseconds kRetryDelay{20};
--- a/policy/include/egretladder/policy/poison.h
+++ b/policy/include/egretladder/policy/poison.h
@@ -39,7 +39,7 @@
     kernel::Time now);
 
 /// A body ran to its end: whatever was held against it is dropped.
-void OnRanWell(PoisonState& state, std::uint64_t fingerprint);
+void ClearSuspect(PoisonState& state, std::uint64_t fingerprint);
 
 /// True when an endpoint died under this body once: it should run beside no
 /// other such body, so that a second death tells them apart.
@@ -48,13 +48,15 @@
 
 /// Another node's blame. Returns true when the body is now quarantined and
 /// was not before.
-bool OnTold(PoisonState& state, const Quarantined& told, kernel::Time now);
+bool ApplyQuarantineNotice(PoisonState& state, const Quarantined& told,
+                           kernel::Time now);
 
 /// True while a body with this fingerprint gets no endpoint.
 bool IsQuarantined(const PoisonState& state, std::uint64_t fingerprint,
                    kernel::Time now);
 
 /// What other nodes should know, quarantined or blamed once.
-std::vector<Quarantined> ListBlames(const PoisonState& state, kernel::Time now);
+std::vector<Quarantined> ListQuarantineNotices(const PoisonState& state,
+                                               kernel::Time now);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/retry.h
+++ b/policy/include/egretladder/policy/retry.h
@@ -31,7 +31,7 @@
 
 void OnSuccess(RetryBudget& budget);
 
-struct RetryQuestion {
+struct RetryContext {
   EndKind end = EndKind::kFailed;
   bool repeatable = false;
   bool answer_started = false;  ///< A byte of it went to the caller.
@@ -41,7 +41,7 @@
   Time deadline{};
 };
 
-struct RetryAnswer {
+struct RetryDecision {
   bool again = false;
   RetryReason reason = RetryReason::kMayHaveRun;
   std::chrono::milliseconds delay{};  ///< Before the next attempt; jittered.
@@ -49,8 +49,8 @@
 
 /// Decides and, when it says yes, takes from the budget. `jitter` is from 0 up
 /// to 1.
-[[nodiscard]] RetryAnswer DecideRetry(RetryBudget& budget,
-                                      const RetryQuestion& question,
-                                      double jitter, Time now);
+[[nodiscard]] RetryDecision DecideRetry(RetryBudget& budget,
+                                        const RetryContext& question,
+                                        double jitter, Time now);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/scheduler.h
+++ b/policy/include/egretladder/policy/scheduler.h
@@ -174,16 +174,16 @@
   void (*on_end)(SchedulerState&, RequestId, EndKind, Time now, Actions& out);
   /// The caller of a waiting request went away.
   void (*on_gone)(SchedulerState&, RequestId, Time now);
-  /// Call at `kSchedulerTick` or more often.
+  /// Call at `kSchedulerTickInterval` or more often.
   void (*on_tick)(SchedulerState&, Time now, Actions& out);
   SchedulerView (*view)(const SchedulerState&, Time now);
 };
 
 /// Longest pause between two calls of `on_tick`.
-inline constexpr std::chrono::milliseconds kSchedulerTick{10};
+inline constexpr std::chrono::milliseconds kSchedulerTickInterval{10};
 
 /// The scheduler that nodes use unless settings name another.
-inline constexpr std::string_view kStandardScheduler = "ladder";
+inline constexpr std::string_view kDefaultScheduler = "ladder";
 
 /// The reasons and ends as logs show them.
 const char* NameOf(PickReason reason);
--- a/policy/include/egretladder/policy/stopping.h
+++ b/policy/include/egretladder/policy/stopping.h
@@ -17,7 +17,7 @@
 /// What bounds a stop. All times count from its begin.
 struct StopPlan {
   /// Callers that kept the address when the stop began are gone after this.
-  milliseconds addresses_kept{};
+  milliseconds address_ttl{};
   /// After that, for what they sent last to be read.
   milliseconds settle{};
   /// The process is killed at this time.
@@ -40,16 +40,16 @@
 const char* NameOf(StopPhase phase);
 
 /// The phase `since` the stop began.
-StopPhase PhaseOf(const StopPlan& plan, milliseconds since);
+StopPhase GetStopPhase(const StopPlan& plan, milliseconds since);
 
 /// Until requests in progress are ended; below zero: they are.
-milliseconds LeftForWork(const StopPlan& plan, milliseconds since);
+milliseconds TimeUntilCut(const StopPlan& plan, milliseconds since);
 
 /// True when the process may end. `answered`: no request is in progress, and
 /// callers have taken all answers.
-bool MayExit(StopPhase phase, bool answered);
+bool CanExit(StopPhase phase, bool answered);
 
 /// The shortest grace time in which a plan's phases follow each other.
-milliseconds ShortestGrace(const StopPlan& plan);
+milliseconds MinGracePeriod(const StopPlan& plan);
 
 }  // namespace egretladder::policy
--- a/policy/src/poison.cc
+++ b/policy/src/poison.cc
@@ -72,7 +72,7 @@
   return quarantined;
 }
 
-void OnRanWell(PoisonState& state, std::uint64_t fingerprint) {
+void ClearSuspect(PoisonState& state, std::uint64_t fingerprint) {
   state.blames.erase(fingerprint);
 }
 
@@ -82,7 +82,8 @@
   return blame != nullptr && !blame->quarantined;
 }
 
-bool OnTold(PoisonState& state, const Quarantined& told, kernel::Time now) {
+bool ApplyQuarantineNotice(PoisonState& state, const Quarantined& told,
+                           kernel::Time now) {
   if (told.left <= milliseconds(0) || told.fingerprint == 0) return false;
   Blame& blame = BlameOf(state, told.fingerprint, now);
   if (blame.quarantined) return false;
@@ -100,8 +101,8 @@
   return blame != nullptr && blame->quarantined;
 }
 
-std::vector<Quarantined> ListBlames(const PoisonState& state,
-                                    kernel::Time now) {
+std::vector<Quarantined> ListQuarantineNotices(const PoisonState& state,
+                                               kernel::Time now) {
   std::vector<Quarantined> list;
   for (const auto& [fingerprint, blame] : state.blames) {
     if (blame.until > now) list.push_back(ToTell(fingerprint, blame, now));
--- a/policy/src/retry.cc
+++ b/policy/src/retry.cc
@@ -5,7 +5,7 @@
 namespace egretladder::policy {
 namespace {
 
-RetryAnswer No(RetryReason reason) { return {false, reason, {}}; }
+RetryDecision No(RetryReason reason) { return {false, reason, {}}; }
 
 std::chrono::milliseconds DelayBefore(std::uint8_t attempt, double jitter) {
   const auto full = kRetryDelay * (1U << std::min<unsigned>(attempt - 1U, 6U));
@@ -19,8 +19,8 @@
   budget.tokens = std::min(budget.tokens + kRetryPerSuccess, kRetryBudgetMost);
 }
 
-RetryAnswer DecideRetry(RetryBudget& budget, const RetryQuestion& question,
-                        double jitter, Time now) {
+RetryDecision DecideRetry(RetryBudget& budget, const RetryContext& question,
+                          double jitter, Time now) {
   if (question.answer_started) return No(RetryReason::kAnswerStarted);
   const bool not_run = question.end == EndKind::kNotRun;
   if (!not_run && !question.repeatable) return No(RetryReason::kMayHaveRun);
@@ -30,7 +30,7 @@
   // The first death is more often the VM's than the body's; a body that saw
   // two in a row is not tried on a third endpoint.
   if (question.blamed && question.attempt > 1) return No(RetryReason::kPoison);
-  if (question.attempt >= kAttemptsMost) {
+  if (question.attempt >= kMaxAttempts) {
     return No(RetryReason::kAttemptsSpent);
   }
   const auto delay =
--- a/policy/src/stopping.cc
+++ b/policy/src/stopping.cc
@@ -18,27 +18,27 @@
   return "unknown";
 }
 
-StopPhase PhaseOf(const StopPlan& plan, milliseconds since) {
+StopPhase GetStopPhase(const StopPlan& plan, milliseconds since) {
   if (since >= plan.grace - plan.exit_margin) return StopPhase::kOver;
   if (since >= plan.grace - plan.cut_margin) return StopPhase::kCutting;
-  if (since < plan.addresses_kept) return StopPhase::kTaking;
-  if (since < plan.addresses_kept + plan.settle) return StopPhase::kSettling;
+  if (since < plan.address_ttl) return StopPhase::kTaking;
+  if (since < plan.address_ttl + plan.settle) return StopPhase::kSettling;
   return StopPhase::kFinishing;
 }
 
-milliseconds LeftForWork(const StopPlan& plan, milliseconds since) {
+milliseconds TimeUntilCut(const StopPlan& plan, milliseconds since) {
   return plan.grace - plan.cut_margin - since;
 }
 
-bool MayExit(StopPhase phase, bool answered) {
+bool CanExit(StopPhase phase, bool answered) {
   if (phase == StopPhase::kOver) return true;
   const bool takes =
       phase == StopPhase::kTaking || phase == StopPhase::kSettling;
   return answered && !takes;
 }
 
-milliseconds ShortestGrace(const StopPlan& plan) {
-  return plan.addresses_kept + plan.settle + plan.cut_margin;
+milliseconds MinGracePeriod(const StopPlan& plan) {
+  return plan.address_ttl + plan.settle + plan.cut_margin;
 }
 
 }  // namespace egretladder::policy
--- a/policy/tests/load_run_requests.h
+++ b/policy/tests/load_run_requests.h
@@ -52,7 +52,7 @@
   Close(life);
   NoteAnswer(life);
   OnSuccess(budget_);
-  OnRanWell(poison_, life.planned.request.fingerprint);
+  ClearSuspect(poison_, life.planned.request.fingerprint);
   Act([&](Actions& out) {
     plugin_->on_end(*state_, step.id, EndKind::kDone, now_, out);
   });
@@ -92,11 +92,11 @@
 
 inline void Run::RepeatOrFail(std::uint64_t id, EndKind kind) {
   Life& life = lives_[id];
-  RetryQuestion question{kind, true};
+  RetryContext question{kind, true};
   question.blamed = kind == EndKind::kDied;
   question.attempt = static_cast<std::uint8_t>(life.attempt - 1);
   question.deadline = life.planned.request.deadline;
-  const RetryAnswer answer =
+  const RetryDecision answer =
       DecideRetry(budget_, question, kernel::RandomFraction(random_), now_);
   if (answer.again) {
     Add(now_ + answer.delay, StepKind::kRetry, id);
--- a/policy/tests/load_run_steps.h
+++ b/policy/tests/load_run_steps.h
@@ -26,7 +26,7 @@
     if (load_.fleet.starts_cold) engines_[i].cold_answers = kAnswersToWarm;
     Restart(i);
   }
-  Add(now_ + kSchedulerTick, StepKind::kTick, 0);
+  Add(now_ + kSchedulerTickInterval, StepKind::kTick, 0);
   Add(now_ + kFleetStep, StepKind::kFleet, 0);
 }
 
@@ -43,7 +43,7 @@
       return End(step);
     case StepKind::kTick:
       Act([&](Actions& out) { plugin_->on_tick(*state_, now_, out); });
-      return Add(now_ + kSchedulerTick, StepKind::kTick, 0);
+      return Add(now_ + kSchedulerTickInterval, StepKind::kTick, 0);
     case StepKind::kFleet:
       Fleet();
       return Add(now_ + kFleetStep, StepKind::kFleet, 0);
--- a/policy/tests/poison_test.cc
+++ b/policy/tests/poison_test.cc
@@ -52,7 +52,7 @@
 // VM failure a minute later must not cut its caller off.
 TEST(Poison, RunningWellClearsABody) {
   CHECK_EQUAL(0U, Died({1}));
-  ep::OnRanWell(state_, 1);
+  ep::ClearSuspect(state_, 1);
   CHECK_EQUAL(0U, Died({1}));
   CHECK_FALSE(Held(1));
 }
@@ -68,15 +68,16 @@
 
 // The caller sends the poison to another node, which saw no death itself.
 TEST(Poison, AnotherNodesWordCountsAndIsBounded) {
-  CHECK_FALSE(ep::OnTold(state_, {1, 10min, 1}, clock_.now));
+  CHECK_FALSE(ep::ApplyQuarantineNotice(state_, {1, 10min, 1}, clock_.now));
   CHECK_EQUAL(1U, Died({1, 2}));
-  CHECK_TRUE(ep::OnTold(state_, {3, 1000h, 2}, clock_.now));
-  CHECK_FALSE(ep::OnTold(state_, {3, 1000h, 2}, clock_.now));
+  CHECK_TRUE(ep::ApplyQuarantineNotice(state_, {3, 1000h, 2}, clock_.now));
+  CHECK_FALSE(ep::ApplyQuarantineNotice(state_, {3, 1000h, 2}, clock_.now));
   ek::Advance(clock_, ep::kQuarantineKept + 1ms);
   CHECK_FALSE(Held(3));
   for (std::uint64_t i = 10; i < 10 + 2 * ep::kBlamesMost; ++i) {
-    (void)ep::OnTold(state_, {i, 10min, 1}, clock_.now);
+    (void)ep::ApplyQuarantineNotice(state_, {i, 10min, 1}, clock_.now);
   }
   CHECK_EQUAL(ep::kBlamesMost, state_.blames.size());
-  CHECK_EQUAL(ep::kBlamesMost, ep::ListBlames(state_, clock_.now).size());
+  CHECK_EQUAL(ep::kBlamesMost,
+              ep::ListQuarantineNotices(state_, clock_.now).size());
 }
--- a/policy/tests/retry_test.cc
+++ b/policy/tests/retry_test.cc
@@ -12,7 +12,7 @@
   ek::ManualClock clock_;
   ep::RetryBudget budget_;
 
-  ep::RetryAnswer Ask(ep::RetryQuestion question) {
+  ep::RetryDecision Ask(ep::RetryContext question) {
     if (question.deadline == ep::Time{}) question.deadline = clock_.now + 10s;
     return ep::DecideRetry(budget_, question, 0.5, clock_.now);
   }
@@ -62,7 +62,7 @@
 
 // The caller has given up by then; the repeat would be work for no one.
 TEST(Retry, NotPastTheDeadlineNorForEver) {
-  ep::RetryQuestion question{ep::EndKind::kNotRun, true};
+  ep::RetryContext question{ep::EndKind::kNotRun, true};
   question.deadline = clock_.now + 1ms;
   CHECK(Ask(question).reason == ep::RetryReason::kDeadlinePassed);
   question.deadline = clock_.now + 10s;
@@ -73,7 +73,7 @@
 // Two endpoints in a row died under one request. A third attempt would take
 // the next one from everybody.
 TEST(Retry, SecondDeathIsNotTriedOnAThirdEndpoint) {
-  ep::RetryQuestion question{ep::EndKind::kDied, true};
+  ep::RetryContext question{ep::EndKind::kDied, true};
   question.blamed = true;
   CHECK_TRUE(Ask(question).again);
   question.attempt = 2;
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -13,7 +13,7 @@
 constexpr int kBadGateway = 502;
 
 StopPhase PhaseNow(const Proxy& proxy) {
-  return policy::PhaseOf(StopPlanOf(proxy.options), StoppingFor(proxy));
+  return policy::GetStopPhase(StopPlanOf(proxy.options), StoppingFor(proxy));
 }
 
 void LogCut(Proxy& proxy, const Call& call) {
@@ -59,7 +59,7 @@
       {{"req", call.facts.id},
        {"verdict", routing::NameOf(verdict)},
        {"stop_ms", ask.since},
-       {"left_ms", policy::LeftForWork(StopPlanOf(proxy.options), ask.since)},
+       {"left_ms", policy::TimeUntilCut(StopPlanOf(proxy.options), ask.since)},
        {"deadline_ms", ask.deadline},
        {"longest_ms", ask.longest},
        {"route", call.route->name}});
@@ -69,7 +69,7 @@
 
 policy::StopPlan StopPlanOf(const ProxyOptions& options) {
   policy::StopPlan plan;
-  plan.addresses_kept = options.directory_keep * kDirectoryKeptTimes;
+  plan.address_ttl = options.directory_keep * kDirectoryKeptTimes;
   plan.settle = kStopSettle;
   plan.grace = options.grace;
   plan.cut_margin = kStopMargin;
@@ -155,7 +155,7 @@
   const bool all_read = proxy.listened_until != Time{} &&
                         now - proxy.listened_until >= kStopSettle &&
                         proxy.callers->half_read() == 0;
-  return policy::MayExit(
+  return policy::CanExit(
       phase, all_read && proxy.calls.empty() && UntakenOf(proxy) == 0);
 }
 
