--- a/fleet/include/egretladder/fleet/messages.h
+++ b/fleet/include/egretladder/fleet/messages.h
@@ -44,7 +44,7 @@
   std::vector<Member> members;
   std::uint64_t rules_version = 0;
   std::uint64_t rules_digest = 0;
-  std::vector<policy::Quarantined> quarantined;
+  std::vector<policy::QuarantineNotice> quarantined;
   bool reply_wanted = false;
   std::uint64_t ping = 0;  ///< Number that the reply gives back as `ack`.
   std::uint64_t ack = 0;   ///< Of the message answered; 0: none.
--- a/fleet/src/fleet_gossip.cc
+++ b/fleet/src/fleet_gossip.cc
@@ -20,9 +20,9 @@
   return notices;
 }
 
-std::vector<policy::Quarantined> BlamesToTell(const FleetState& state,
-                                              Time now) {
-  std::vector<policy::Quarantined> blames =
+std::vector<policy::QuarantineNotice> BlamesToTell(const FleetState& state,
+                                                   Time now) {
+  std::vector<policy::QuarantineNotice> blames =
       policy::ListQuarantineNotices(state.poison, now);
   // The newest have the longest left; older ones were told before.
   std::sort(blames.begin(), blames.end(), [](const auto& a, const auto& b) {
@@ -131,9 +131,9 @@
 }
 
 void TakeBlames(FleetState& state,
-                const std::vector<policy::Quarantined>& blames, Time now,
+                const std::vector<policy::QuarantineNotice>& blames, Time now,
                 Actions& out) {
-  for (const policy::Quarantined& told : blames) {
+  for (const policy::QuarantineNotice& told : blames) {
     if (!policy::ApplyQuarantineNotice(state.poison, told, now)) continue;
     out.emplace_back(QuarantineAdded{told.fingerprint, told.left});
   }
--- a/fleet/src/fleet_slots.cc
+++ b/fleet/src/fleet_slots.cc
@@ -260,7 +260,7 @@
                     const std::vector<std::uint64_t>& running, Time now,
                     Actions& out) {
   const auto quarantined = policy::OnEndpointDied(state.poison, running, now);
-  for (const policy::Quarantined& body : quarantined) {
+  for (const policy::QuarantineNotice& body : quarantined) {
     out.emplace_back(QuarantineAdded{body.fingerprint, body.left});
   }
   if (handle.idx < state.endpoints.size()) {
--- a/policy/include/egretladder/policy/poison.h
+++ b/policy/include/egretladder/policy/poison.h
@@ -24,7 +24,7 @@
 };
 
 /// One quarantined body, as nodes tell each other.
-struct Quarantined {
+struct QuarantineNotice {
   std::uint64_t fingerprint = 0;
   std::chrono::milliseconds left{};
   std::uint8_t deaths = 0;
@@ -34,7 +34,7 @@
 /// which became quarantined by this: at the second death under the same body,
 /// and only when it is the one suspect among those running; when several were
 /// suspects no one can say which it was, and they stay suspects.
-std::vector<Quarantined> OnEndpointDied(
+std::vector<QuarantineNotice> OnEndpointDied(
     PoisonState& state, const std::vector<std::uint64_t>& running,
     kernel::Time now);
 
@@ -48,7 +48,7 @@
 
 /// Another node's blame. Returns true when the body is now quarantined and
 /// was not before.
-bool ApplyQuarantineNotice(PoisonState& state, const Quarantined& told,
+bool ApplyQuarantineNotice(PoisonState& state, const QuarantineNotice& told,
                            kernel::Time now);
 
 /// True while a body with this fingerprint gets no endpoint.
@@ -56,7 +56,7 @@
                    kernel::Time now);
 
 /// What other nodes should know, quarantined or blamed once.
-std::vector<Quarantined> ListQuarantineNotices(const PoisonState& state,
-                                               kernel::Time now);
+std::vector<QuarantineNotice> ListQuarantineNotices(const PoisonState& state,
+                                                    kernel::Time now);
 
 }  // namespace egretladder::policy
--- a/policy/src/poison.cc
+++ b/policy/src/poison.cc
@@ -38,15 +38,15 @@
   return blame;
 }
 
-Quarantined ToTell(std::uint64_t fingerprint, const Blame& blame,
-                   kernel::Time now) {
+QuarantineNotice ToTell(std::uint64_t fingerprint, const Blame& blame,
+                        kernel::Time now) {
   return {fingerprint, duration_cast<milliseconds>(blame.until - now),
           blame.deaths};
 }
 
 }  // namespace
 
-std::vector<Quarantined> OnEndpointDied(
+std::vector<QuarantineNotice> OnEndpointDied(
     PoisonState& state, const std::vector<std::uint64_t>& running,
     kernel::Time now) {
   std::vector<std::uint64_t> bodies = running;
@@ -56,7 +56,7 @@
   const auto suspects = std::count_if(
       bodies.begin(), bodies.end(),
       [&](std::uint64_t body) { return IsSuspect(state, body, now); });
-  std::vector<Quarantined> quarantined;
+  std::vector<QuarantineNotice> quarantined;
   for (const std::uint64_t body : bodies) {
     const bool suspect = IsSuspect(state, body, now);
     // A known suspect explains the death: the others only ran beside it.
@@ -82,7 +82,7 @@
   return blame != nullptr && !blame->quarantined;
 }
 
-bool ApplyQuarantineNotice(PoisonState& state, const Quarantined& told,
+bool ApplyQuarantineNotice(PoisonState& state, const QuarantineNotice& told,
                            kernel::Time now) {
   if (told.left <= milliseconds(0) || told.fingerprint == 0) return false;
   Blame& blame = BlameOf(state, told.fingerprint, now);
@@ -101,9 +101,9 @@
   return blame != nullptr && blame->quarantined;
 }
 
-std::vector<Quarantined> ListQuarantineNotices(const PoisonState& state,
-                                               kernel::Time now) {
-  std::vector<Quarantined> list;
+std::vector<QuarantineNotice> ListQuarantineNotices(const PoisonState& state,
+                                                    kernel::Time now) {
+  std::vector<QuarantineNotice> list;
   for (const auto& [fingerprint, blame] : state.blames) {
     if (blame.until > now) list.push_back(ToTell(fingerprint, blame, now));
   }
--- a/policy/tests/load_run_engines.h
+++ b/policy/tests/load_run_engines.h
@@ -51,7 +51,7 @@
       running.push_back(life.planned.request.fingerprint);
     }
   }
-  for (const Quarantined& held : OnEndpointDied(poison_, running, now_)) {
+  for (const QuarantineNotice& held : OnEndpointDied(poison_, running, now_)) {
     const bool innocent = held.fingerprint != kPoisonBody;
     Check(!innocent, "an innocent body was quarantined");
     Act([&](Actions& out) {
