--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -23,7 +23,7 @@
 
 // One scheduler with all its slots leased, and `waiting` requests behind them.
 struct Bench {
-  ep::load::Load load;
+  ep::load::Workload load;
   const ep::SchedulerPlugin* plugin = nullptr;
   std::unique_ptr<ep::SchedulerState> state;
   ek::ManualClock clock;
@@ -33,12 +33,12 @@
 
   Bench(const char* scheduler, std::uint32_t endpoints) {
     load.fleet = {5, endpoints, kSlots, 1, kAccounts};
-    load.classes = ep::load::AbayClasses();
+    load.classes = ep::load::SampleClasses();
     for (ep::load::ClassSpec& cls : load.classes) {
       cls.first_token = cls.max_wait = std::chrono::hours(10);
     }
     ep::Limits limits;
-    limits.waiting_most = 200'000;
+    limits.max_queue_length = 200'000;
     limits.refuse_early = false;
     plugin = ek::FindPlugin<ep::SchedulerPlugin>(scheduler);
     state = plugin->create({ep::ZoneHandle{0}, 1, limits});
@@ -115,7 +115,7 @@
   for (std::uint32_t i = 0; i < total; ++i) bench.Arrive();
   for ([[maybe_unused]] auto _ : run) {
     bench.Step();
-    bench.plugin->on_gone(*bench.state, bench.Arrive(), bench.clock.now);
+    bench.plugin->on_caller_gone(*bench.state, bench.Arrive(), bench.clock.now);
   }
 }
 
--- a/bench/policy_loads_bench.cc
+++ b/bench/policy_loads_bench.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-void PrintClass(const el::Load& load, const el::Result& result,
+void PrintClass(const el::Workload& load, const el::Result& result,
                 std::uint32_t cls) {
   const el::ClassResult& of = result.classes[cls];
   if (of.offered == 0) return;
@@ -23,16 +23,16 @@
       100.0 * of.late / of.offered, 100 * refused / of.offered,
       refused > 0 ? of.refusal_waits.count() / refused : 0,
       of.worst_refusal.count(), of.worst_wait.count(),
-      of.longest_unserved.count(), el::Jain(result, cls));
+      of.longest_unserved.count(), el::JainIndex(result, cls));
 }
 
-void PrintResult(const el::Load& load, const el::Result& result) {
+void PrintResult(const el::Workload& load, const el::Result& result) {
   std::printf(
       "  %-7s goodput %5.0f tokens/s  wasted %4.2f%%  preempted %u  "
       "inversions %u  broken %u %s\n",
       result.scheduler.c_str(), el::Goodput(result, load),
-      100 * el::Wasted(result), result.preempted, result.tier_inversions,
-      result.broken, result.first_broken.c_str());
+      100 * el::WastedRatio(result), result.preempted, result.tier_inversions,
+      result.violations, result.first_violation.c_str());
   for (std::uint32_t cls = 0; cls < result.classes.size(); ++cls) {
     PrintClass(load, result, cls);
   }
@@ -42,11 +42,11 @@
 
 int main(int argc, char** argv) {
   const std::string_view only = argc > 1 ? argv[1] : "";
-  for (const el::Load& load : el::AllLoads()) {
+  for (const el::Workload& load : el::AllWorkloads()) {
     if (!only.empty() && load.name != only) continue;
     std::printf("%s\n", load.name.c_str());
     for (const char* scheduler : {"ladder", "strict", "least", "fifo"}) {
-      PrintResult(load, el::Play(scheduler, load));
+      PrintResult(load, el::RunSimulation(scheduler, load));
     }
   }
   return 0;
--- a/bench/policy_sweep_bench.cc
+++ b/bench/policy_sweep_bench.cc
@@ -23,7 +23,7 @@
 
 struct Sweep {
   std::string_view threshold;
-  std::vector<el::Load> loads;
+  std::vector<el::Workload> loads;
   std::vector<Setting> settings;
 };
 
@@ -38,10 +38,10 @@
   double first_token = 0;
   double first_token_95 = 0;
   double wasted = 0;
-  std::uint32_t broken = 0;
+  std::uint32_t violations = 0;
 };
 
-void AddRun(Sums& sums, const el::Load& load, const el::Result& result) {
+void AddRun(Sums& sums, const el::Workload& load, const el::Result& result) {
   double unserved = 0;
   double jain = 1;
   sums.in_time.resize(load.classes.size());
@@ -51,26 +51,26 @@
     sums.refusals += of.refused;
     sums.refusal_waits += of.refusal_waits.count();
     unserved = std::max(unserved, of.longest_unserved.count());
-    if (of.offered > 0) jain = std::min(jain, el::Jain(result, cls));
+    if (of.offered > 0) jain = std::min(jain, el::JainIndex(result, cls));
   }
   sums.goodput += el::Goodput(result, load);
   sums.unserved += unserved;
   sums.jain += jain;
-  sums.first_token += el::MeanFirstToken(result, 0);
-  sums.first_token_95 += el::FirstToken95(result, 0);
-  sums.wasted += 100 * el::Wasted(result);
-  sums.broken += result.broken + result.tier_inversions;
+  sums.first_token += el::MeanTimeToFirstToken(result, 0);
+  sums.first_token_95 += el::TimeToFirstTokenP95(result, 0);
+  sums.wasted += 100 * el::WastedRatio(result);
+  sums.violations += result.violations + result.tier_inversions;
 }
 
-void PrintRow(const Setting& setting, el::Load load) {
+void PrintRow(const Setting& setting, el::Workload load) {
   Limits limits;
   setting.set(limits);
-  const std::uint32_t seeds = load.length > el::Span(600) ? 2 : 5;
+  const std::uint32_t seeds = load.length > el::DoubleSeconds(600) ? 2 : 5;
   const std::uint64_t first_seed = load.seed;
   Sums sums;
   for (std::uint32_t seed = 0; seed < seeds; ++seed) {
     load.seed = first_seed + 100 * seed;
-    AddRun(sums, load, el::Play("ladder", load, limits));
+    AddRun(sums, load, el::RunSimulation("ladder", load, limits));
   }
   std::printf("| %s | %s | ", load.name.c_str(), setting.name.c_str());
   const char* between = "";
@@ -84,7 +84,7 @@
               sums.unserved / seeds, sums.jain / seeds,
               sums.first_token / seeds, sums.first_token_95 / seeds,
               sums.wasted / seeds);
-  std::printf(" %u |\n", sums.broken);
+  std::printf(" %u |\n", sums.violations);
 }
 
 Setting Standard() {
@@ -92,10 +92,11 @@
 }
 
 void AddOverloadSweeps(std::vector<Sweep>& sweeps) {
-  Sweep reserve{"reserve_factor",
-                {el::BrokerBurst(), el::BatchOnFewSlots(), el::LongAmongShort(),
-                 el::ZoneOutAndBack(), el::AtCapacity(2)},
-                {}};
+  Sweep reserve{
+      "reserve_factor",
+      {el::BrokerBurst(), el::BatchOnFewSlots(), el::LongTailedAnswers(),
+       el::ZoneOutAndBack(), el::AtCapacity(2)},
+      {}};
   for (const double factor : {0.0, 0.25, 0.5, 1.0, 1.5}) {
     reserve.settings.push_back(
         {std::to_string(factor).substr(0, 4),
@@ -106,38 +107,41 @@
   for (const double share : {0.0, 0.005, 0.01, 0.02, 0.05}) {
     trickle.settings.push_back(
         {std::to_string(share).substr(0, 5),
-         [share](Limits& limits) { limits.trickle_share = share; }});
+         [share](Limits& limits) { limits.aging_share = share; }});
   }
   sweeps.push_back(trickle);
-  sweeps.push_back(
-      {"refuse_early",
-       {el::BrokerBurst(), el::NightBurst(), el::AtCapacity(2),
-        el::SaturatedHour()},
-       {Standard(),
-        {"off", [](Limits& l) { l.refuse_early = false; }},
-        {"ends_half_trusted 4", [](Limits& l) { l.ends_half_trusted = 4; }},
-        {"ends_half_trusted 64", [](Limits& l) { l.ends_half_trusted = 64; }},
-        {"ends_remembered 32", [](Limits& l) { l.ends_remembered = 32; }},
-        {"ends_remembered 1024",
-         [](Limits& l) { l.ends_remembered = 1024; }}}});
+  sweeps.push_back({"refuse_early",
+                    {el::BrokerBurst(), el::NightBurst(), el::AtCapacity(2),
+                     el::SaturatedHour()},
+                    {Standard(),
+                     {"off", [](Limits& l) { l.refuse_early = false; }},
+                     {"ends_half_trusted 4",
+                      [](Limits& l) { l.half_confidence_completions = 4; }},
+                     {"ends_half_trusted 64",
+                      [](Limits& l) { l.half_confidence_completions = 64; }},
+                     {"ends_remembered 32",
+                      [](Limits& l) { l.estimate_window_completions = 32; }},
+                     {"ends_remembered 1024", [](Limits& l) {
+                        l.estimate_window_completions = 1024;
+                      }}}});
   sweeps.push_back(
       {"charge_expected",
-       {el::FewTakeMost(), el::LongAmongShort()},
+       {el::TwoAccountsDominate(), el::LongTailedAnswers()},
        {Standard(), {"off", [](Limits& l) { l.charge_expected = false; }}}});
 }
 
 void AddChoiceSweeps(std::vector<Sweep>& sweeps) {
   sweeps.push_back({"affinity_load",
-                    {el::FewTakeMost(), el::SharedPrefixes()},
+                    {el::TwoAccountsDominate(), el::SharedPrefixes()},
                     {Standard(),
                      {"off", [](Limits& l) { l.affinity_load = 0; }},
                      {"1.00", [](Limits& l) { l.affinity_load = 1; }},
                      {"1.50", [](Limits& l) { l.affinity_load = 1.5; }},
                      {"unbounded", [](Limits& l) { l.affinity_load = 100; }},
-                     {"homes 1", [](Limits& l) { l.affinity_homes = 1; }},
-                     {"homes 4", [](Limits& l) { l.affinity_homes = 4; }}}});
+                     {"homes 1", [](Limits& l) { l.affinity_replicas = 1; }},
+                     {"homes 4", [](Limits& l) { l.affinity_replicas = 4; }}}});
   sweeps.push_back({"choices",
-                    {el::OneSlow(), el::UnevenOthers()},
+                    {el::OneSlowEndpoint(), el::UnevenLoadOfOtherNodes()},
                     {Standard(),
                      {"1 (off)", [](Limits& l) { l.choices = 1; }},
                      {"2", [](Limits& l) { l.choices = 2; }},
@@ -145,7 +149,7 @@
                      {"12", [](Limits& l) { l.choices = 12; }}}});
   sweeps.push_back(
       {"report_half_life",
-       {el::UnevenOthers()},
+       {el::UnevenLoadOfOtherNodes()},
        {Standard(),
         {"1 ms (off)", [](Limits& l) { l.report_half_life = milliseconds(1); }},
         {"300 ms", [](Limits& l) { l.report_half_life = milliseconds(300); }},
@@ -153,26 +157,27 @@
 }
 
 void AddHealthSweeps(std::vector<Sweep>& sweeps) {
-  sweeps.push_back(
-      {"slow_ratio",
-       {el::OneSlow(), el::LongAmongShort()},
-       {Standard(),
-        {"off", [](Limits& l) { l.slow_ratio = 0; }},
-        {"1.5", [](Limits& l) { l.slow_ratio = 1.5; }},
-        {"4", [](Limits& l) { l.slow_ratio = 4; }},
-        {"answers 3", [](Limits& l) { l.slow_answers = 3; }},
-        {"answers 12", [](Limits& l) { l.slow_answers = 12; }},
-        {"probe 4 s", [](Limits& l) { l.probe_every = milliseconds(4000); }}}});
-  sweeps.push_back({"shift_start",
-                    {el::ZoneOutAndBack(), el::ZoneBackUnwell()},
+  sweeps.push_back({"slow_ratio",
+                    {el::OneSlowEndpoint(), el::LongTailedAnswers()},
                     {Standard(),
-                     {"1 (off)", [](Limits& l) { l.shift_start = 1; }},
-                     {"0.05", [](Limits& l) { l.shift_start = 0.05; }},
-                     {"doubling 1 s",
-                      [](Limits& l) { l.shift_doubling = milliseconds(1000); }},
-                     {"doubling 8 s", [](Limits& l) {
-                        l.shift_doubling = milliseconds(8000);
+                     {"off", [](Limits& l) { l.slow_ratio = 0; }},
+                     {"1.5", [](Limits& l) { l.slow_ratio = 1.5; }},
+                     {"4", [](Limits& l) { l.slow_ratio = 4; }},
+                     {"answers 3", [](Limits& l) { l.min_slow_samples = 3; }},
+                     {"answers 12", [](Limits& l) { l.min_slow_samples = 12; }},
+                     {"probe 4 s", [](Limits& l) {
+                        l.probe_interval = milliseconds(4000);
                       }}}});
+  sweeps.push_back(
+      {"shift_start",
+       {el::ZoneOutAndBack(), el::ZoneBackUnwell()},
+       {Standard(),
+        {"1 (off)", [](Limits& l) { l.zone_ramp_initial_ratio = 1; }},
+        {"0.05", [](Limits& l) { l.zone_ramp_initial_ratio = 0.05; }},
+        {"doubling 1 s",
+         [](Limits& l) { l.zone_ramp_doubling_time = milliseconds(1000); }},
+        {"doubling 8 s",
+         [](Limits& l) { l.zone_ramp_doubling_time = milliseconds(8000); }}}});
 }
 
 std::vector<Sweep> AllSweeps() {
@@ -191,7 +196,7 @@
     if (!only.empty() && sweep.threshold != only) continue;
     std::printf("\n%.*s\n", static_cast<int>(sweep.threshold.size()),
                 sweep.threshold.data());
-    for (const el::Load& load : sweep.loads) {
+    for (const el::Workload& load : sweep.loads) {
       for (const Setting& setting : sweep.settings) PrintRow(setting, load);
     }
   }
--- a/lab/tests/scenario_test.cc
+++ b/lab/tests/scenario_test.cc
@@ -37,7 +37,7 @@
   plugin.on_first_token = [](auto&, auto, auto) {};
   plugin.on_tokens = [](auto&, auto, auto, auto) {};
   plugin.on_end = [](auto&, auto, auto, auto, auto&) {};
-  plugin.on_gone = [](auto&, auto, auto) {};
+  plugin.on_caller_gone = [](auto&, auto, auto) {};
   plugin.on_tick = [](auto&, auto, auto&) {};
   plugin.view = [](const auto&, auto) { return ep::SchedulerView{}; };
   return plugin;
--- a/node/src/calls.cc
+++ b/node/src/calls.cc
@@ -125,7 +125,8 @@
     return ForgetCall(state, record.call.id);
   }
   if (record.stage == Stage::kWaiting) {
-    state.scheduler->on_gone(*state.scheduler_state, record.call.id, now);
+    state.scheduler->on_caller_gone(*state.scheduler_state, record.call.id,
+                                    now);
   }
   const bool was_at_endpoint = IsAtEndpoint(record.stage);
   if (was_at_endpoint) {
@@ -291,7 +292,7 @@
     return Decide(state, *record, "detach", "caller_gone", now, out);
   }
   if (record->stage == Stage::kWaiting) {
-    state.scheduler->on_gone(*state.scheduler_state, call, now);
+    state.scheduler->on_caller_gone(*state.scheduler_state, call, now);
   } else if (IsAtEndpoint(record->stage)) {
     out.emplace_back(CancelCall{call, record->attempt});
     EndAttempt(state, *record, policy::EndKind::kCancelled, now);
--- a/policy/include/egretladder/policy/estimate.h
+++ b/policy/include/egretladder/policy/estimate.h
@@ -32,10 +32,10 @@
 void OnWorkStarted(WorkSeen& seen, kernel::Time now);
 /// Its first token came; older ones fade beyond `ends_remembered`.
 void OnFirstTokenSeen(WorkSeen& seen, Seconds after_dispatch,
-                      double ends_remembered);
+                      double estimate_window_completions);
 /// `tokens` were produced in all.
-void OnWorkEnded(WorkSeen& seen, std::uint32_t tokens, double ends_remembered,
-                 kernel::Time now);
+void OnWorkEnded(WorkSeen& seen, std::uint32_t tokens,
+                 double estimate_window_completions, kernel::Time now);
 
 /// Work broke off after `spent` in its slot: it says nothing of how long work
 /// takes, so what it spent is taken back.
@@ -45,7 +45,7 @@
 /// ended than runs.
 Seconds MeanSlotTime(const WorkSeen& seen, kernel::Time now);
 /// Mean time from dispatch to the first token; 0: unknown.
-Seconds MeanFirstToken(const WorkSeen& seen);
+Seconds MeanTimeToFirstToken(const WorkSeen& seen);
 /// Time to the first token that few exceed: the mean and twice the deviation.
 /// Work started right before its deadline less the mean would be late half of
 /// the time, and deadline order starts just that work under overload.
--- a/policy/include/egretladder/policy/limits.h
+++ b/policy/include/egretladder/policy/limits.h
@@ -68,14 +68,14 @@
   /// Requests that wait at a node, all classes together.
   /// Load: a broker's batch. Without it memory grows with the batch, by about
   /// 600 bytes a request.
-  std::uint32_t waiting_most = 20'000;
+  std::uint32_t max_queue_length = 20'000;
 
   /// Part of a target's slots that aged work of lower tiers may hold while
   /// higher tiers want them all; 0: no trickle.
   /// Load: the top tier alone over capacity for an hour. Without it lower tiers
   /// are never served, and with much of it the top tier is late. The bound is
   /// derived in docs/design/two-promises.md.
-  double trickle_share = 0.02;
+  double aging_share = 0.02;
   /// A lower tier's request counts as aged after this wait.
   milliseconds trickle_age{5000};
 
@@ -90,10 +90,10 @@
   /// Ends seen at which a learned wait counts half; 0: it always counts whole.
   /// Load: long work among short, and the start of a node. Without it the first
   /// long answers refuse callers that could be served.
-  double ends_half_trusted = 16;
+  double half_confidence_completions = 16;
   /// Ends over which service times are learned. Fewer let one very long answer
   /// shift the estimate; more are slow to see a change.
-  double ends_remembered = 256;
+  double estimate_window_completions = 256;
   /// Whether work that can't make it is refused at once.
   /// Off, callers in a burst wait for their refusal until their time is up.
   bool refuse_early = true;
@@ -115,7 +115,7 @@
   /// overload one endpoint; without affinity each prompt is computed anew.
   double affinity_load = 1.5;
   /// Endpoints that may hold one prefix.
-  std::uint32_t affinity_homes = 2;
+  std::uint32_t affinity_replicas = 2;
   /// What a report's load counts half as much after. Reports lag.
   milliseconds report_half_life{1000};
   /// Part of the load by which the own zone is preferred; the way to another is
@@ -127,13 +127,13 @@
   /// the endpoint gets its full part of the questions, and each is late.
   double slow_ratio = 2.5;
   /// Answers before an endpoint may be called slow.
-  std::uint32_t slow_answers = 6;
+  std::uint32_t min_slow_samples = 6;
   /// Failures in a row before it is left alone: one that fails at once looks
   /// idle and draws all work.
   std::uint32_t failures_in_row = 3;
   /// Part of a target's endpoints that may be left alone as slow.
   double slow_share_most = 0.34;
-  milliseconds probe_every{1000};
+  milliseconds probe_interval{1000};
   /// Answers at the usual speed before a slow endpoint is trusted.
   std::uint32_t probes_to_trust = 3;
 
@@ -141,10 +141,10 @@
   /// this has doubled; 1: all at once.
   /// Load: a zone out and back. Without it every new request goes to the zone's
   /// idle endpoints, and all are late if it is not well.
-  double shift_start = 0.125;
+  double zone_ramp_initial_ratio = 0.125;
   /// Long enough to notice that the zone is slow before it has much of the
   /// work.
-  milliseconds shift_doubling{4000};
+  milliseconds zone_ramp_doubling_time{4000};
 };
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/scheduler.h
+++ b/policy/include/egretladder/policy/scheduler.h
@@ -173,7 +173,7 @@
   /// preempted request arrives anew with the same id.
   void (*on_end)(SchedulerState&, RequestId, EndKind, Time now, Actions& out);
   /// The caller of a waiting request went away.
-  void (*on_gone)(SchedulerState&, RequestId, Time now);
+  void (*on_caller_gone)(SchedulerState&, RequestId, Time now);
   /// Call at `kSchedulerTickInterval` or more often.
   void (*on_tick)(SchedulerState&, Time now, Actions& out);
   SchedulerView (*view)(const SchedulerState&, Time now);
--- a/policy/src/aging_quota.cc
+++ b/policy/src/aging_quota.cc
@@ -15,14 +15,14 @@
   const double passed = std::max(0.0, Seconds(now - trickle.until).count());
   trickle.until = now;
   trickle.slot_seconds -= passed * trickle.running;
-  trickle.slot_seconds += passed * limits.trickle_share * slots;
+  trickle.slot_seconds += passed * limits.aging_share * slots;
   trickle.slot_seconds = std::min(trickle.slot_seconds, kSavedMost);
 }
 
 bool MayTrickle(const Trickle& trickle, std::uint32_t slots,
                 const Limits& limits) {
-  if (limits.trickle_share <= 0 || trickle.slot_seconds <= 0) return false;
-  return trickle.running < std::max(1.0, limits.trickle_share * slots);
+  if (limits.aging_share <= 0 || trickle.slot_seconds <= 0) return false;
+  return trickle.running < std::max(1.0, limits.aging_share * slots);
 }
 
 bool IsAged(kernel::Time arrived, kernel::Time bound, const Limits& limits,
@@ -33,7 +33,7 @@
 
 Seconds TrickleBound(std::uint32_t classes, std::uint32_t slots,
                      Seconds longest, Seconds release, const Limits& limits) {
-  const double accrued = std::min(1.0, limits.trickle_share * slots);
+  const double accrued = std::min(1.0, limits.aging_share * slots);
   return Seconds(limits.trickle_age) + classes * (longest / accrued + release);
 }
 
--- a/policy/src/estimate.cc
+++ b/policy/src/estimate.cc
@@ -6,8 +6,8 @@
 namespace egretladder::policy {
 namespace {
 
-double Fading(double ends_remembered) {
-  return 1.0 - 1.0 / std::max(2.0, ends_remembered);
+double Fading(double estimate_window_completions) {
+  return 1.0 - 1.0 / std::max(2.0, estimate_window_completions);
 }
 
 double SlotSecondsAt(const WorkSeen& seen, kernel::Time now) {
@@ -28,8 +28,8 @@
 }
 
 void OnFirstTokenSeen(WorkSeen& seen, Seconds after_dispatch,
-                      double ends_remembered) {
-  const double fading = Fading(ends_remembered);
+                      double estimate_window_completions) {
+  const double fading = Fading(estimate_window_completions);
   seen.first_token_seconds =
       seen.first_token_seconds * fading + after_dispatch.count();
   seen.first_token_squares = seen.first_token_squares * fading +
@@ -37,11 +37,11 @@
   seen.first_tokens = seen.first_tokens * fading + 1;
 }
 
-void OnWorkEnded(WorkSeen& seen, std::uint32_t tokens, double ends_remembered,
-                 kernel::Time now) {
+void OnWorkEnded(WorkSeen& seen, std::uint32_t tokens,
+                 double estimate_window_completions, kernel::Time now) {
   CountUpTo(seen, now);
   if (seen.running > 0) --seen.running;
-  const double fading = Fading(ends_remembered);
+  const double fading = Fading(estimate_window_completions);
   seen.slot_seconds *= fading;
   seen.ends = seen.ends * fading + 1;
   seen.tokens = seen.tokens * fading + tokens;
@@ -60,7 +60,7 @@
   return Seconds(work > 0 ? slot_seconds / work : 0);
 }
 
-Seconds MeanFirstToken(const WorkSeen& seen) {
+Seconds MeanTimeToFirstToken(const WorkSeen& seen) {
   if (seen.first_tokens <= 0) return Seconds(0);
   return Seconds(seen.first_token_seconds / seen.first_tokens);
 }
--- a/policy/src/health.cc
+++ b/policy/src/health.cc
@@ -11,7 +11,7 @@
 void LeaveAlone(Health& health, const Limits& limits, kernel::Time now) {
   health.left_alone = true;
   health.good_probes = 0;
-  health.next_probe = now + limits.probe_every;
+  health.next_probe = now + limits.probe_interval;
 }
 
 HealthChange OnProbeAnswer(Health& health, double ratio, const Limits& limits) {
@@ -34,7 +34,7 @@
   const double ratio = std::min(took / usual, kRatioMost);
   if (health.left_alone) return OnProbeAnswer(health, ratio, limits);
   health.ratio += kWeightOfNewest * (ratio - health.ratio);
-  if (++health.answers < limits.slow_answers) return HealthChange::kNone;
+  if (++health.answers < limits.min_slow_samples) return HealthChange::kNone;
   if (health.ratio < limits.slow_ratio) return HealthChange::kNone;
   LeaveAlone(health, limits, now);
   return HealthChange::kLeftAlone;
@@ -62,8 +62,8 @@
 void OnProbeSent(Health& health, const Limits& limits, kernel::Time now) {
   constexpr std::uint32_t kDoublingsMost = 4;
   health.next_probe =
-      now +
-      limits.probe_every * (1U << std::min(health.bad_probes, kDoublingsMost));
+      now + limits.probe_interval *
+                (1U << std::min(health.bad_probes, kDoublingsMost));
 }
 
 bool MayLeaveAlone(std::uint32_t left_alone, std::uint32_t servers,
--- a/policy/src/ladder_admit.cc
+++ b/policy/src/ladder_admit.cc
@@ -127,7 +127,7 @@
     demand_long += Faded(load.admitted_long, load.until, kSmoothedLong, now);
   }
   if (may_wait > kLongWait) demand = std::min(demand, demand_long);
-  const double least = std::max(0.001, LimitsOf(state).trickle_share) /
+  const double least = std::max(0.001, LimitsOf(state).aging_share) /
                        LowerClassesWaiting(state, target);
   return std::clamp(1.0 - demand / pool.slots, least, 1.0);
 }
@@ -144,7 +144,8 @@
 
 double TrustIn(const LadderState& state, const WorkAhead& ahead) {
   if (!LimitsOf(state).refuse_early || ahead.ends <= 0) return 0;
-  return ahead.ends / (ahead.ends + LimitsOf(state).ends_half_trusted);
+  return ahead.ends /
+         (ahead.ends + LimitsOf(state).half_confidence_completions);
 }
 
 AdmitQuestion QuestionOf(const LadderState& state, const Request& request,
@@ -197,7 +198,8 @@
 // Room is made by the lowest tier, then by an account far over its part.
 bool MakeRoom(LadderState& state, const Request& request, std::uint8_t tier,
               Time now, Actions& out) {
-  if (state.queue.requests.size() < LimitsOf(state).waiting_most) return true;
+  if (state.queue.requests.size() < LimitsOf(state).max_queue_length)
+    return true;
   RefuseReason reason = RefuseReason::kShedForHigherTier;
   const Waiting* victim = FindToShed(state.queue, tier);
   if (victim == nullptr) {
--- a/policy/src/ladder_dispatch.cc
+++ b/policy/src/ladder_dispatch.cc
@@ -77,7 +77,8 @@
 bool MayProbeWith(const LadderState& state, const Waiting& waiting, Time now) {
   const WorkSeen& seen =
       state.seen[waiting.request.target.idx][waiting.request.cls.idx];
-  const Seconds needed = MeanFirstToken(seen) * 2 * LimitsOf(state).slow_ratio;
+  const Seconds needed =
+      MeanTimeToFirstToken(seen) * 2 * LimitsOf(state).slow_ratio;
   return waiting.tier > rules::kTopTier ||
          Seconds(waiting.request.deadline - now) > needed;
 }
@@ -101,7 +102,7 @@
   const Pool& pool = state.pools[request.target.idx];
   const double mean =
       1.0 - static_cast<double>(pool.free) / std::max(1U, pool.slots);
-  HomesOf(pool.ring, request.prefix, limits.affinity_homes, state.homes);
+  HomesOf(pool.ring, request.prefix, limits.affinity_replicas, state.homes);
   for (const EndpointHandle home : state.homes) {
     const LadderEndpoint& known = state.endpoints[home.idx];
     if (known.health.left_alone || home == request.avoid) continue;
--- a/policy/src/scheduler_ladder.cc
+++ b/policy/src/scheduler_ladder.cc
@@ -132,9 +132,9 @@
   LadderEndpoint& known = state.endpoints[running.endpoint.idx];
   known.first_token += (took - known.first_token) * 0.2;
   const HealthChange change = OnFirstTokenTook(
-      known.health, took, MeanFirstToken(seen), LimitsOf(state), now);
+      known.health, took, MeanTimeToFirstToken(seen), LimitsOf(state), now);
   if (!known.health.left_alone) {
-    OnFirstTokenSeen(seen, took, LimitsOf(state).ends_remembered);
+    OnFirstTokenSeen(seen, took, LimitsOf(state).estimate_window_completions);
   }
   ApplyHealth(state, running.endpoint, change, now);
 }
@@ -177,7 +177,8 @@
       state.seen[running.request.target.idx][running.request.cls.idx];
   LadderEndpoint& known = state.endpoints[running.endpoint.idx];
   if (kind == EndKind::kDone) {
-    OnWorkEnded(seen, running.tokens, LimitsOf(state).ends_remembered, now);
+    OnWorkEnded(seen, running.tokens,
+                LimitsOf(state).estimate_window_completions, now);
     return OnAnswered(known.health);
   }
   OnWorkBroken(seen, now - running.dispatched, now);
@@ -209,7 +210,7 @@
   std::vector<std::pair<EndpointHandle, Seconds>> late;
   for (const auto& [id, running] : state.running) {
     if (running.first_token) continue;
-    const Seconds usual = MeanFirstToken(
+    const Seconds usual = MeanTimeToFirstToken(
         state.seen[running.request.target.idx][running.request.cls.idx]);
     const Seconds took = now - running.dispatched;
     if (usual.count() <= 0 || took < usual * 2 * LimitsOf(state).slow_ratio) {
--- a/policy/src/zone_ramp.cc
+++ b/policy/src/zone_ramp.cc
@@ -18,8 +18,8 @@
   if (shift.out) return 0;
   if (!shift.returning) return 1;
   const std::chrono::duration<double> passed = now - shift.since;
-  const double doublings = passed / limits.shift_doubling;
-  const double part = limits.shift_start * std::exp2(doublings);
+  const double doublings = passed / limits.zone_ramp_doubling_time;
+  const double part = limits.zone_ramp_initial_ratio * std::exp2(doublings);
   if (part >= 1) shift.returning = false;
   return std::min(1.0, part);
 }
--- a/policy/tests/decisions_test.cc
+++ b/policy/tests/decisions_test.cc
@@ -101,7 +101,7 @@
     if (ep::MayTrickle(trickle, 10, limits_)) ++trickle.running;
   }
   const double share = busy / (10.0 * 10'000);
-  DOUBLES_EQUAL(limits_.trickle_share, share, limits_.trickle_share * 0.1);
+  DOUBLES_EQUAL(limits_.aging_share, share, limits_.aging_share * 0.1);
 }
 
 // An endpoint answers 5 times slower and reports health. Callers sent there
@@ -114,7 +114,7 @@
   }
   CHECK(change == ep::HealthChange::kLeftAlone);
   CHECK_FALSE(ep::IsProbeDue(health, clock_.now));
-  ek::Advance(clock_, limits_.probe_every);
+  ek::Advance(clock_, limits_.probe_interval);
   CHECK_TRUE(ep::IsProbeDue(health, clock_.now));
   for (std::uint32_t i = 0; i < limits_.probes_to_trust; ++i) {
     change = ep::OnFirstTokenTook(health, 500ms, 500ms, limits_, clock_.now);
@@ -172,7 +172,7 @@
 // An endpoint leaves. If prefixes moved between the others as well, every cache
 // would be cold at once.
 TEST(Decisions, PrefixHomesMoveLittleWhenAnEndpointLeaves) {
-  ep::load::Load load;
+  ep::load::Workload load;
   const auto rules = ep::load::MakeRules(load, 1, {});
   std::vector<ep::EndpointHandle> servers;
   for (std::uint32_t i = 0; i < 12; ++i) servers.push_back({i});
@@ -198,9 +198,9 @@
   ep::OnZone(shift, true, clock_.now);
   DOUBLES_EQUAL(0.0, ep::PartOf(shift, limits_, clock_.now), 0.0);
   ep::OnZone(shift, false, clock_.now);
-  DOUBLES_EQUAL(limits_.shift_start, ep::PartOf(shift, limits_, clock_.now),
-                0.001);
-  CHECK_EQUAL(1U, ep::SlotsUnder(limits_.shift_start, 8));
-  ek::Advance(clock_, 3 * limits_.shift_doubling);
+  DOUBLES_EQUAL(limits_.zone_ramp_initial_ratio,
+                ep::PartOf(shift, limits_, clock_.now), 0.001);
+  CHECK_EQUAL(1U, ep::SlotsUnder(limits_.zone_ramp_initial_ratio, 8));
+  ek::Advance(clock_, 3 * limits_.zone_ramp_doubling_time);
   DOUBLES_EQUAL(1.0, ep::PartOf(shift, limits_, clock_.now), 0.001);
 }
--- a/policy/tests/ladder_random_test.cc
+++ b/policy/tests/ladder_random_test.cc
@@ -35,7 +35,7 @@
   const ep::SchedulerPlugin* plugin =
       ek::FindPlugin<ep::SchedulerPlugin>("ladder");
   std::unique_ptr<ep::SchedulerState> state;
-  ep::load::Load load;
+  ep::load::Workload load;
   std::map<ep::RequestId, ep::Request> waiting;
   std::map<ep::RequestId, std::uint32_t> running;  // Endpoint.
   std::array<std::uint32_t, kEndpoints> slots{};
@@ -47,14 +47,14 @@
 
   explicit Model(std::uint64_t seed) : random(seed) {
     load.fleet = {2, kEndpoints, 3, 1, 4};
-    load.classes = ep::load::AbayClasses();
+    load.classes = ep::load::SampleClasses();
     // Only caps and room decide here; time and the trickle have other tests.
     ep::Limits limits;
-    limits.waiting_most = kWaitingMost;
+    limits.max_queue_length = kWaitingMost;
     limits.refuse_early = false;
     limits.reserve_factor = 0;
-    limits.trickle_share = 0;
-    limits.shift_start = 1;
+    limits.aging_share = 0;
+    limits.zone_ramp_initial_ratio = 1;
     limits.slow_ratio = 0;
     limits.failures_in_row = 1'000'000;
     state = plugin->create({ep::ZoneHandle{0}, seed, limits});
@@ -212,7 +212,7 @@
         return SetRules();
       case 3:
         if (waiting.empty()) return;
-        plugin->on_gone(*state, waiting.begin()->first, clock.now);
+        plugin->on_caller_gone(*state, waiting.begin()->first, clock.now);
         waiting.erase(waiting.begin());
         return;
       case 4:
--- a/policy/tests/ladder_test.cc
+++ b/policy/tests/ladder_test.cc
@@ -22,7 +22,8 @@
   const ep::SchedulerPlugin* plugin_ =
       ek::FindPlugin<ep::SchedulerPlugin>("ladder");
   std::unique_ptr<ep::SchedulerState> state_;
-  ep::load::Load load_{"", 1, {2, 4, 2, 1, 4}, ep::load::AbayClasses(), {}};
+  ep::load::Workload load_{
+      "", 1, {2, 4, 2, 1, 4}, ep::load::SampleClasses(), {}};
   ep::Actions out_;
   std::uint64_t version_ = 0;
   ep::RequestId next_ = 0;
@@ -144,7 +145,7 @@
 // The queue is full of bulk work when a buyer asks.
 TEST(Ladder, LowestTierMakesRoomAndAHigherOneIsNeverShedForIt) {
   ep::Limits limits;
-  limits.waiting_most = 4;
+  limits.max_queue_length = 4;
   Start(limits);
   Fill();
   const ep::RequestId quote = Arrive(1);
@@ -251,8 +252,8 @@
   const ep::Request request = Make(0);
   Arrive(request);
   Arrive(request);
-  plugin_->on_gone(*state_, request.id, clock_.now);
-  plugin_->on_gone(*state_, request.id, clock_.now);
+  plugin_->on_caller_gone(*state_, request.id, clock_.now);
+  plugin_->on_caller_gone(*state_, request.id, clock_.now);
   End(1);
   End(1);
   End(999);
--- a/policy/tests/load_engine.h
+++ b/policy/tests/load_engine.h
@@ -15,9 +15,9 @@
 
 /// What an attempt will do that starts now.
 struct Course {
-  bool fails = false;  ///< A cold engine that has more than it bears.
-  Span first{0};       ///< From the start to the first token.
-  Span token{0};       ///< From one token to the next.
+  bool fails = false;      ///< A cold engine that has more than it bears.
+  DoubleSeconds first{0};  ///< From the start to the first token.
+  DoubleSeconds token{0};  ///< From one token to the next.
 };
 
 /// A larger batch makes each of its answers slower.
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -15,12 +15,12 @@
 
 namespace egretladder::policy::load {
 
-using Span = std::chrono::duration<double>;
+using DoubleSeconds = std::chrono::duration<double>;
 using namespace std::chrono_literals;
 
 inline constexpr Time kStart{std::chrono::hours(1)};
-inline constexpr Span kBetweenTokens{0.02};
-inline constexpr Span kFirstToken{0.5};
+inline constexpr DoubleSeconds kBetweenTokens{0.02};
+inline constexpr DoubleSeconds kFirstToken{0.5};
 
 /// How long the answers of a class are.
 struct Work {
@@ -28,15 +28,16 @@
   double spread = 0.5;    ///< Sigma of the logarithm.
   double long_share = 0;  ///< Part of requests that are `long_times` longer.
   double long_times = 20;
-  Span first_token = kFirstToken;  ///< Unloaded, without a cached prefix.
+  DoubleSeconds first_token =
+      kFirstToken;  ///< Unloaded, without a cached prefix.
 };
 
 /// Requests of one class from some accounts.
 struct Stream {
   std::uint32_t cls = 0;
   double load = 0;  ///< Of the fleet's slots.
-  Span from{0};
-  Span to{60};
+  DoubleSeconds from{0};
+  DoubleSeconds to{60};
   std::vector<double> accounts = {1};  ///< Weights.
   std::uint32_t prefixes = 0;          ///< 0: none.
   double hot_prefixes = 0;             ///< Part of requests with 3 prefixes.
@@ -59,13 +60,13 @@
   bool starts_cold = false;
 };
 
-struct Load {
+struct Workload {
   std::string name;
   std::uint64_t seed = 1;
   FleetSpec fleet;
   std::vector<ClassSpec> classes;
   std::vector<Stream> streams;
-  Span length{60};
+  DoubleSeconds length{60};
   /// Each so-manieth request is one and the same body that crashes engines.
   std::uint64_t poison_every = 0;
 };
@@ -73,7 +74,7 @@
 inline constexpr std::uint64_t kPoisonBody = ~std::uint64_t{0};
 
 /// Abay's classes: buyers' questions, quotes, record checks, trace summaries.
-inline std::vector<ClassSpec> AbayClasses() {
+inline std::vector<ClassSpec> SampleClasses() {
   return {{"buyer", 1, 1800ms, 1800ms, {80, 0.5}},
           {"quote", 2, 4000ms, 4000ms, {100, 0.5}},
           {"check", 3, 10s, 30s, {60, 0.5}},
@@ -128,22 +129,23 @@
   return kernel::HashBytes("prefix " + std::to_string(number));
 }
 
-inline Time At(Span since_start) {
+inline Time At(DoubleSeconds since_start) {
   return kStart +
          std::chrono::duration_cast<std::chrono::nanoseconds>(since_start);
 }
 
 /// Draws the arrivals of all streams (Poisson), in order of time.
-inline std::vector<Planned> PlanArrivals(const Load& load) {
+inline std::vector<Planned> PlanArrivals(const Workload& load) {
   kernel::Random random(load.seed);
   std::vector<Planned> planned;
   const double slots = load.fleet.endpoints * load.fleet.max_in_flight;
   for (const Stream& stream : load.streams) {
     const ClassSpec& cls = load.classes[stream.cls];
     const double rate = stream.load * slots / SlotSeconds(cls.work);
-    Span at = stream.from;
+    DoubleSeconds at = stream.from;
     while (rate > 0) {
-      at += Span(-std::log(1.0 - kernel::RandomFraction(random)) / rate);
+      at +=
+          DoubleSeconds(-std::log(1.0 - kernel::RandomFraction(random)) / rate);
       if (at >= stream.to) break;
       Planned one;
       one.request.cls.idx = stream.cls;
@@ -168,7 +170,7 @@
 }
 
 /// The rules of a load, with some zones taken out.
-inline rules::RulesPtr MakeRules(const Load& load, std::uint64_t version,
+inline rules::RulesPtr MakeRules(const Workload& load, std::uint64_t version,
                                  const std::vector<std::uint32_t>& zones_out) {
   auto made = std::make_shared<rules::Rules>();
   made->version = version;
--- a/policy/tests/load_result.h
+++ b/policy/tests/load_result.h
@@ -16,11 +16,11 @@
   std::uint32_t late = 0;
   std::uint32_t refused = 0;
   std::uint32_t failed = 0;
-  Span worst_wait{0};                ///< Until its start.
-  Span worst_refusal{0};             ///< From arrival to a refusal.
-  Span refusal_waits{0};             ///< Sum.
-  Span longest_unserved{0};          ///< Some waited and none started.
-  std::vector<double> first_tokens;  ///< Seconds from arrival.
+  DoubleSeconds worst_wait{0};        ///< Until its start.
+  DoubleSeconds worst_refusal{0};     ///< From arrival to a refusal.
+  DoubleSeconds refusal_waits{0};     ///< Sum.
+  DoubleSeconds longest_unserved{0};  ///< Some waited and none started.
+  std::vector<double> first_tokens;   ///< Seconds from arrival.
 };
 
 struct Result {
@@ -30,13 +30,13 @@
   double slot_seconds = 0;
   double wasted_slot_seconds = 0;
   double trickle_slot_seconds = 0;
-  Span longest_trickle{0};
+  DoubleSeconds longest_trickle{0};
   std::uint32_t preempted = 0;
   std::uint32_t poison_deaths = 0;
   std::uint32_t to_slow = 0;  ///< Started at engines slower than the others.
   /// Broken rules: any scheduler must have none.
-  std::uint32_t broken = 0;
-  std::string first_broken;
+  std::uint32_t violations = 0;
+  std::string first_violation;
   /// Higher tier turned away for room while a lower one waited, and lower
   /// started before higher without the trickle. Baselines have many.
   std::uint32_t tier_inversions = 0;
@@ -51,7 +51,7 @@
   return of.offered == 0 ? 1 : static_cast<double>(of.in_time) / of.offered;
 }
 
-inline double MeanFirstToken(const Result& result, std::uint32_t cls) {
+inline double MeanTimeToFirstToken(const Result& result, std::uint32_t cls) {
   double sum = 0;
   for (const double took : result.classes[cls].first_tokens) sum += took;
   const auto count = result.classes[cls].first_tokens.size();
@@ -59,18 +59,18 @@
 }
 
 /// 95 in 100 first tokens came within this many seconds.
-inline double FirstToken95(const Result& result, std::uint32_t cls) {
+inline double TimeToFirstTokenP95(const Result& result, std::uint32_t cls) {
   std::vector<double> sorted = result.classes[cls].first_tokens;
   if (sorted.empty()) return 0;
   std::sort(sorted.begin(), sorted.end());
   return sorted[sorted.size() * 95 / 100];
 }
 
-inline double Goodput(const Result& result, const Load& load) {
+inline double Goodput(const Result& result, const Workload& load) {
   return result.tokens_in_time / load.length.count();
 }
 
-inline double Wasted(const Result& result) {
+inline double WastedRatio(const Result& result) {
   return result.slot_seconds <= 0
              ? 0
              : result.wasted_slot_seconds / result.slot_seconds;
@@ -105,7 +105,7 @@
 
 /// Jain's index over what the accounts of a class got in time against their
 /// fair parts; 1 is fair.
-inline double Jain(const Result& result, std::uint32_t cls) {
+inline double JainIndex(const Result& result, std::uint32_t cls) {
   double total = 0;
   for (const double tokens : result.tokens[cls]) total += tokens;
   const std::vector<double> fair = FairParts(result.demand[cls], total);
--- a/policy/tests/load_run.h
+++ b/policy/tests/load_run.h
@@ -25,7 +25,7 @@
 
 class Run {
  public:
-  Run(std::string_view scheduler, Load load, const Limits& limits = {})
+  Run(std::string_view scheduler, Workload load, const Limits& limits = {})
       : load_(std::move(load)),
         plugin_(kernel::FindPlugin<SchedulerPlugin>(scheduler)),
         random_(load_.seed + 1),
@@ -42,7 +42,7 @@
   }
 
   /// Does something to the run at a moment, such as taking a zone out.
-  void Change(Span at, std::function<void(Run&)> change) {
+  void Change(DoubleSeconds at, std::function<void(Run&)> change) {
     changes_.emplace_back(at, std::move(change));
   }
   /// New rules take these zones out, and all others back in.
@@ -58,14 +58,14 @@
   /// Restarts an engine's cache and compiled state; its boot changes if `boot`.
   void TurnCold(std::uint32_t engine, bool boot);
   /// The engine dies with what runs on it and is back, cold, after `away`.
-  void Crash(std::uint32_t engine, Span away);
+  void Crash(std::uint32_t engine, DoubleSeconds away);
   /// The zone whose starts go to `first_wave`.
   void WatchZone(std::uint32_t zone) { watched_zone_ = zone; }
   /// Plays the load to its end. Call it once.
-  Result Play();
+  Result RunSimulation();
 
  private:
-  static constexpr Span kFailsAfter{1.0};
+  static constexpr DoubleSeconds kFailsAfter{1.0};
   static constexpr std::uint32_t kTokensAStep = 50;
   static constexpr std::chrono::milliseconds kFleetStep{500};
 
@@ -123,9 +123,9 @@
   }
   void Check(bool holds, const char* rule) {
     if (holds) return;
-    if (result_.broken++ == 0) result_.first_broken = rule;
+    if (result_.violations++ == 0) result_.first_violation = rule;
   }
-  static std::chrono::nanoseconds Cast(Span span) {
+  static std::chrono::nanoseconds Cast(DoubleSeconds span) {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(span);
   }
   void Add(Time at, StepKind kind, std::uint64_t id,
@@ -133,7 +133,7 @@
     steps_.push({at, ++numbers_, kind, id, attempt});
   }
 
-  Load load_;
+  Workload load_;
   const SchedulerPlugin* plugin_;
   std::unique_ptr<SchedulerState> state_;
   kernel::Random random_;
@@ -147,7 +147,7 @@
   std::vector<Engine> engines_;
   std::unordered_map<std::uint64_t, Life> lives_;
   Waiting waiting_;
-  std::vector<std::pair<Span, std::function<void(Run&)>>> changes_;
+  std::vector<std::pair<DoubleSeconds, std::function<void(Run&)>>> changes_;
   std::priority_queue<Step, std::vector<Step>, std::greater<>> steps_;
   Result result_;
 };
--- a/policy/tests/load_run_actions.h
+++ b/policy/tests/load_run_actions.h
@@ -29,13 +29,15 @@
 inline void Run::NoteStart(const Life& life) {
   const Request& request = life.planned.request;
   if (engines_[life.engine].slow > 1) ++result_.to_slow;
-  const auto second = static_cast<std::size_t>(Span(now_ - kStart).count());
+  const auto second =
+      static_cast<std::size_t>(DoubleSeconds(now_ - kStart).count());
   if (life.engine % load_.fleet.zones == watched_zone_ &&
       second < result_.first_wave.size()) {
     ++result_.first_wave[second];
   }
   ClassResult& cls = result_.classes[request.cls.idx];
-  cls.worst_wait = std::max<Span>(cls.worst_wait, now_ - request.arrived);
+  cls.worst_wait =
+      std::max<DoubleSeconds>(cls.worst_wait, now_ - request.arrived);
   EndUnserved(waiting_, request.cls.idx, now_, cls.longest_unserved);
 }
 
@@ -53,7 +55,8 @@
   ClassResult& cls = result_.classes[request.cls.idx];
   ++cls.refused;
   cls.refusal_waits += now_ - request.arrived;
-  cls.worst_refusal = std::max<Span>(cls.worst_refusal, now_ - request.arrived);
+  cls.worst_refusal =
+      std::max<DoubleSeconds>(cls.worst_refusal, now_ - request.arrived);
   Close(life);
 }
 
--- a/policy/tests/load_run_engines.h
+++ b/policy/tests/load_run_engines.h
@@ -24,7 +24,7 @@
   Restart(engine);
 }
 
-inline void Run::Crash(std::uint32_t engine, Span away) {
+inline void Run::Crash(std::uint32_t engine, DoubleSeconds away) {
   engines_[engine].takes_work = false;
   SetAvailable(engine, false);
   std::vector<std::uint64_t> ids;
@@ -33,11 +33,12 @@
   }
   std::sort(ids.begin(), ids.end());
   for (const std::uint64_t id : ids) BreakOff(id, EndKind::kDied);
-  changes_.emplace_back(Span(now_ - kStart) + away, [engine](Run& run) {
-    run.engines_[engine].takes_work = true;
-    run.TurnCold(engine, true);
-    run.SetAvailable(engine, true);
-  });
+  changes_.emplace_back(DoubleSeconds(now_ - kStart) + away,
+                        [engine](Run& run) {
+                          run.engines_[engine].takes_work = true;
+                          run.TurnCold(engine, true);
+                          run.SetAvailable(engine, true);
+                        });
   Add(now_ + Cast(away), StepKind::kChange, changes_.size() - 1);
 }
 
@@ -59,7 +60,7 @@
                              out);
     });
   }
-  Crash(engine, Span(10));
+  Crash(engine, DoubleSeconds(10));
 }
 
 inline void Run::SetAvailable(std::uint32_t engine, bool available) {
--- a/policy/tests/load_run_requests.h
+++ b/policy/tests/load_run_requests.h
@@ -61,7 +61,7 @@
 inline void Run::NoteAnswer(const Life& life) {
   ClassResult& cls = result_.classes[life.planned.request.cls.idx];
   cls.first_tokens.push_back(
-      Span(life.first_at - life.planned.request.arrived).count());
+      DoubleSeconds(life.first_at - life.planned.request.arrived).count());
   if (life.first_at <= life.planned.request.deadline) {
     ++cls.in_time;
     // Work that a queue carries past the end is no goodput of the load.
@@ -77,7 +77,7 @@
 // An attempt ends without an answer; it may be repeated.
 inline void Run::BreakOff(std::uint64_t id, EndKind kind) {
   Life& life = lives_[id];
-  result_.wasted_slot_seconds += Span(now_ - life.started).count();
+  result_.wasted_slot_seconds += DoubleSeconds(now_ - life.started).count();
   Leave(life);
   ++life.attempt;
   life.first_token = false;
@@ -109,7 +109,7 @@
 inline void Run::Leave(Life& life) {
   life.running = false;
   --engines_[life.engine].in_flight;
-  const Span spent = now_ - life.started;
+  const DoubleSeconds spent = now_ - life.started;
   result_.slot_seconds += spent.count();
   if (!life.trickle) return;
   result_.trickle_slot_seconds += spent.count();
--- a/policy/tests/load_run_steps.h
+++ b/policy/tests/load_run_steps.h
@@ -58,7 +58,7 @@
   change(*this);
 }
 
-inline Result Run::Play() {
+inline Result Run::RunSimulation() {
   Begin();
   while (!steps_.empty()) {
     const Step step = steps_.top();
--- a/policy/tests/load_waiting.h
+++ b/policy/tests/load_waiting.h
@@ -30,14 +30,15 @@
 
 /// Ends a span in which some of the class waited and none started.
 inline void EndUnserved(Waiting& waiting, std::uint32_t cls, Time now,
-                        Span& longest) {
+                        DoubleSeconds& longest) {
   Time& since = waiting.unserved_since[cls];
-  if (since != Time::max()) longest = std::max<Span>(longest, now - since);
+  if (since != Time::max())
+    longest = std::max<DoubleSeconds>(longest, now - since);
   since = waiting.by_class[cls] > 0 ? now : Time::max();
 }
 
 inline void StopWaiting(Waiting& waiting, std::uint32_t cls, std::uint8_t tier,
-                        Time now, Span& longest_unserved) {
+                        Time now, DoubleSeconds& longest_unserved) {
   --waiting.by_tier[tier];
   if (--waiting.by_class[cls] == 0) {
     EndUnserved(waiting, cls, now, longest_unserved);
--- a/policy/tests/loads_test.cc
+++ b/policy/tests/loads_test.cc
@@ -12,19 +12,19 @@
 TEST_GROUP(Loads){
     // No run of any scheduler may break a rule; the ladder never puts a lower
     // tier before a higher one but for the trickle, and wastes little.
-    el::Result Sound(std::string_view scheduler, const el::Load& load,
+    el::Result Sound(std::string_view scheduler, const el::Workload& load,
                      const ep::Limits& limits = {}){
-        const el::Result result = el::Play(scheduler, load, limits);
-STRCMP_EQUAL("", result.first_broken.c_str());
-CHECK_EQUAL(0U, result.broken);
+        const el::Result result = el::RunSimulation(scheduler, load, limits);
+STRCMP_EQUAL("", result.first_violation.c_str());
+CHECK_EQUAL(0U, result.violations);
 if (scheduler == "ladder") {
   CHECK_EQUAL(0U, result.tier_inversions);
-  CHECK_TRUE(el::Wasted(result) < 0.02);
+  CHECK_TRUE(el::WastedRatio(result) < 0.02);
 }
 return result;
 }
 // A check that can fail: the baselines do break the order of tiers.
-el::Result Baseline(const el::Load& load) { return Sound("least", load); }
+el::Result Baseline(const el::Workload& load) { return Sound("least", load); }
 }
 ;
 
@@ -46,7 +46,7 @@
 // Parents look for free places after practice, three times what the fleet
 // bears. Served in order of arrival, most answers come when no one waits.
 TEST(Loads, NightBurstKeepsGoodput) {
-  const el::Load load = el::NightBurst();
+  const el::Workload load = el::NightBurst();
   const el::Result ladder = Sound("ladder", load);
   const el::Result least = Baseline(load);
   CHECK_TRUE(el::Attainment(ladder, 0) >= 0.99);
@@ -56,10 +56,10 @@
 // Two accounts send nine in ten requests. Without fair turns the shops wait
 // behind them and get their quotes too late.
 TEST(Loads, FewAccountsDoNotTakeTheOthersPlaces) {
-  const el::Result ladder = Sound("ladder", el::FewTakeMost());
-  const el::Result least = Baseline(el::FewTakeMost());
-  CHECK_TRUE(el::Jain(ladder, 1) > 0.98);
-  CHECK_TRUE(el::Jain(least, 1) < 0.7);
+  const el::Result ladder = Sound("ladder", el::TwoAccountsDominate());
+  const el::Result least = Baseline(el::TwoAccountsDominate());
+  CHECK_TRUE(el::JainIndex(ladder, 1) > 0.98);
+  CHECK_TRUE(el::JainIndex(least, 1) < 0.7);
 }
 
 // Many prompts share long records. Computed anew each time, they cost the
@@ -69,15 +69,15 @@
   off.affinity_load = 0;
   const el::Result with = Sound("ladder", el::SharedPrefixes());
   const el::Result without = Sound("ladder", el::SharedPrefixes(), off);
-  CHECK_TRUE(el::MeanFirstToken(with, 0) <
-             0.8 * el::MeanFirstToken(without, 0));
+  CHECK_TRUE(el::MeanTimeToFirstToken(with, 0) <
+             0.8 * el::MeanTimeToFirstToken(without, 0));
 }
 
 // One endpoint answers five times slower and reports health. Buyers who are
 // sent there get late answers.
 TEST(Loads, SlowEndpointIsAvoidedFromOwnAnswers) {
-  const el::Result ladder = Sound("ladder", el::OneSlow());
-  const el::Result least = Baseline(el::OneSlow());
+  const el::Result ladder = Sound("ladder", el::OneSlowEndpoint());
+  const el::Result least = Baseline(el::OneSlowEndpoint());
   CHECK_TRUE(ladder.to_slow < least.to_slow / 2);
   CHECK_TRUE(el::Attainment(ladder, 0) > el::Attainment(least, 0));
 }
@@ -85,8 +85,8 @@
 // Two answers in a hundred are twenty times longer. Estimates by mean service
 // time alone refuse or keep the wrong ones.
 TEST(Loads, LongWorkAmongShort) {
-  const el::Result ladder = Sound("ladder", el::LongAmongShort());
-  const el::Result least = Baseline(el::LongAmongShort());
+  const el::Result ladder = Sound("ladder", el::LongTailedAnswers());
+  const el::Result least = Baseline(el::LongTailedAnswers());
   CHECK_TRUE(el::Attainment(ladder, 0) >= 0.99);
   CHECK_TRUE(el::Attainment(least, 0) < 0.6);
 }
@@ -95,7 +95,7 @@
 // Strict order never serves the rest; the trickle serves every class within its
 // bound and takes no more than its share.
 TEST(Loads, SaturatedHourServesEveryClassWithinTheBound) {
-  const el::Load load = el::SaturatedHour();
+  const el::Workload load = el::SaturatedHour();
   const ep::Limits limits;
   const el::Result ladder = Sound("ladder", load);
   const std::uint32_t slots = load.fleet.endpoints * load.fleet.max_in_flight;
@@ -106,7 +106,7 @@
     CHECK_TRUE(ladder.classes[cls].longest_unserved <= bound);
   }
   const double share = ladder.trickle_slot_seconds / (slots * 3600.0);
-  CHECK_TRUE(share <= limits.trickle_share * 1.05);
+  CHECK_TRUE(share <= limits.aging_share * 1.05);
   CHECK_TRUE(el::Attainment(ladder, 0) > 0.64);  // 0.667 is all there is.
   const el::Result strict = Sound("strict", load);
   CHECK_TRUE(strict.classes[3].longest_unserved > bound);
@@ -134,7 +134,7 @@
 
 // Engines die one after the other with what runs on them.
 TEST(Loads, DyingEnginesCostLittle) {
-  const el::Result ladder = Sound("ladder", el::EnginesDie());
+  const el::Result ladder = Sound("ladder", el::EnginesCrash());
   CHECK_TRUE(el::Attainment(ladder, 0) >= 0.99);
   CHECK_TRUE(ladder.wasted_slot_seconds > 0);
 }
@@ -143,7 +143,7 @@
 // engines are lost before it is known; those that ran beside it go on.
 TEST(Loads, PoisonIsHeldAndInnocentsAreNot) {
   for (std::uint64_t seed = 14; seed < 20; ++seed) {
-    el::Load load = el::PoisonSentAgain();
+    el::Workload load = el::PoisonSentAgain();
     load.seed = seed;
     const el::Result ladder = Sound("ladder", load);
     CHECK_TRUE(ladder.poison_deaths >= 2);
@@ -163,8 +163,8 @@
 // Twice the load must not bring less than the load that the fleet bears, and
 // callers who get nothing must not wait long to hear so.
 TEST(Loads, GoodputHoldsAtTwiceTheLoad) {
-  const el::Load once = el::AtCapacity(1);
-  const el::Load twice = el::AtCapacity(2);
+  const el::Workload once = el::AtCapacity(1);
+  const el::Workload twice = el::AtCapacity(2);
   const double at_capacity = el::Goodput(Sound("ladder", once), once);
   const el::Result result = Sound("ladder", twice);
   CHECK_TRUE(el::Goodput(result, twice) >= 0.95 * at_capacity);
