--- a/node/src/attempts.cc
+++ b/node/src/attempts.cc
@@ -241,7 +241,7 @@
     fleet::MarkUnsent(*state.lanes, *record->lane, record->call.key);
   }
   const auto answer = AskRetry(state, *record, end, started, now);
-  if (answer.again) {
+  if (answer.should_retry) {
     TryAgain(state, *record, answer, now, out);
   } else {
     FailCall(state, *record, answer, detail, now, out);
--- a/policy/include/egretladder/policy/retry.h
+++ b/policy/include/egretladder/policy/retry.h
@@ -42,7 +42,7 @@
 };
 
 struct RetryDecision {
-  bool again = false;
+  bool should_retry = false;
   RetryReason reason = RetryReason::kMayHaveRun;
   std::chrono::milliseconds delay{};  ///< Before the next attempt; jittered.
 };
--- a/policy/tests/load_run_requests.h
+++ b/policy/tests/load_run_requests.h
@@ -98,7 +98,7 @@
   question.deadline = life.planned.request.deadline;
   const RetryDecision answer =
       DecideRetry(budget_, question, kernel::RandomFraction(random_), now_);
-  if (answer.again) {
+  if (answer.should_retry) {
     Add(now_ + answer.delay, StepKind::kRetry, id);
     return;
   }
--- a/policy/tests/retry_test.cc
+++ b/policy/tests/retry_test.cc
@@ -23,9 +23,9 @@
 TEST(Retry, WhatMayHaveRunIsRepeatedOnlyIfIdempotent) {
   CHECK(Ask({ep::EndKind::kFailed, false}).reason ==
         ep::RetryReason::kMayHaveRun);
-  CHECK_TRUE(Ask({ep::EndKind::kFailed, true}).again);
+  CHECK_TRUE(Ask({ep::EndKind::kFailed, true}).should_retry);
   const auto not_run = Ask({ep::EndKind::kNotRun, false});
-  CHECK_TRUE(not_run.again);
+  CHECK_TRUE(not_run.should_retry);
   CHECK(not_run.reason == ep::RetryReason::kNotRunElsewhere);
 }
 
@@ -38,22 +38,22 @@
 // Every endpoint refuses after an outage. Each of a thousand callers' requests
 // becomes three, and the endpoints that come back drown in retries.
 TEST(Retry, BudgetEndsAStorm) {
-  int again = 0;
+  int should_retry = 0;
   for (int i = 0; i < 1000; ++i) {
-    if (Ask({ep::EndKind::kNotRun, true}).again) ++again;
+    if (Ask({ep::EndKind::kNotRun, true}).should_retry) ++should_retry;
   }
-  CHECK_EQUAL(5, again);
+  CHECK_EQUAL(5, should_retry);
   CHECK(Ask({ep::EndKind::kNotRun, true}).reason ==
         ep::RetryReason::kBudgetSpent);
   for (int i = 0; i < 100; ++i) ep::OnSuccess(budget_);
-  CHECK_TRUE(Ask({ep::EndKind::kNotRun, true}).again);
+  CHECK_TRUE(Ask({ep::EndKind::kNotRun, true}).should_retry);
 }
 
 // An endpoint refuses connections when a node has just started. A node that had
 // to earn its first retry would pass each of the first failures on to a caller.
 TEST(Retry, AFreshNodeRepeatsAFewFailures) {
   for (double spent = 0; spent < ep::kRetryBudgetAtStart; ++spent) {
-    CHECK_TRUE(Ask({ep::EndKind::kNotRun, true}).again);
+    CHECK_TRUE(Ask({ep::EndKind::kNotRun, true}).should_retry);
   }
   CHECK(Ask({ep::EndKind::kNotRun, true}).reason ==
         ep::RetryReason::kBudgetSpent);
@@ -75,7 +75,7 @@
 TEST(Retry, SecondDeathIsNotTriedOnAThirdEndpoint) {
   ep::RetryContext question{ep::EndKind::kDied, true};
   question.blamed = true;
-  CHECK_TRUE(Ask(question).again);
+  CHECK_TRUE(Ask(question).should_retry);
   question.attempt = 2;
   CHECK(Ask(question).reason == ep::RetryReason::kPoison);
 }
