--- a/gateway/include/egretladder/gateway/gateway.h
+++ b/gateway/include/egretladder/gateway/gateway.h
@@ -27,9 +27,9 @@
   /// From sending to an endpoint until its first byte.
   std::chrono::milliseconds answer_time = kAnswerTime;
   /// Between two bytes of an endpoint's answer.
-  std::chrono::milliseconds idle_time = kIdleTime;
+  std::chrono::milliseconds idle_timeout = kIdleTime;
   /// A caller that takes nothing for this long is dropped.
-  std::chrono::milliseconds drain_time = kDrainTime;
+  std::chrono::milliseconds write_timeout = kDrainTime;
   /// Unread output of one caller above which its endpoint is not read.
   std::size_t caller_buffer = kCallerBuffer;
   /// Largest answer that is held whole before the caller gets any of it.
--- a/gateway/src/caller_http.cc
+++ b/gateway/src/caller_http.cc
@@ -233,10 +233,10 @@
 net::ServerLimits LimitsOf(const Limits& limits) {
   net::ServerLimits server;
   server.size = {limits.header_bytes, limits.body_bytes};
-  server.head_time = limits.request_time;
-  server.body_time = limits.request_time;
-  server.idle_time = limits.request_time;
-  server.drain_time = limits.drain_time;
+  server.head_timeout = limits.request_time;
+  server.body_timeout = limits.request_time;
+  server.idle_timeout = limits.request_time;
+  server.write_timeout = limits.write_timeout;
   server.connections = limits.connections;
   return server;
 }
--- a/gateway/src/caller_reply.cc
+++ b/gateway/src/caller_reply.cc
@@ -32,7 +32,7 @@
 
 void Send(const net::HttpCallPtr& request, int status,
           const net::HttpFields& fields, std::string_view body) {
-  request->Answer(status, net::ReasonOf(status), fields, body);
+  request->Answer(status, net::ReasonPhrase(status), fields, body);
 }
 
 net::HttpFields WithRequestId(const CallerCall& call,
@@ -118,7 +118,7 @@
   ReleaseBody(call);
   call.caller->OnDrained(
       [gateway = call.gateway, id = call.id] { OnDrained(*gateway, id); });
-  call.caller->Begin(status, net::ReasonOf(status),
+  call.caller->Begin(status, net::ReasonPhrase(status),
                      WithRequestId(call, headers));
 }
 
@@ -129,7 +129,7 @@
       {reinterpret_cast<const char*>(evbuffer_pullup(data, -1)), size});
   evbuffer_drain(data, size);
   Gateway& gateway = *call.gateway;
-  const std::size_t output = call.caller->Unsent();
+  const std::size_t output = call.caller->UnsentBytes();
   gateway.front.most_output = std::max(gateway.front.most_output, output);
   // Load: a caller that reads slower than its engine writes. Without this its
   // part of the answer piles up here, and some hundred such callers take the
--- a/gateway/src/endpoint_evhttp.cc
+++ b/gateway/src/endpoint_evhttp.cc
@@ -276,7 +276,7 @@
     spec.body = call.request.body;
   }
   spec.answer_time = limits.answer_time;
-  spec.idle_time = limits.idle_time;
+  spec.idle_timeout = limits.idle_timeout;
   return spec;
 }
 
--- a/gateway/src/http_client_evhttp.cc
+++ b/gateway/src/http_client_evhttp.cc
@@ -246,7 +246,7 @@
     case Phase::kSending:
       return exchange.spec.answer_time;
     default:
-      return exchange.spec.idle_time;
+      return exchange.spec.idle_timeout;
   }
 }
 
--- a/gateway/src/http_client_p.h
+++ b/gateway/src/http_client_p.h
@@ -25,9 +25,9 @@
   evhttp_cmd_type method = EVHTTP_REQ_GET;
   std::string uri = "/";
   HttpHeaders headers;
-  std::shared_ptr<const std::string> body;  ///< Null: none.
-  std::chrono::milliseconds answer_time{};  ///< Until the first byte.
-  std::chrono::milliseconds idle_time{};    ///< Between two bytes.
+  std::shared_ptr<const std::string> body;   ///< Null: none.
+  std::chrono::milliseconds answer_time{};   ///< Until the first byte.
+  std::chrono::milliseconds idle_timeout{};  ///< Between two bytes.
   bool fresh = false;  ///< On a new connection, never on an idle one.
 };
 
--- a/gateway/src/http_headers.cc
+++ b/gateway/src/http_headers.cc
@@ -15,13 +15,13 @@
 template <typename Names>
 bool Contains(const Names& names, const char* name) {
   return std::any_of(names.begin(), names.end(), [name](const char* one) {
-    return net::SameName(one, name);
+    return net::IsSameFieldName(one, name);
   });
 }
 
 // `Host` names this node, not the endpoint.
 bool IsOfThisHop(const char* name) {
-  return net::IsOfOneConnection(name) || net::SameName(name, "Host");
+  return net::IsHopByHopField(name) || net::IsSameFieldName(name, "Host");
 }
 
 }  // namespace
--- a/gateway/src/peer_capnp.cc
+++ b/gateway/src/peer_capnp.cc
@@ -206,17 +206,17 @@
   backoff.until = now + backoff.delay / 2 + jitter;
 }
 
-bool IsOver(const PeerOut& peer, kernel::Time now) {
+bool IsDisconnected(const PeerOut& peer, kernel::Time now) {
   const bool silent = peer.unanswered > 0 &&
                       now - peer.last_answer > kPeerSilence &&
                       now - peer.last_sent < kPeerSilence + kPeerIdle;
-  return peer.broken || peer.rpc.stream.IsOver() || silent;
+  return peer.broken || peer.rpc.stream.IsDisconnected() || silent;
 }
 
 void SweepPeers(PeerNet& net) {
   const kernel::Time now = NowOf(*net.gateway);
   for (auto at = net.out.begin(); at != net.out.end();) {
-    const bool over = IsOver(*at->second, now);
+    const bool over = IsDisconnected(*at->second, now);
     if (over) {
       kernel::Log(LogPart::kPeer, LogLevel::kDebug,
                   "Connection to " + at->first + " is given up.");
@@ -230,7 +230,7 @@
   });
   // A peer that sends without taking its answers would pile them up here.
   std::erase_if(net.in, [](const auto& peer) {
-    return peer->broken || peer->stream.IsOver() ||
+    return peer->broken || peer->stream.IsDisconnected() ||
            peer->network.getCurrentQueueSize() > kPeerBytes;
   });
 }
@@ -300,7 +300,7 @@
 void SendToPeer(PeerNet& net, const fleet::SendMessage& send) {
   const kernel::Time now = NowOf(*net.gateway);
   auto at = net.out.find(send.peer_address);
-  if (at != net.out.end() && at->second->rpc.stream.IsOver() &&
+  if (at != net.out.end() && at->second->rpc.stream.IsDisconnected() &&
       at->second->answered) {
     // The peer was replaced; its successor is tried at once.
     net.out.erase(at);
@@ -311,10 +311,10 @@
   // Load: a peer that is paused or cut off. Messages are states that are sent
   // anew, so what finds no room is dropped; waiting for it would stop this node
   // for others, and keeping it all would take the node's memory.
-  if (peer == nullptr || IsOver(*peer, now) ||
+  if (peer == nullptr || IsDisconnected(*peer, now) ||
       peer->unanswered >= kPeerMessages ||
       peer->rpc.network.getCurrentQueueSize() > kPeerBytes / 2 ||
-      peer->rpc.stream.WaitingOutput() > kPeerBytes / 2) {
+      peer->rpc.stream.PendingOutputBytes() > kPeerBytes / 2) {
     kernel::Increment(net.gateway->metrics, net.dropped);
     return;
   }
--- a/gateway/src/platform_evhttp.cc
+++ b/gateway/src/platform_evhttp.cc
@@ -53,7 +53,7 @@
   spec.address = address;
   spec.uri = std::move(uri);
   spec.answer_time = time;
-  spec.idle_time = time;
+  spec.idle_timeout = time;
   return spec;
 }
 
--- a/gateway/src/settings.cc
+++ b/gateway/src/settings.cc
@@ -140,8 +140,8 @@
   }
   limits.request_time = time("request_time");
   limits.answer_time = time("answer_time");
-  limits.idle_time = time("idle_time");
-  limits.drain_time = time("drain_time");
+  limits.idle_timeout = time("idle_time");
+  limits.write_timeout = time("drain_time");
 }
 
 void ReadTls(const kernel::Settings& settings, kernel::SettingsChecker& checker,
--- a/gateway/tests/fault_test.cc
+++ b/gateway/tests/fault_test.cc
@@ -434,7 +434,7 @@
 // Without a limit it holds its slot and its memory for ever.
 TEST(CallerFaults, CallerThatTakesNothingIsDropped) {
   eg::Limits limits;
-  limits.drain_time = 1000ms;
+  limits.write_timeout = 1000ms;
   et::OneNode one(limits);
   one.endpoint.handler = [](evhttp_request* request) {
     evbuffer* body = evbuffer_new();
--- a/gateway/tests/input_test.cc
+++ b/gateway/tests/input_test.cc
@@ -177,8 +177,8 @@
   CHECK_EQUAL(standard.connections, read.connections);
   CHECK(standard.request_time == read.request_time);
   CHECK(standard.answer_time == read.answer_time);
-  CHECK(standard.idle_time == read.idle_time);
-  CHECK(standard.drain_time == read.drain_time);
+  CHECK(standard.idle_timeout == read.idle_timeout);
+  CHECK(standard.write_timeout == read.write_timeout);
   CHECK_EQUAL(standard.caller_buffer, read.caller_buffer);
   CHECK_EQUAL(standard.answer_bytes, read.answer_bytes);
   CHECK(config.value().stop_time == eg::kStopTime);
--- a/gateway/tests/probe_test.cc
+++ b/gateway/tests/probe_test.cc
@@ -25,7 +25,7 @@
     eg::ExchangeSpec spec;
     spec.address = server_.address;
     spec.answer_time = std::chrono::seconds(5);
-    spec.idle_time = std::chrono::seconds(5);
+    spec.idle_timeout = std::chrono::seconds(5);
     eg::Fetch(*client_, spec, 100,
               [&fetched](const eg::Fetched* got) { fetched = got != nullptr; });
     CHECK_TRUE(et::RunUntil(loop_, [&fetched] { return fetched; }));
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -159,7 +159,7 @@
 net::HttpFields FieldsToPass(const net::HttpFields& fields) {
   net::HttpFields passed;
   for (const net::HttpField& field : fields) {
-    if (!net::IsOfOneConnection(field.name)) passed.push_back(field);
+    if (!net::IsHopByHopField(field.name)) passed.push_back(field);
   }
   return passed;
 }
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -75,7 +75,7 @@
   attempt.facts = facts;
   attempt.events = IsSuccess(head.status) && facts.is_event_stream &&
                    facts.sealed && !facts.encoded && !facts.not_run;
-  return net::HeadVerdict::kTake;
+  return net::HeadVerdict::kAccept;
 }
 
 // One sample of the engine's pace each few events.
@@ -184,7 +184,7 @@
                         FieldsToPass(attempt.head.fields));
   }
   call->caller->Send(events);
-  if (call->caller->Unsent() > kCallerBacklog) HoldBack(proxy, call);
+  if (call->caller->UnsentBytes() > kCallerBacklog) HoldBack(proxy, call);
 }
 
 void OnBody(Proxy& proxy, const CallPtr& call, std::string_view piece) {
@@ -193,7 +193,7 @@
   if (attempt.events) {
     NoteStarted(proxy, call);
     PassEvents(proxy, call, piece);
-    const bool held_back = call->caller->Unsent() > kCallerBacklog;
+    const bool held_back = call->caller->UnsentBytes() > kCallerBacklog;
     if (call->attempt != nullptr && routing::IsRouteRepeatable(*call->route) &&
         !held_back) {
       SetPatience(proxy, call, StallOf(*call));
@@ -221,13 +221,13 @@
              whole ? "" : "the stream ended inside an event");
 }
 
-AttemptOutcome EndOfFault(net::ExchangeFault fault) {
+AttemptOutcome EndOfFault(net::ExchangeError fault) {
   switch (fault) {
-    case net::ExchangeFault::kNotConnected:
+    case net::ExchangeError::kNotConnected:
       return AttemptOutcome::kNotSent;
-    case net::ExchangeFault::kBroken:
+    case net::ExchangeError::kBroken:
       return AttemptOutcome::kBroken;
-    case net::ExchangeFault::kBadAnswer:
+    case net::ExchangeError::kBadAnswer:
       break;
   }
   return AttemptOutcome::kBadAnswer;
@@ -266,11 +266,12 @@
   return facts;
 }
 
-net::Reuse ReuseFor(const Call& call, Time now) {
-  if (routing::IsRouteRepeatable(*call.route)) return net::Reuse::kAny;
+net::ConnectionReuse ReuseFor(const Call& call, Time now) {
+  if (routing::IsRouteRepeatable(*call.route))
+    return net::ConnectionReuse::kAny;
   return routing::IsRecentlyHeard(*call.attempt->endpoint, now)
-             ? net::Reuse::kYoung
-             : net::Reuse::kNone;
+             ? net::ConnectionReuse::kRecentlyUsed
+             : net::ConnectionReuse::kNone;
 }
 
 net::ExchangeRequest ExchangeFor(const Proxy& proxy, const Call& call,
@@ -281,13 +282,13 @@
                         net::CountOf(request.fields, "Transfer-Encoding") == 0;
   net::ExchangeRequest exchange;
   exchange.address = call.attempt->endpoint->entry.address;
-  exchange.head = net::RequestText(
+  exchange.head = net::FormatRequestHead(
       request.method, request.target,
       proxy.dialect->endpoint_fields(request, FactsFor(call, now)),
       bodyless ? net::BodyFraming::kNone : net::BodyFraming::kLength,
       request.body.size());
   exchange.body = request.body;
-  exchange.is_head = request.method == "HEAD";
+  exchange.is_head_request = request.method == "HEAD";
   exchange.reuse = ReuseFor(call, now);
   return exchange;
 }
@@ -305,7 +306,7 @@
     OnBody(proxy, call, piece);
   };
   handlers.on_end = [&proxy, call] { OnEnd(proxy, call); };
-  handlers.on_fault = [&proxy, call](net::ExchangeFault fault,
+  handlers.on_error = [&proxy, call](net::ExchangeError fault,
                                      const std::string& detail) {
     EndAttempt(proxy, call, EndOfFault(fault), detail);
   };
--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -14,7 +14,7 @@
 std::size_t UnsentOf(const PeerNet& net) {
   return std::accumulate(net.in.begin(), net.in.end(), std::size_t{0},
                          [](std::size_t sum, const auto& peer) {
-                           return sum + peer->stream.WaitingOutput();
+                           return sum + peer->stream.PendingOutputBytes();
                          });
 }
 
--- a/proxy/src/knowledge.cc
+++ b/proxy/src/knowledge.cc
@@ -50,8 +50,8 @@
   net::ServerLimits limits;
   limits.size = {proxy.rules->limits.head_bytes,
                  proxy.rules->limits.body_bytes};
-  limits.head_time = proxy.rules->limits.head_time;
-  limits.idle_time = proxy.rules->limits.idle_time;
+  limits.head_timeout = proxy.rules->limits.head_timeout;
+  limits.idle_timeout = proxy.rules->limits.idle_timeout;
   limits.connections = proxy.options.descriptors > 2 * kDescriptorsKept
                            ? proxy.options.descriptors - kDescriptorsKept
                            : proxy.options.descriptors / 2;
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -75,15 +75,15 @@
     evutil_closesocket(fd);
     return;
   }
-  net::PrepareSocket(fd);
+  net::SetTcpOptions(fd);
   net::Bufferevent buffer(bufferevent_socket_new(net.proxy->loop->base.get(),
                                                  fd, BEV_OPT_CLOSE_ON_FREE));
   net.in.push_back(std::make_unique<net::RpcServerConnection>(
       std::move(buffer), kj::heap<PeerServer>(*net.proxy), kNewsWords));
 }
 
-bool IsOver(const PeerOut& peer, Time now) {
-  return peer.broken || peer.rpc.stream.IsOver() ||
+bool IsDisconnected(const PeerOut& peer, Time now) {
+  return peer.broken || peer.rpc.stream.IsDisconnected() ||
          (peer.unanswered > 0 && now - peer.waiting_since > kExchangeTime);
 }
 
@@ -91,7 +91,7 @@
   const Time now = NowOf(*net.proxy);
   for (auto at = net.out.begin(); at != net.out.end();) {
     const PeerOut& peer = *at->second;
-    const bool over = IsOver(peer, now);
+    const bool over = IsDisconnected(peer, now);
     if (over && !peer.answered && now - peer.opened < kRefusedWithin) {
       routing::OnPeerUnreachable(net.proxy->members, at->first, now);
     }
@@ -105,7 +105,7 @@
                                                   : std::next(at);
   }
   std::erase_if(net.in, [](const auto& peer) {
-    return peer->broken || peer->stream.IsOver();
+    return peer->broken || peer->stream.IsDisconnected();
   });
   FetchNews(*net.proxy);
 }
@@ -119,7 +119,7 @@
       0) {
     return nullptr;
   }
-  net::PrepareSocket(bufferevent_getfd(buffer.get()));
+  net::SetTcpOptions(bufferevent_getfd(buffer.get()));
   return net.out
       .emplace(address, std::make_unique<PeerOut>(std::move(buffer), now))
       .first->second.get();
@@ -212,7 +212,7 @@
   const Time now = NowOf(*net.proxy);
   const auto at = net.out.find(address);
   if (at == net.out.end()) return Connect(net, address, now);
-  if (!IsOver(*at->second, now)) return at->second.get();
+  if (!IsDisconnected(*at->second, now)) return at->second.get();
   net.out.erase(at);
   return Connect(net, address, now);
 }
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -121,7 +121,7 @@
   }
   if (phase < StopPhase::kCutting) return;
   CutCalls(proxy);
-  proxy.callers->RefuseHalfRead("this node is leaving");
+  proxy.callers->RefuseIncompleteRequests("this node is leaving");
   if (proxy.cut_at == Time{}) proxy.cut_at = NowOf(proxy);
 }
 
@@ -154,7 +154,7 @@
   }
   const bool all_read = proxy.listened_until != Time{} &&
                         now - proxy.listened_until >= kStopSettle &&
-                        proxy.callers->half_read() == 0;
+                        proxy.callers->incomplete_requests() == 0;
   return policy::CanExit(
       phase, all_read && proxy.calls.empty() && UntakenOf(proxy) == 0);
 }
