--- a/gateway/tests/harness.cc
+++ b/gateway/tests/harness.cc
@@ -38,7 +38,7 @@
 
 TestLoop::TestLoop() {
   loop = kernel::CreateLoop();
-  loop.clock = kernel::ViewOf(clock);
+  loop.clock = kernel::ClockOf(clock);
 }
 
 bool RunUntil(TestLoop& loop, const std::function<bool()>& happened) {
