--- a/gateway/src/caller_http.cc
+++ b/gateway/src/caller_http.cc
@@ -44,7 +44,7 @@
 }
 
 // The caller closed its connection before its answer was whole.
-void OnGone(Gateway& gateway, CallId id) {
+void OnDisconnect(Gateway& gateway, CallId id) {
   const auto at = gateway.calls.find(id);
   if (at == gateway.calls.end()) return;
   CallerCall& call = *at->second;
@@ -73,12 +73,12 @@
 bool ReadCallHeaders(const net::HttpFields& headers,
                      const rules::CallerHeaders& names, node::Call& call,
                      ErrorBody* fault) {
-  call.account = net::ValueOf(headers, names.account);
-  call.cls = net::ValueOf(headers, names.cls);
-  call.lane = net::ValueOf(headers, kLaneHeader);
-  call.key = net::ValueOf(headers, kKeyHeader);
-  call.forwarded = !net::ValueOf(headers, kForwardedHeader).empty();
-  const std::string timeout(net::ValueOf(headers, names.timeout));
+  call.account = net::FirstFieldValue(headers, names.account);
+  call.cls = net::FirstFieldValue(headers, names.cls);
+  call.lane = net::FirstFieldValue(headers, kLaneHeader);
+  call.key = net::FirstFieldValue(headers, kKeyHeader);
+  call.forwarded = !net::FirstFieldValue(headers, kForwardedHeader).empty();
+  const std::string timeout(net::FirstFieldValue(headers, names.timeout));
   if (timeout.empty()) return true;
   const auto parsed = kernel::ParseDuration(timeout.c_str());
   if (parsed.count() <= 0) {
@@ -153,7 +153,8 @@
   const auto rules = node::RulesOf(*gateway.node);
   if (rules) made.cls = rules::FindClass(*rules, call.cls);
   gateway.calls.emplace(call.id, std::move(owned));
-  request->OnGone([&gateway, id = call.id] { OnGone(gateway, id); });
+  request->OnDisconnect(
+      [&gateway, id = call.id] { OnDisconnect(gateway, id); });
   node::Actions actions;
   node::OnCall(*gateway.node, call, made.arrived, actions);
   Pump(gateway, std::move(actions));
@@ -259,7 +260,7 @@
 
 void CloseFront(Gateway& gateway) {
   for (auto& [id, call] : gateway.calls) {
-    if (call->caller != nullptr) call->caller->OnGone(nullptr);
+    if (call->caller != nullptr) call->caller->OnDisconnect(nullptr);
   }
   gateway.front.server.reset();
 }
--- a/gateway/src/caller_reply.cc
+++ b/gateway/src/caller_reply.cc
@@ -43,7 +43,7 @@
 }
 
 net::HttpCallPtr EndCaller(CallerCall& call) {
-  call.caller->OnGone(nullptr);
+  call.caller->OnDisconnect(nullptr);
   return std::exchange(call.caller, nullptr);
 }
 
@@ -147,7 +147,7 @@
 
 void BreakOff(CallerCall& call) {
   if (call.caller == nullptr) return;
-  EndCaller(call)->Break();
+  EndCaller(call)->Abort();
 }
 
 }  // namespace egretladder::gateway
--- a/net/include/egretladder/net/http_message.h
+++ b/net/include/egretladder/net/http_message.h
@@ -38,9 +38,10 @@
 /// Compares field names; case does not matter.
 bool IsSameFieldName(std::string_view left, std::string_view right);
 /// Value of the first field of that name; empty when there is none.
-std::string_view ValueOf(const HttpFields& fields, std::string_view name);
+std::string_view FirstFieldValue(const HttpFields& fields,
+                                 std::string_view name);
 /// How many fields have that name.
-std::size_t CountOf(const HttpFields& fields, std::string_view name);
+std::size_t CountFields(const HttpFields& fields, std::string_view name);
 /// True for fields that concern one connection and are never passed on
 /// (RFC 9110, section 7.6.1), framing included.
 bool IsHopByHopField(std::string_view name);
--- a/net/include/egretladder/net/http_server.h
+++ b/net/include/egretladder/net/http_server.h
@@ -46,7 +46,7 @@
 
   /// Called once if the caller goes before its answer ended. Set it again to
   /// replace it.
-  void OnGone(std::function<void()> action) { gone_ = std::move(action); }
+  void OnDisconnect(std::function<void()> action) { gone_ = std::move(action); }
 
   /// Called each time the caller has taken all that was passed on.
   void OnDrained(std::function<void()> action) { drained_ = std::move(action); }
@@ -61,7 +61,7 @@
   /// Ends it as complete.
   void End();
   /// Closes the connection, so that half an answer can't look complete.
-  void Break();
+  void Abort();
 
   bool begun() const { return begun_; }
   bool over() const { return connection_ == nullptr; }
--- a/net/include/egretladder/net/kj_loop.h
+++ b/net/include/egretladder/net/kj_loop.h
@@ -50,7 +50,7 @@
   // NOLINTNEXTLINE(google-runtime-int)
   static void OnEvent(bufferevent* buffer, short what, void* arg);
   kj::Promise<void> Drained();
-  void Break();
+  void Abort();
 
   Bufferevent buffer_;
   ReadOperation* reading_ = nullptr;
--- a/net/src/http_call.cc
+++ b/net/src/http_call.cc
@@ -56,7 +56,7 @@
   Finish(!chunked_ || MustClose());
 }
 
-void HttpCall::Break() {
+void HttpCall::Abort() {
   if (over()) return;
   if (begun_ && chunked_) {
     // What was passed on still reaches the caller; the missing last chunk says
--- a/net/src/http_client_libevent.cc
+++ b/net/src/http_client_libevent.cc
@@ -30,7 +30,7 @@
 
 // `Keep-Alive: timeout=5, max=100`
 std::chrono::milliseconds KeepsFor(const HttpFields& fields) {
-  const std::string_view value = ValueOf(fields, "Keep-Alive");
+  const std::string_view value = FirstFieldValue(fields, "Keep-Alive");
   constexpr std::string_view kName = "timeout=";
   const std::size_t at = value.find(kName);
   if (at == std::string_view::npos) return {};
--- a/net/src/kj_loop.cc
+++ b/net/src/kj_loop.cc
@@ -224,10 +224,10 @@
     if (self.reading_ != nullptr) self.reading_->Step();
     return;
   }
-  self.Break();
+  self.Abort();
 }
 
-void BuffereventStream::Break() {
+void BuffereventStream::Abort() {
   broken_ = true;
   if (reading_ != nullptr) reading_->Fail();
   if (draining_ != nullptr) draining_->Fail();
--- a/net/tests/http_reader_test.cc
+++ b/net/tests/http_reader_test.cc
@@ -65,7 +65,7 @@
   CHECK(fed.reader.state() == en::ReadState::kDone);
   STRCMP_EQUAL("abc", fed.reader.request().body.c_str());
   STRCMP_EQUAL("G", fed.rest.c_str());
-  LONGS_EQUAL(0, en::CountOf(fed.reader.request().fields, "Trailer"));
+  LONGS_EQUAL(0, en::CountFields(fed.reader.request().fields, "Trailer"));
 }
 
 // A caller sends two lengths. This node would take one, the endpoint the other,
--- a/net/tests/http_server_test.cc
+++ b/net/tests/http_server_test.cc
@@ -31,8 +31,8 @@
 }
 
 bool SaysClose(const et::Answer& answer) {
-  return en::IsSameFieldName(en::ValueOf(answer.head.fields, "Connection"),
-                             "close");
+  return en::IsSameFieldName(
+      en::FirstFieldValue(answer.head.fields, "Connection"), "close");
 }
 
 }  // namespace
@@ -51,7 +51,7 @@
   void Start(const en::ServerLimits& limits) {
     en::ServerHandlers handlers;
     handlers.on_request = [this](const en::HttpCallPtr& call) {
-      call->OnGone([this] { ++gone; });
+      call->OnDisconnect([this] { ++gone; });
       calls.push_back(call);
     };
     handlers.on_refused = [this](int status, const std::string& /*why*/) {
@@ -413,7 +413,7 @@
   calls[0]->Begin(200, "OK", {});
   const std::string piece(kLongAnswer, 'p');
   calls[0]->Send(piece);
-  calls[0]->Break();
+  calls[0]->Abort();
   CHECK(calls[0]->over());
   TakeToTheEnd(*caller);
   CHECK(caller->end() == et::PeerEnd::kEnded);
@@ -436,7 +436,7 @@
     caller->Take();
     return caller->taken().find("half") != std::string::npos;
   });
-  calls[0]->Break();
+  calls[0]->Abort();
   TakeToTheEnd(*caller);
   CHECK(caller->end() == et::PeerEnd::kReset);
   LONGS_EQUAL(0, server->connections());
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -277,9 +277,10 @@
 net::ExchangeRequest ExchangeFor(const Proxy& proxy, const Call& call,
                                  Time now) {
   const net::HttpRequest& request = call.caller->request();
-  const bool bodyless = request.body.empty() &&
-                        net::CountOf(request.fields, "Content-Length") == 0 &&
-                        net::CountOf(request.fields, "Transfer-Encoding") == 0;
+  const bool bodyless =
+      request.body.empty() &&
+      net::CountFields(request.fields, "Content-Length") == 0 &&
+      net::CountFields(request.fields, "Transfer-Encoding") == 0;
   net::ExchangeRequest exchange;
   exchange.address = call.attempt->endpoint->entry.address;
   exchange.head = net::FormatRequestHead(
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -150,8 +150,8 @@
   const routing::RouteTable& rules = *proxy.rules;
   const net::HttpRequest& request = caller->request();
   Routed routed;
-  routed.route = routing::FindRoute(rules, net::ValueOf(request.fields, "Host"),
-                                    request.target);
+  routed.route = routing::FindRoute(
+      rules, net::FirstFieldValue(request.fields, "Host"), request.target);
   if (routed.route == nullptr) {
     Reject(proxy, caller, kNotFound, "unknown_route", "no route matches", {});
     return std::nullopt;
@@ -179,7 +179,7 @@
 void RefuseOrBreak(Proxy& proxy, const CallPtr& call, const char* code,
                    milliseconds retry_after) {
   if (call->caller->begun()) {
-    call->caller->Break();
+    call->caller->Abort();
     EndCall(proxy, call, "broke-off");
     return;
   }
@@ -225,7 +225,7 @@
   proxy.calls.emplace(call->number, call);
   routing::OnRequest(proxy.retry_shares[call->service->name],
                      proxy.options.retries, call->arrived);
-  caller->OnGone([&proxy, call] { OnCallerGone(proxy, call); });
+  caller->OnDisconnect([&proxy, call] { OnCallerGone(proxy, call); });
   call->timeout = kernel::RunAfter(
       *proxy.loop,
       std::chrono::ceil<milliseconds>(call->deadline - call->arrived) +
@@ -318,7 +318,7 @@
   const bool sent = WasSent(*call);
   DropAttempt(proxy, call);
   if (call->caller->begun()) {
-    call->caller->Break();
+    call->caller->Abort();
     EndCall(proxy, call, code);
     return;
   }
@@ -331,7 +331,7 @@
   if (proxy.calls.erase(call->number) == 0) return;
   call->timeout = {};
   call->patience = {};
-  call->caller->OnGone(nullptr);
+  call->caller->OnDisconnect(nullptr);
   proxy.body_bytes -= call->body_bytes;
   const Time now = NowOf(proxy);
   kernel::Observe(proxy.metrics, call->measures->whole_answer,
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -180,12 +180,12 @@
 }
 
 std::string Served::id() const {
-  return std::string(net::ValueOf(request.fields, "X-Id"));
+  return std::string(net::FirstFieldValue(request.fields, "X-Id"));
 }
 
 int Served::after() const {
   return std::atoi(
-      std::string(net::ValueOf(request.fields, "X-After")).c_str());
+      std::string(net::FirstFieldValue(request.fields, "X-After")).c_str());
 }
 
 void Served::Answer(int status, const std::string& body) const {
@@ -354,15 +354,15 @@
 }
 
 std::string RequestId(const net::HttpRequest& request) {
-  return std::string(net::ValueOf(request.fields, "X-Id"));
+  return std::string(net::FirstFieldValue(request.fields, "X-Id"));
 }
 
 kernel::Result<RequestMetadata> ReadCall(const net::HttpRequest& request) {
   RequestMetadata facts;
   facts.id = RequestId(request);
-  facts.key = net::ValueOf(request.fields, "X-Key");
+  facts.key = net::FirstFieldValue(request.fields, "X-Key");
   facts.deadline = milliseconds(std::atoi(
-      std::string(net::ValueOf(request.fields, "X-Wait-Ms")).c_str()));
+      std::string(net::FirstFieldValue(request.fields, "X-Wait-Ms")).c_str()));
   return facts;
 }
 
@@ -375,11 +375,11 @@
 
 AnswerMetadata ReadAnswer(const net::HttpAnswerHead& head) {
   AnswerMetadata facts;
-  facts.id = net::ValueOf(head.fields, "X-Id");
-  facts.not_run = net::CountOf(head.fields, "X-Not-Run") > 0;
-  facts.sealed = net::CountOf(head.fields, "X-Seal") > 0;
+  facts.id = net::FirstFieldValue(head.fields, "X-Id");
+  facts.not_run = net::CountFields(head.fields, "X-Not-Run") > 0;
+  facts.sealed = net::CountFields(head.fields, "X-Seal") > 0;
   facts.is_event_stream =
-      net::ValueOf(head.fields, "Content-Type") == "text/event-stream";
+      net::FirstFieldValue(head.fields, "Content-Type") == "text/event-stream";
   return facts;
 }
 
