--- a/net/include/egretladder/net/event_splitter.h
+++ b/net/include/egretladder/net/event_splitter.h
@@ -14,11 +14,11 @@
 /// has got half an event can't be given the rest by another endpoint, so that
 /// only whole events are passed on.
 struct EventSplitter {
-  std::string rest;          ///< Begun and not ended.
-  std::size_t scanned = 0;   ///< Of `rest`, up to the start of a line.
-  std::string id_in_rest;    ///< Of the event in `rest`.
-  std::string last_id;       ///< Of the last whole event.
-  std::uint64_t events = 0;  ///< Whole ones.
+  std::string incomplete_event;  ///< Begun and not ended.
+  std::size_t scanned = 0;       ///< Of `rest`, up to the start of a line.
+  std::string id_in_rest;        ///< Of the event in `rest`.
+  std::string last_id;           ///< Of the last whole event.
+  std::uint64_t events = 0;      ///< Whole ones.
 };
 
 /// Takes bytes; returns the whole events that they complete.
--- a/net/src/event_splitter.cc
+++ b/net/src/event_splitter.cc
@@ -14,12 +14,13 @@
 }  // namespace
 
 std::string SplitEvents(EventSplitter& splitter, std::string_view bytes) {
-  splitter.rest.append(bytes);
+  splitter.incomplete_event.append(bytes);
   std::size_t whole = 0;
   while (true) {
-    const std::size_t end = splitter.rest.find('\n', splitter.scanned);
+    const std::size_t end =
+        splitter.incomplete_event.find('\n', splitter.scanned);
     if (end == std::string::npos) break;
-    std::string_view line(splitter.rest.data() + splitter.scanned,
+    std::string_view line(splitter.incomplete_event.data() + splitter.scanned,
                           end - splitter.scanned);
     if (line.ends_with('\r')) line.remove_suffix(1);
     splitter.scanned = end + 1;
@@ -34,8 +35,8 @@
     }
     splitter.id_in_rest.clear();
   }
-  std::string events = splitter.rest.substr(0, whole);
-  splitter.rest.erase(0, whole);
+  std::string events = splitter.incomplete_event.substr(0, whole);
+  splitter.incomplete_event.erase(0, whole);
   splitter.scanned -= whole;
   return events;
 }
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -215,7 +215,8 @@
     EndAttempt(proxy, call, EndOfWhole(attempt), "");
     return;
   }
-  const bool whole = attempt.splitter.rest.empty() && call->events > 0;
+  const bool whole =
+      attempt.splitter.incomplete_event.empty() && call->events > 0;
   EndAttempt(proxy, call,
              whole ? AttemptOutcome::kSucceeded : AttemptOutcome::kBroken,
              whole ? "" : "the stream ended inside an event");
