--- a/net/include/egretladder/net/http_client.h
+++ b/net/include/egretladder/net/http_client.h
@@ -78,7 +78,7 @@
   /// Sends a request. Handlers are called from the loop, never from in here.
   HttpExchangePtr Start(ExchangeRequest request, ExchangeHandlers handlers);
   /// Connections opened since the start.
-  std::uint64_t opened() const;
+  std::uint64_t connections_opened() const;
 
   /// Known to the sources only.
   struct State;
--- a/net/src/http_client_libevent.cc
+++ b/net/src/http_client_libevent.cc
@@ -53,7 +53,7 @@
 struct HttpClient::State : std::enable_shared_from_this<State> {
   kernel::Loop* loop = nullptr;
   std::unordered_map<std::string, std::vector<LinkPtr>> idle;
-  std::uint64_t opened = 0;
+  std::uint64_t connections_opened = 0;
 
   LinkPtr TakeIdle(const std::string& address, ConnectionReuse reuse);
   void KeepIdle(LinkPtr link);
@@ -160,7 +160,7 @@
     link_->buffer.reset(bufferevent_socket_new(client_->loop->base.get(), -1,
                                                BEV_OPT_CLOSE_ON_FREE));
     Attach();
-    ++client_->opened;
+    ++client_->connections_opened;
     if (!target || bufferevent_socket_connect(
                        link_->buffer.get(), target->get(), target->size) != 0) {
       Later([this] { Fail(ExchangeError::kNotConnected, "no connection"); });
@@ -350,6 +350,8 @@
   return exchange;
 }
 
-std::uint64_t HttpClient::opened() const { return state_->opened; }
+std::uint64_t HttpClient::connections_opened() const {
+  return state_->connections_opened;
+}
 
 }  // namespace egretladder::net
--- a/net/tests/http_client_test.cc
+++ b/net/tests/http_client_test.cc
@@ -130,7 +130,7 @@
   UntilOver(second);
   LONGS_EQUAL(1, second.ends);
   STRCMP_EQUAL("second", second.body.c_str());
-  LONGS_EQUAL(1, client->opened());
+  LONGS_EQUAL(1, client->connections_opened());
 }
 
 // A caller leaves while the body of its request is half sent. The endpoint sees
@@ -153,7 +153,7 @@
   other->Send(AnswerOf("second"));
   UntilOver(second);
   LONGS_EQUAL(1, second.ends);
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
   CHECK_FALSE(first.over());
 }
 
@@ -198,7 +198,7 @@
   other->Send(AnswerOf("second"));
   UntilOver(second);
   LONGS_EQUAL(1, second.ends);
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
 }
 
 // An endpoint refuses a request by its head and closes at once, so that the
@@ -229,7 +229,7 @@
   other->Send(AnswerOf("second"));
   UntilOver(second);
   LONGS_EQUAL(1, second.ends);
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
 }
 
 // The close of an idle connection is in the node's kernel, unread, when a
@@ -384,7 +384,7 @@
   other->Send(AnswerOf("second"));
   UntilOver(second);
   STRCMP_EQUAL("second", second.body.c_str());
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
 }
 
 // Such bytes are in the node's kernel, unread, when the next request takes the
@@ -431,7 +431,7 @@
   TakeHead(*other);
   other->Send(AnswerOf("third", "Keep-Alive: timeout=5\r\n"));
   UntilOver(third);
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
   ek::Advance(stage.clock, 3100ms);
   Outcome fourth;
   Start(fourth, "/fourth");
@@ -440,5 +440,5 @@
   last->Send(AnswerOf("fourth"));
   UntilOver(fourth);
   LONGS_EQUAL(1, fourth.ends);
-  LONGS_EQUAL(3, client->opened());
+  LONGS_EQUAL(3, client->connections_opened());
 }
