--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -131,7 +131,7 @@
   ProxyPtr proxy(new Proxy);
   proxy->loop = &loop;
   proxy->options = options;
-  proxy->endpoints.off = options.placing_without;
+  proxy->endpoints.disabled_mechanisms = options.placing_without;
   proxy->dialect = kernel::FindPlugin<Dialect>(options.dialect);
   if (proxy->dialect == nullptr) {
     return kernel::MakeError(kernel::ErrorCode::kInvalidInput, "start",
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -116,7 +116,7 @@
   if (phase < StopPhase::kFinishing) return;
   if (proxy.listened_until == Time{}) {
     proxy.callers->StopListening();
-    proxy.members.listens = false;
+    proxy.members.is_listening = false;
     proxy.listened_until = NowOf(proxy);
   }
   if (phase < StopPhase::kCutting) return;
--- a/routing/include/egretladder/routing/placement_cost.h
+++ b/routing/include/egretladder/routing/placement_cost.h
@@ -35,7 +35,8 @@
 };
 
 /// All terms that aren't switched off.
-Costs CostsOf(const CostAsk& ask, const DisabledMechanisms& off);
+Costs CostsOf(const CostAsk& ask,
+              const DisabledMechanisms& disabled_mechanisms);
 
 /// The name of a mechanism as settings and logs show it.
 const char* NameOf(Mechanism mechanism);
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -117,7 +117,8 @@
                                                : nullptr;
     // Another life may have other addresses, and of this node it may be one
     // that it has to outbid.
-    if (known == nullptr || LowHalf(known->incarnation) != pulse.life) {
+    if (known == nullptr ||
+        LowHalf(known->incarnation) != pulse.short_incarnation) {
       AskFor(members, pulse.node);
     } else if (at != by_key.end()) {
       Refresh(members, *at->second, WithPulse(*known, pulse), now, news);
@@ -224,7 +225,7 @@
   for (const auto& [node, known] : members.others) {
     if (IsMemberAvailable(members, known, now)) there.push_back(&known.member);
   }
-  if (there.empty() && members.listens) there.push_back(&members.self);
+  if (there.empty() && members.is_listening) there.push_back(&members.self);
   Shuffle(there, random);
   if (there.size() > kDirectoryMost) {
     std::stable_partition(
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -210,7 +210,7 @@
     return best;
   }
   const auto is_off = [&set](Mechanism mechanism) {
-    return set.off.test(static_cast<std::size_t>(mechanism));
+    return set.disabled_mechanisms.test(static_cast<std::size_t>(mechanism));
   };
   const std::uint64_t session =
       is_off(Mechanism::kSessions) ? 0 : SessionOf(demand);
@@ -231,7 +231,7 @@
     const Uncached uncached = UncachedAt(*endpoint, demand, first, now);
     const Costs costs =
         CostsOf({*endpoint, demand, uncached, pace, fleet, i < preferred, now},
-                set.off);
+                set.disabled_mechanisms);
     if (costs.Total() >= least) continue;
     least = costs.Total();
     best = {endpoint, PlaceReason::kCheapest, costs.UntilFirst(),
--- a/routing/src/placement_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -108,10 +108,11 @@
   return sum;
 }
 
-Costs CostsOf(const CostAsk& ask, const DisabledMechanisms& off) {
+Costs CostsOf(const CostAsk& ask,
+              const DisabledMechanisms& disabled_mechanisms) {
   Costs costs;
   for (std::size_t i = 0; i < kMechanisms; ++i) {
-    if (!off.test(i)) costs.ms[i] = kTerms[i].ms(ask);
+    if (!disabled_mechanisms.test(i)) costs.ms[i] = kTerms[i].ms(ask);
   }
   return costs;
 }
