--- a/gateway/src/caller_http.cc
+++ b/gateway/src/caller_http.cc
@@ -44,7 +44,7 @@
 }
 
 // The caller closed its connection before its answer was whole.
-void OnGone(Gateway& gateway, CallId id) {
+void OnDisconnect(Gateway& gateway, CallId id) {
   const auto at = gateway.calls.find(id);
   if (at == gateway.calls.end()) return;
   CallerCall& call = *at->second;
@@ -73,12 +73,12 @@
 bool ReadCallHeaders(const net::HttpFields& headers,
                      const rules::CallerHeaders& names, node::Call& call,
                      ErrorBody* fault) {
-  call.account = net::ValueOf(headers, names.account);
-  call.cls = net::ValueOf(headers, names.cls);
-  call.lane = net::ValueOf(headers, kLaneHeader);
-  call.key = net::ValueOf(headers, kKeyHeader);
-  call.forwarded = !net::ValueOf(headers, kForwardedHeader).empty();
-  const std::string timeout(net::ValueOf(headers, names.timeout));
+  call.account = net::FirstFieldValue(headers, names.account);
+  call.cls = net::FirstFieldValue(headers, names.cls);
+  call.lane = net::FirstFieldValue(headers, kLaneHeader);
+  call.key = net::FirstFieldValue(headers, kKeyHeader);
+  call.forwarded = !net::FirstFieldValue(headers, kForwardedHeader).empty();
+  const std::string timeout(net::FirstFieldValue(headers, names.timeout));
   if (timeout.empty()) return true;
   const auto parsed = kernel::ParseDuration(timeout.c_str());
   if (parsed.count() <= 0) {
@@ -107,7 +107,7 @@
   call.prefix = body.value().prefix;
   call.prompt_tokens = body.value().prompt_tokens;
   call.max_tokens = body.value().max_tokens;
-  call.body_hash = kernel::HashOf(*shape.body);
+  call.body_hash = kernel::HashBytes(*shape.body);
   return true;
 }
 
@@ -118,9 +118,9 @@
   call.target = rest.substr(0, end);
   shape.uri = end == std::string::npos ? "/" : rest.substr(end);
   if (shape.uri.front() != '/') shape.uri.insert(0, "/");
-  call.body_hash = kernel::HashOf(
-      *shape.body, kernel::HashOf(shape.original_uri,
-                                  static_cast<std::uint64_t>(shape.method)));
+  call.body_hash = kernel::HashBytes(
+      *shape.body, kernel::HashBytes(shape.original_uri,
+                                     static_cast<std::uint64_t>(shape.method)));
 }
 
 // Whether there is room to keep the body until the answer begins. Lower tiers
@@ -153,7 +153,8 @@
   const auto rules = node::RulesOf(*gateway.node);
   if (rules) made.cls = rules::FindClass(*rules, call.cls);
   gateway.calls.emplace(call.id, std::move(owned));
-  request->OnGone([&gateway, id = call.id] { OnGone(gateway, id); });
+  request->OnDisconnect(
+      [&gateway, id = call.id] { OnDisconnect(gateway, id); });
   node::Actions actions;
   node::OnCall(*gateway.node, call, made.arrived, actions);
   Pump(gateway, std::move(actions));
@@ -233,10 +234,10 @@
 net::ServerLimits LimitsOf(const Limits& limits) {
   net::ServerLimits server;
   server.size = {limits.header_bytes, limits.body_bytes};
-  server.head_time = limits.request_time;
-  server.body_time = limits.request_time;
-  server.idle_time = limits.request_time;
-  server.drain_time = limits.drain_time;
+  server.head_timeout = limits.request_time;
+  server.body_timeout = limits.request_time;
+  server.idle_timeout = limits.request_time;
+  server.write_timeout = limits.write_timeout;
   server.connections = limits.connections;
   return server;
 }
@@ -259,7 +260,7 @@
 
 void CloseFront(Gateway& gateway) {
   for (auto& [id, call] : gateway.calls) {
-    if (call->caller != nullptr) call->caller->OnGone(nullptr);
+    if (call->caller != nullptr) call->caller->OnDisconnect(nullptr);
   }
   gateway.front.server.reset();
 }
--- a/gateway/src/peer_capnp.cc
+++ b/gateway/src/peer_capnp.cc
@@ -72,7 +72,7 @@
   std::vector<std::unique_ptr<net::RpcServerConnection>> in;
   kernel::Random random;
   kernel::CounterHandle dropped;
-  kernel::Watch sweep;
+  kernel::EventWatcher sweep;
 };
 
 namespace {
@@ -201,22 +201,22 @@
                       ? kBackoffFirst
                       : std::min(2 * backoff.delay, kBackoffMost);
   // Jittered, so that nodes don't come back to a restarted peer all at once.
-  const auto jitter = std::chrono::milliseconds(kernel::Below(
+  const auto jitter = std::chrono::milliseconds(kernel::RandomBelow(
       net.random, static_cast<std::uint64_t>(backoff.delay.count() / 2 + 1)));
   backoff.until = now + backoff.delay / 2 + jitter;
 }
 
-bool IsOver(const PeerOut& peer, kernel::Time now) {
+bool IsDisconnected(const PeerOut& peer, kernel::Time now) {
   const bool silent = peer.unanswered > 0 &&
                       now - peer.last_answer > kPeerSilence &&
                       now - peer.last_sent < kPeerSilence + kPeerIdle;
-  return peer.broken || peer.rpc.stream.IsOver() || silent;
+  return peer.broken || peer.rpc.stream.IsDisconnected() || silent;
 }
 
 void SweepPeers(PeerNet& net) {
   const kernel::Time now = NowOf(*net.gateway);
   for (auto at = net.out.begin(); at != net.out.end();) {
-    const bool over = IsOver(*at->second, now);
+    const bool over = IsDisconnected(*at->second, now);
     if (over) {
       kernel::Log(LogPart::kPeer, LogLevel::kDebug,
                   "Connection to " + at->first + " is given up.");
@@ -230,7 +230,7 @@
   });
   // A peer that sends without taking its answers would pile them up here.
   std::erase_if(net.in, [](const auto& peer) {
-    return peer->broken || peer->stream.IsOver() ||
+    return peer->broken || peer->stream.IsDisconnected() ||
            peer->network.getCurrentQueueSize() > kPeerBytes;
   });
 }
@@ -283,7 +283,7 @@
   net->gateway = &gateway;
   BOOST_OUTCOME_TRY(kj, AcquireKjLoop(*gateway.loop));
   net->kj = std::move(kj);
-  net->random.seed(kernel::SecretBits());
+  net->random.seed(kernel::SecureRandom64());
   net->dropped = kernel::AddCounter(
       gateway.metrics, "egretladder_peer_messages_dropped_total",
       "Messages that a peer had no room for, or could not be reached with.");
@@ -292,15 +292,15 @@
                                             -1, AcceptPeer, net.get()));
   net->listener = std::move(listener);
   *address = WithBoundPort(listen, evconnlistener_get_fd(net->listener.get()));
-  net->sweep = kernel::Every(*gateway.loop, kSweep,
-                             [raw = net.get()] { SweepPeers(*raw); });
+  net->sweep = kernel::RunEvery(*gateway.loop, kSweep,
+                                [raw = net.get()] { SweepPeers(*raw); });
   return net;
 }
 
 void SendToPeer(PeerNet& net, const fleet::SendMessage& send) {
   const kernel::Time now = NowOf(*net.gateway);
   auto at = net.out.find(send.peer_address);
-  if (at != net.out.end() && at->second->rpc.stream.IsOver() &&
+  if (at != net.out.end() && at->second->rpc.stream.IsDisconnected() &&
       at->second->answered) {
     // The peer was replaced; its successor is tried at once.
     net.out.erase(at);
@@ -311,10 +311,10 @@
   // Load: a peer that is paused or cut off. Messages are states that are sent
   // anew, so what finds no room is dropped; waiting for it would stop this node
   // for others, and keeping it all would take the node's memory.
-  if (peer == nullptr || IsOver(*peer, now) ||
+  if (peer == nullptr || IsDisconnected(*peer, now) ||
       peer->unanswered >= kPeerMessages ||
       peer->rpc.network.getCurrentQueueSize() > kPeerBytes / 2 ||
-      peer->rpc.stream.WaitingOutput() > kPeerBytes / 2) {
+      peer->rpc.stream.PendingOutputBytes() > kPeerBytes / 2) {
     kernel::Increment(net.gateway->metrics, net.dropped);
     return;
   }
--- a/lab/src/scenario_callers.cc
+++ b/lab/src/scenario_callers.cc
@@ -27,7 +27,7 @@
 /// Asks any published node. Callers know all of them from their own settings.
 void AskWhere(World& world, Caller& caller) {
   const std::size_t count = world.node_names.size();
-  const std::size_t first = kernel::Below(world.random, count);
+  const std::size_t first = kernel::RandomBelow(world.random, count);
   for (std::size_t i = 0; i < count; ++i) {
     const NodeIdx idx = (first + i) % count;
     node::NodeState* node = NodeOf(*world.driver, idx);
@@ -160,14 +160,15 @@
   Wish wish;
   wish.load = load_idx;
   const auto& callers = world.callers_of[load_idx];
-  wish.caller = callers[kernel::Below(world.random, callers.size())];
+  wish.caller = callers[kernel::RandomBelow(world.random, callers.size())];
   wish.created = Now(*world.driver);
   wish.prompt = load.prompt;
-  const double vary = load.spread * (2 * kernel::Fraction(world.random) - 1);
+  const double vary =
+      load.spread * (2 * kernel::RandomFraction(world.random) - 1);
   wish.output = static_cast<std::uint32_t>(
       std::max(1.0, std::round(load.output * (1 + vary))));
   const std::uint64_t prefix =
-      kernel::Below(world.random, std::max(1U, load.prefixes));
+      kernel::RandomBelow(world.random, std::max(1U, load.prefixes));
   wish.prefix = static_cast<std::uint32_t>(load_idx * 1000 + prefix + 1);
   world.wishes.push_back(wish);
   At(*world.driver, wish.created + load.patience,
@@ -178,7 +179,8 @@
 /// Arrivals of a Poisson process.
 void ArriveNext(World& world, std::uint32_t load_idx) {
   const LoadSpec& load = world.scenario->loads[load_idx];
-  const double gap = -std::log(1 - kernel::Fraction(world.random)) / load.rate;
+  const double gap =
+      -std::log(1 - kernel::RandomFraction(world.random)) / load.rate;
   const Time next =
       Now(*world.driver) +
       std::chrono::nanoseconds(static_cast<std::int64_t>(gap * 1e9));
--- a/net/src/http_server_libevent.cc
+++ b/net/src/http_server_libevent.cc
@@ -37,13 +37,13 @@
   evconnlistener_set_error_cb(state_->listener.get(), refuse);
   state_->address =
       WithBoundPort(address, evconnlistener_get_fd(state_->listener.get()));
-  state_->sweep = kernel::Every(*state_->loop, kHttpSweep,
-                                [state = state_.get()] { state->Sweep(); });
+  state_->sweep = kernel::RunEvery(*state_->loop, kHttpSweep,
+                                   [state = state_.get()] { state->Sweep(); });
   return kernel::Result<void>(boost::outcome_v2::success());
 }
 
 void HttpServer::State::Accept(evutil_socket_t fd) {
-  PrepareSocket(fd, limits.drain_time);
+  SetTcpOptions(fd, limits.write_timeout);
   Bufferevent buffer = handlers.make_buffer
                            ? handlers.make_buffer(loop->base.get(), fd)
                            : Bufferevent(bufferevent_socket_new(
@@ -97,18 +97,19 @@
   state_->AcceptWaiting();
   state_->listener.reset();
 }
-std::size_t HttpServer::half_read() const {
+std::size_t HttpServer::incomplete_requests() const {
   return static_cast<std::size_t>(std::count_if(
       state_->connections.begin(), state_->connections.end(),
       [](const auto& connection) { return connection->IsHalfRead(); }));
 }
 
-void HttpServer::RefuseHalfRead(const std::string& why) {
+void HttpServer::RefuseIncompleteRequests(const std::string& why) {
   const auto connections = state_->connections;
-  for (const auto& connection : connections) connection->RefuseHalfRead(why);
+  for (const auto& connection : connections)
+    connection->RefuseIncompleteRequests(why);
 }
 
-std::size_t HttpServer::untaken() const {
+std::size_t HttpServer::undelivered() const {
   return static_cast<std::size_t>(std::count_if(
       state_->connections.begin(), state_->connections.end(),
       [](const auto& connection) { return connection->IsUntaken(); }));
--- a/net/tests/http_server_test.cc
+++ b/net/tests/http_server_test.cc
@@ -31,7 +31,8 @@
 }
 
 bool SaysClose(const et::Answer& answer) {
-  return en::SameName(en::ValueOf(answer.head.fields, "Connection"), "close");
+  return en::IsSameFieldName(
+      en::FirstFieldValue(answer.head.fields, "Connection"), "close");
 }
 
 }  // namespace
@@ -50,7 +51,7 @@
   void Start(const en::ServerLimits& limits) {
     en::ServerHandlers handlers;
     handlers.on_request = [this](const en::HttpCallPtr& call) {
-      call->OnGone([this] { ++gone; });
+      call->OnDisconnect([this] { ++gone; });
       calls.push_back(call);
     };
     handlers.on_refused = [this](int status, const std::string& /*why*/) {
@@ -139,20 +140,20 @@
   send_buffer = kSmallBuffer;
   auto caller = Ask(Get("/", "Connection: close\r\n"), kSmallBuffer);
   calls[0]->Answer(200, "OK", {}, std::string(kLongAnswer, 'a'));
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   bool counted = true;
   stage.Until([&] {
     caller->Take(10'000);
-    if (server->untaken() != 1) counted = false;
+    if (server->undelivered() != 1) counted = false;
     return caller->end() != et::PeerEnd::kOpen;
   });
   CHECK(counted);
   const et::Answer answer = OnlyAnswer(*caller);
   LONGS_EQUAL(kLongAnswer, answer.body.size());
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   caller->Close();
   stage.Until([this] { return server->connections() == 0; });
-  LONGS_EQUAL(0, server->untaken());
+  LONGS_EQUAL(0, server->undelivered());
 }
 
 // A caller stops reading for some seconds while the rest of its answer is with
@@ -166,11 +167,11 @@
   stage.Settle();
   Move(3s);
   Sweep();
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   const et::Answer answer = OnlyAnswer(*caller);
   LONGS_EQUAL(kFitsTheKernel, answer.body.size());
   caller->Close();
-  stage.Until([this] { return server->untaken() == 0; });
+  stage.Until([this] { return server->undelivered() == 0; });
 }
 
 // The caller never goes on. Its connection is given up after the time for
@@ -182,10 +183,10 @@
   stage.Settle();
   Move(2s);
   Sweep();
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   Move(31s);
   stage.Until([this] { return server->connections() == 0; });
-  LONGS_EQUAL(0, server->untaken());
+  LONGS_EQUAL(0, server->undelivered());
 }
 
 // A node that leaves ends each connection with its answer. A caller with a
@@ -327,10 +328,10 @@
   auto caller = Connect();
   caller->Send(PostHead("/", kManyBytes));
   OnlyAnswer(*caller);
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   Move(1001ms);
   stage.Until([this] { return server->connections() == 0; });
-  LONGS_EQUAL(0, server->untaken());
+  LONGS_EQUAL(0, server->undelivered());
 }
 
 // A node ends while a caller is in the middle of its head, its body, or waits
@@ -412,11 +413,11 @@
   calls[0]->Begin(200, "OK", {});
   const std::string piece(kLongAnswer, 'p');
   calls[0]->Send(piece);
-  calls[0]->Break();
+  calls[0]->Abort();
   CHECK(calls[0]->over());
   TakeToTheEnd(*caller);
   CHECK(caller->end() == et::PeerEnd::kEnded);
-  const std::string chunk = en::ChunkText(piece);
+  const std::string chunk = en::FormatChunk(piece);
   const std::string& taken = caller->taken();
   CHECK(taken.size() > chunk.size());
   CHECK(taken.substr(taken.size() - chunk.size()) == chunk);
@@ -435,7 +436,7 @@
     caller->Take();
     return caller->taken().find("half") != std::string::npos;
   });
-  calls[0]->Break();
+  calls[0]->Abort();
   TakeToTheEnd(*caller);
   CHECK(caller->end() == et::PeerEnd::kReset);
   LONGS_EQUAL(0, server->connections());
@@ -501,13 +502,13 @@
   caller->Reset();
   stage.Until([this] { return gone > 0; });
   CHECK(calls[0]->over());
-  LONGS_EQUAL(0, calls[0]->Unsent());
+  LONGS_EQUAL(0, calls[0]->UnsentBytes());
   calls[0]->Send("more");
   calls[0]->End();
   stage.Settle();
   LONGS_EQUAL(1, gone);
   LONGS_EQUAL(0, server->connections());
-  LONGS_EQUAL(0, server->untaken());
+  LONGS_EQUAL(0, server->undelivered());
   LONGS_EQUAL(1, calls[0].use_count());
 }
 
@@ -515,7 +516,7 @@
 // after the time for taking, and whoever makes the answer is told once.
 TEST(HttpServer, DropsACallerThatTakesNothing) {
   en::ServerLimits limits;
-  limits.drain_time = 100ms;
+  limits.write_timeout = 100ms;
   Start(limits);
   send_buffer = kSmallBuffer;
   auto caller = Ask(Get("/"), kSmallBuffer);
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -36,7 +36,7 @@
 
 CallPtr MakeCall(Proxy& proxy, const net::HttpCallPtr& caller,
                  const routing::Route& route,
-                 const routing::ClientAccount* account, CallFacts facts) {
+                 const routing::ClientAccount* account, RequestMetadata facts) {
   const Time now = NowOf(proxy);
   auto call = std::make_shared<Call>();
   call->number = ++proxy.last_number;
@@ -50,22 +50,23 @@
                                 std::max(route.timeout, milliseconds(1)));
   call->deadline = now + allowed;
   const auto target =
-      routing::DrawTarget(route, kernel::Fraction(proxy.random));
+      routing::PickTarget(route, kernel::RandomFraction(proxy.random));
   call->service = &proxy.rules->services[target.idx];
   call->demand.service = call->service;
-  call->demand.tier = routing::RankOf(*proxy.rules, route, account);
+  call->demand.tier = routing::FindRank(*proxy.rules, route, account);
   if (call->service->generates) {
     call->demand.parts = facts.parts;
     call->demand.prompt_tokens = std::max(facts.prompt_tokens, 1U);
     if (route.kind == routing::RouteKind::kStream) {
       const routing::ServicePace& pace =
-          routing::PaceOf(proxy.endpoints, call->service->name);
-      call->demand.events = routing::EventsExpected(pace, route.name);
-      call->demand.longest = routing::EventsAtMost(pace, route.name);
-      call->demand.length_ms = routing::LengthExpected(pace, route.name);
+          routing::FindServicePace(proxy.endpoints, call->service->name);
+      call->demand.events = routing::ExpectedStreamEvents(pace, route.name);
+      call->demand.longest = routing::LongStreamEvents(pace, route.name);
+      call->demand.expected_stream_ms =
+          routing::ExpectedStreamMs(pace, route.name);
     }
-    call->demand.tight =
-        route.gap_target.count() > 0 && route.gap_target <= routing::kTightGap;
+    call->demand.tight = route.gap_target.count() > 0 &&
+                         route.gap_target <= routing::kMaxTightGap;
   }
   call->facts = std::move(facts);
   call->body_bytes = caller->request().body.size();
@@ -84,7 +85,7 @@
 
 void Wait(Proxy& proxy, const CallPtr& call) {
   if (call->waiting) return;
-  if (proxy.waiting.size() >= routing::kWaitingMost) {
+  if (proxy.waiting.size() >= routing::kMaxWaitingRequests) {
     // The least urgent that came last makes room, which may be this one.
     const auto last = std::prev(proxy.waiting.end());
     if (last->first.first <= call->demand.tier) {
@@ -98,8 +99,8 @@
   proxy.waiting.emplace(std::pair(call->demand.tier, call->number), call);
   if (!proxy.waiting_timed) {
     proxy.waiting_timed = true;
-    proxy.waiting_timer = kernel::Every(*proxy.loop, kWaitingPeriod,
-                                        [&proxy] { DispatchWaiting(proxy); });
+    proxy.waiting_timer = kernel::RunEvery(
+        *proxy.loop, kWaitingPeriod, [&proxy] { DispatchWaiting(proxy); });
   }
 }
 
@@ -124,7 +125,7 @@
   }
   if (proxy.rules == nullptr) {
     Reject(proxy, caller, kUnavailable, "not_ready", "no rules are known yet",
-           routing::ComeBackWhenReady(
+           routing::RetryAfterNotReady(
                Between(proxy.members.started, NowOf(proxy)), proxy.random));
     return false;
   }
@@ -140,7 +141,7 @@
 struct Routed {
   const routing::Route* route = nullptr;
   const routing::ClientAccount* account = nullptr;  // Null: none is needed.
-  CallFacts facts;
+  RequestMetadata facts;
 };
 
 // Nothing when the request may not be routed; its caller has its answer then.
@@ -149,8 +150,8 @@
   const routing::RouteTable& rules = *proxy.rules;
   const net::HttpRequest& request = caller->request();
   Routed routed;
-  routed.route = routing::FindRoute(rules, net::ValueOf(request.fields, "Host"),
-                                    request.target);
+  routed.route = routing::FindRoute(
+      rules, net::FirstFieldValue(request.fields, "Host"), request.target);
   if (routed.route == nullptr) {
     Reject(proxy, caller, kNotFound, "unknown_route", "no route matches", {});
     return std::nullopt;
@@ -178,7 +179,7 @@
 void RefuseOrBreak(Proxy& proxy, const CallPtr& call, const char* code,
                    milliseconds retry_after) {
   if (call->caller->begun()) {
-    call->caller->Break();
+    call->caller->Abort();
     EndCall(proxy, call, "broke-off");
     return;
   }
@@ -207,9 +208,9 @@
   if (call.fingerprint == 0) {
     const net::HttpRequest& request = call.caller->request();
     const std::uint64_t asker =
-        call.account != nullptr ? kernel::HashOf(call.account->name) : 0;
-    const std::uint64_t target = kernel::HashOf(request.target, asker);
-    call.fingerprint = kernel::HashOf(request.body, target);
+        call.account != nullptr ? kernel::HashBytes(call.account->name) : 0;
+    const std::uint64_t target = kernel::HashBytes(request.target, asker);
+    call.fingerprint = kernel::HashBytes(request.body, target);
   }
   return call.fingerprint;
 }
@@ -224,8 +225,8 @@
   proxy.calls.emplace(call->number, call);
   routing::OnRequest(proxy.retry_shares[call->service->name],
                      proxy.options.retries, call->arrived);
-  caller->OnGone([&proxy, call] { OnCallerGone(proxy, call); });
-  call->timeout = kernel::After(
+  caller->OnDisconnect([&proxy, call] { OnCallerGone(proxy, call); });
+  call->timeout = kernel::RunAfter(
       *proxy.loop,
       std::chrono::ceil<milliseconds>(call->deadline - call->arrived) +
           kDeadlineMargin,
@@ -241,33 +242,34 @@
     RefuseSuspect(proxy, call, held);
     return;
   }
-  const routing::FleetPart fleet = routing::PartOf(proxy.members, now);
-  const routing::Placement placement = routing::Place(
+  const routing::FleetSnapshot fleet =
+      routing::MakeFleetSnapshot(proxy.members, now);
+  const routing::Placement placement = routing::ChoosePlacement(
       proxy.endpoints, call->demand, call->tried, fleet, proxy.random, now);
-  routing::AdmitAsk ask;
-  if (!call->waiting) call->waits_since = now;
-  ask.waits_since = call->waits_since;
+  routing::AdmissionInput ask;
+  if (!call->waiting) call->waiting_since = now;
+  ask.waiting_since = call->waiting_since;
   ask.deadline = call->deadline;
   ask.target = call->route->target;
-  ask.came_before = call->arrivals > 0;
-  const routing::AdmitVerdict verdict =
-      routing::DecideSend(ask, placement, now);
+  ask.was_sent_before = call->arrivals > 0;
+  const routing::AdmissionVerdict verdict =
+      routing::DecideAdmission(ask, placement, now);
   // A stopping node refuses what it can't finish before it waits for a free
   // endpoint: its caller's time is for another node.
   const bool goes_on =
-      verdict == routing::AdmitVerdict::kSend ||
-      (verdict == routing::AdmitVerdict::kWait && !call->waiting);
+      verdict == routing::AdmissionVerdict::kSend ||
+      (verdict == routing::AdmissionVerdict::kWait && !call->waiting);
   if (goes_on && call->may_have_run == 0 &&
       !CanStillFinish(proxy, *call, placement)) {
     RefuseCall(proxy, call, kUnavailable, "leaving", kLeavingRetry);
     return;
   }
-  if (verdict == routing::AdmitVerdict::kWait) {
+  if (verdict == routing::AdmissionVerdict::kWait) {
     Wait(proxy, call);
     return;
   }
   StopWaiting(proxy, call);
-  if (verdict == routing::AdmitVerdict::kSend) {
+  if (verdict == routing::AdmissionVerdict::kSend) {
     StartAttempt(proxy, call, placement);
     return;
   }
@@ -277,13 +279,13 @@
                     {"place", routing::NameOf(placement.reason)},
                     {"expected_ms", placement.expected_ms},
                     {"left_ms", Between(now, call->deadline)},
-                    {"waited_ms", Between(call->waits_since, now)},
+                    {"waited_ms", Between(call->waiting_since, now)},
                     {"service", call->service->name},
                     {"tier", call->demand.tier},
                     {"nodes", fleet.nodes}});
-  RefuseOrBreak(
-      proxy, call, routing::NameOf(verdict),
-      routing::ComeBackAfter(placement, call->route->target, proxy.random));
+  RefuseOrBreak(proxy, call, routing::NameOf(verdict),
+                routing::RetryAfterRejection(placement, call->route->target,
+                                             proxy.random));
 }
 
 void DispatchWaiting(Proxy& proxy) {
@@ -316,7 +318,7 @@
   const bool sent = WasSent(*call);
   DropAttempt(proxy, call);
   if (call->caller->begun()) {
-    call->caller->Break();
+    call->caller->Abort();
     EndCall(proxy, call, code);
     return;
   }
@@ -329,7 +331,7 @@
   if (proxy.calls.erase(call->number) == 0) return;
   call->timeout = {};
   call->patience = {};
-  call->caller->OnGone(nullptr);
+  call->caller->OnDisconnect(nullptr);
   proxy.body_bytes -= call->body_bytes;
   const Time now = NowOf(proxy);
   kernel::Observe(proxy.metrics, call->measures->whole_answer,
--- a/proxy/src/measures.cc
+++ b/proxy/src/measures.cc
@@ -39,16 +39,16 @@
   return std::chrono::duration<double>(now - then).count();
 }
 
-const char* StateOf(const Proxy& proxy, const routing::Endpoint& endpoint,
-                    Time now) {
+const char* GetFeedState(const Proxy& proxy, const routing::Endpoint& endpoint,
+                         Time now) {
   if (endpoint.phase != routing::EndpointPhase::kServing) {
     return routing::NameOf(endpoint.phase);
   }
   if (routing::IsZoneOut(proxy.endpoints, endpoint.entry.zone)) {
     return "zone-out";
   }
-  if (now < endpoint.trust.avoid_until) return "down";
-  if (now < endpoint.trust.full_until) return "full";
+  if (now < endpoint.health.avoid_until) return "down";
+  if (now < endpoint.health.full_until) return "full";
   if (now < endpoint.cold_until) return "cold";
   if (endpoint.limit.per_second > 0) return "limited";
   return "serving";
@@ -58,8 +58,9 @@
   // States that nothing is in any more are shown as 0.
   for (auto& [labels, count] : proxy.measures.endpoint_states) count = 0;
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
-    const std::string labels = Label("service", endpoint->entry.service) + "," +
-                               Label("state", StateOf(proxy, *endpoint, now));
+    const std::string labels =
+        Label("service", endpoint->entry.service) + "," +
+        Label("state", GetFeedState(proxy, *endpoint, now));
     ++proxy.measures.endpoint_states[labels];
   }
   for (const auto& [labels, count] : proxy.measures.endpoint_states) {
@@ -77,18 +78,18 @@
   for (const auto feed : {routing::Feed::kRules, routing::Feed::kEndpoints}) {
     const std::string label =
         Label("feed", feed == routing::Feed::kRules ? "rules" : "endpoints");
-    SetGauge(
-        proxy, "egretladder_store_revision",
-        "Revision of the store up to which a feed is known.",
-        static_cast<double>(routing::StateOf(proxy.catalog, feed).revision),
-        label);
+    SetGauge(proxy, "egretladder_store_revision",
+             "Revision of the store up to which a feed is known.",
+             static_cast<double>(
+                 routing::GetFeedState(proxy.catalog, feed).revision),
+             label);
   }
   SetGauge(proxy, "egretladder_store_trouble",
            "1 while reads of the store failed lately.",
            IsStoreTroubled(proxy) ? 1 : 0);
-  SetGauge(
-      proxy, "egretladder_nodes", "Nodes there, this one included.",
-      static_cast<double>(routing::PartOf(proxy.members, now).names.size()));
+  SetGauge(proxy, "egretladder_nodes", "Nodes there, this one included.",
+           static_cast<double>(
+               routing::MakeFleetSnapshot(proxy.members, now).names.size()));
 }
 
 void ShowLoad(Proxy& proxy, Time now) {
@@ -103,8 +104,8 @@
            static_cast<double>(proxy.suspects.by_request.size()));
   SetGauge(proxy, "egretladder_endpoint_connections_opened",
            "Connections to endpoints and the store opened since the start.",
-           static_cast<double>(proxy.client->opened()));
-  const routing::RetryFleet fleet = RetryFleetOf(proxy);
+           static_cast<double>(proxy.client->connections_opened()));
+  const routing::RetryBudgetFleet fleet = RetryFleetOf(proxy);
   for (const auto& [service, share] : proxy.retry_shares) {
     SetGauge(proxy, "egretladder_retries_left",
              "Repeats that this node may still make in the window.",
@@ -173,7 +174,7 @@
   ShowLoad(proxy, now);
   SetGauge(proxy, "egretladder_tight_part",
            "Part of the engines that is for streams with short pauses.",
-           proxy.endpoints.tight_part);
+           proxy.endpoints.tight_fraction);
 }
 
 }  // namespace egretladder::proxy
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -5,7 +5,7 @@
 #include <cstring>
 #include <utility>
 
-#include "egretladder/net/pack.h"
+#include "egretladder/net/compression.h"
 #include "egretladder/net/rpc_connection.h"
 #include "news_codec_p.h"
 
@@ -97,18 +97,18 @@
 // Sums up anew what peers said; what is too old no longer counts.
 void SumLoads(Proxy& proxy, Time now) {
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
-    endpoint->others_in_flight = 0;
-    endpoint->others_tokens = 0;
+    endpoint->peers_in_flight = 0;
+    endpoint->peers_waiting_tokens = 0;
   }
   std::erase_if(proxy.peer_loads, [now](const auto& entry) {
-    return now - entry.second.told > routing::kLoadKept;
+    return now - entry.second.told > routing::kPeerLoadRetention;
   });
   for (const auto& [node, told] : proxy.peer_loads) {
     for (const PeerLoads::Load& load : told.loads) {
       const auto at = proxy.endpoints.by_id.find(load.endpoint);
       if (at == proxy.endpoints.by_id.end()) continue;
-      at->second->others_in_flight += load.in_flight;
-      at->second->others_tokens += load.waiting_tokens;
+      at->second->peers_in_flight += load.in_flight;
+      at->second->peers_waiting_tokens += load.waiting_tokens;
     }
   }
 }
@@ -138,7 +138,7 @@
 
 void WriteSuspects(const Proxy& proxy, exchange::News::Builder news, Time now) {
   if (proxy.suspects.by_request.empty()) return;
-  const auto told = routing::SuspectsToTell(proxy.suspects, now);
+  const auto told = routing::MakeSuspectGossip(proxy.suspects, now);
   auto list = news.initSuspects(static_cast<unsigned>(told.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setRequest(told[i].request);
@@ -155,7 +155,7 @@
 
 void TakeSuspects(Proxy& proxy, exchange::News::Reader news, Time now) {
   for (const auto reader : news.getSuspects()) {
-    routing::ToldSuspect told;
+    routing::SuspectGossip told;
     told.request = reader.getRequest();
     told.cleared_ago = milliseconds(reader.getClearedAgoMs());
     for (const auto seen : reader.getBreaks()) {
@@ -163,11 +163,11 @@
                              milliseconds(seen.getSentAgoMs()),
                              milliseconds(seen.getBrokeAgoMs())});
     }
-    routing::HearSuspect(proxy.suspects, told, now);
+    routing::ApplySuspectGossip(proxy.suspects, told, now);
   }
 }
 
-void WriteMembers(const routing::MemberNews& told,
+void WriteMembers(const routing::MemberGossip& told,
                   exchange::News::Builder news) {
   auto members = news.initMembers(static_cast<unsigned>(told.members.size()));
   for (unsigned i = 0; i < members.size(); ++i) {
@@ -175,9 +175,9 @@
   }
   auto pulses = news.initPulses(static_cast<unsigned>(told.pulses.size()));
   for (unsigned i = 0; i < pulses.size(); ++i) {
-    const routing::Pulse& pulse = told.pulses[i];
+    const routing::MemberHeartbeat& pulse = told.pulses[i];
     pulses[i].setNode(pulse.node);
-    pulses[i].setLife(pulse.life);
+    pulses[i].setLife(pulse.short_incarnation);
     pulses[i].setHeartbeat(static_cast<std::uint32_t>(pulse.heartbeat));
     pulses[i].setLeaving(pulse.leaving);
     pulses[i].setStoreTroubled(pulse.store_troubled);
@@ -188,8 +188,8 @@
   }
 }
 
-routing::MemberNews ReadMembers(exchange::News::Reader news) {
-  routing::MemberNews told;
+routing::MemberGossip ReadMembers(exchange::News::Reader news) {
+  routing::MemberGossip told;
   for (const auto member : news.getMembers()) {
     told.members.push_back(ReadMember(member));
   }
@@ -201,8 +201,9 @@
   return told;
 }
 
-void TakeMembers(Proxy& proxy, const routing::MemberNews& told, Time now) {
-  for (const std::string& node : routing::Hear(proxy.members, told, now)) {
+void TakeMembers(Proxy& proxy, const routing::MemberGossip& told, Time now) {
+  for (const std::string& node :
+       routing::ApplyMemberGossip(proxy.members, told, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-there",
                      {{"node", node}});
   }
@@ -213,7 +214,8 @@
 Progress OwnProgress(const Proxy& proxy) {
   Progress own{};
   for (std::size_t i = 0; i < own.size(); ++i) {
-    own[i] = routing::ProgressOf(proxy.catalog, static_cast<routing::Feed>(i));
+    own[i] =
+        routing::GetFeedProgress(proxy.catalog, static_cast<routing::Feed>(i));
   }
   return own;
 }
@@ -237,9 +239,10 @@
 void WriteNews(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
                exchange::News::Builder news) {
   const Time now = NowOf(proxy);
-  WriteMembers(routing::ToTell(proxy.members, unknown, proxy.random, now),
-               news);
-  WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeeds));
+  WriteMembers(
+      routing::MakeMemberGossip(proxy.members, unknown, proxy.random, now),
+      news);
+  WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeedCount));
   news.setTightDemand(static_cast<float>(proxy.agreed.mean.tight));
   news.setRestDemand(static_cast<float>(proxy.agreed.mean.rest));
   WriteLoads(proxy, news);
@@ -249,12 +252,13 @@
 
 PeerState TakeNews(Proxy& proxy, exchange::News::Reader news) {
   const Time now = NowOf(proxy);
-  const routing::MemberNews told = ReadMembers(news);
+  const routing::MemberGossip told = ReadMembers(news);
   TakeMembers(proxy, told, now);
   TakeSuspects(proxy, news, now);
   TakeLimits(proxy, news);
-  routing::Agree(proxy.agreed, {news.getTightDemand(), news.getRestDemand()});
-  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed.mean);
+  routing::MergePeerDemand(proxy.agreed,
+                           {news.getTightDemand(), news.getRestDemand()});
+  proxy.endpoints.tight_fraction = routing::TightFraction(proxy.agreed.mean);
   PeerState peer;
   // The first member is the sender itself.
   if (!told.members.empty()) {
@@ -276,9 +280,9 @@
   builder.setStoreTroubled(IsStoreTroubled(proxy));
   const auto words = capnp::messageToFlatArray(message);
   const auto bytes = words.asBytes();
-  BOOST_OUTCOME_TRY(
-      packed,
-      net::Pack({reinterpret_cast<const char*>(bytes.begin()), bytes.size()}));
+  BOOST_OUTCOME_TRY(packed,
+                    net::Compress({reinterpret_cast<const char*>(bytes.begin()),
+                                   bytes.size()}));
   return PackedChanges{std::move(packed),
                        static_cast<std::uint32_t>(bytes.size())};
 }
@@ -286,7 +290,7 @@
 kernel::Result<ReceivedChanges> UnpackChanges(const PackedChanges& packed,
                                               routing::Feed feed) {
   constexpr std::size_t kMost = kNewsWords * sizeof(capnp::word);
-  BOOST_OUTCOME_TRY(bytes, net::Unpack(packed.bytes, kMost));
+  BOOST_OUTCOME_TRY(bytes, net::Decompress(packed.bytes, kMost));
   auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.begin(), bytes.data(), words.asBytes().size());
   ReceivedChanges received;
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -25,12 +25,13 @@
   proxy.ticked = now;
   if (gap > kPaused) OnPaused(proxy, gap);
   OnStopTick(proxy);
-  for (const std::string& id : routing::DropLapsed(proxy.endpoints, now)) {
+  for (const std::string& id :
+       routing::RemoveLapsedEndpoints(proxy.endpoints, now)) {
     kernel::LogEvent(
         LogPart::kPlatform, LogLevel::kInfo, "endpoint",
         {{"endpoint", id}, {"change", "gone"}, {"source", "lapsed"}});
   }
-  routing::ForgetRemovals(proxy.catalog, now);
+  routing::PruneTombstones(proxy.catalog, now);
   routing::ForgetSuspects(proxy.suspects, now);
   for (const std::string& node : routing::ForgetMembers(proxy.members, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-forgotten",
@@ -43,7 +44,8 @@
 void ExchangeWhenDue(Proxy& proxy) {
   const Time now = NowOf(proxy);
   // The timer is not exact, and a turn that is a little early must not be lost.
-  const auto due = routing::kExchangePeriodLarge - routing::kExchangePeriod / 2;
+  const auto due =
+      routing::kLargeFleetExchangeInterval - routing::kExchangeInterval / 2;
   if (!routing::IsSmallFleet(proxy.members) && now - proxy.exchanged < due) {
     return;
   }
@@ -111,8 +113,8 @@
   const auto calls = proxy->calls;
   for (const auto& [number, call] : calls) {
     DropAttempt(*proxy, call);
-    call->caller->OnGone(nullptr);
-    call->caller->Break();
+    call->caller->OnDisconnect(nullptr);
+    call->caller->Abort();
   }
   for (StoreReader& reader : proxy->readers) net::Cancel(reader.exchange);
   delete proxy;
@@ -120,8 +122,8 @@
 
 bool IsReady(const Proxy& proxy) {
   return !proxy.leaving && proxy.rules != nullptr &&
-         routing::StateOf(proxy.catalog, routing::Feed::kEndpoints).revision >
-             0;
+         routing::GetFeedState(proxy.catalog, routing::Feed::kEndpoints)
+                 .revision > 0;
 }
 
 kernel::Result<ProxyPtr> StartProxy(kernel::Loop& loop,
@@ -129,13 +131,13 @@
   ProxyPtr proxy(new Proxy);
   proxy->loop = &loop;
   proxy->options = options;
-  proxy->endpoints.off = options.placing_without;
+  proxy->endpoints.disabled_mechanisms = options.placing_without;
   proxy->dialect = kernel::FindPlugin<Dialect>(options.dialect);
   if (proxy->dialect == nullptr) {
     return kernel::MakeError(kernel::ErrorCode::kInvalidInput, "start",
                              options.dialect, "no such dialect");
   }
-  proxy->random.seed(kernel::SecretBits());
+  proxy->random.seed(kernel::SecureRandom64());
   proxy->client = std::make_unique<net::HttpClient>(loop);
   BOOST_OUTCOME_TRY(OpenServers(*proxy));
   std::string peers;
@@ -143,13 +145,13 @@
   proxy->peers = std::move(net);
   const Time now = NowOf(*proxy);
   proxy->members =
-      routing::StartMembers(SelfOf(*proxy, peers), options.seeds, now);
+      routing::MakeMembers(SelfOf(*proxy, peers), options.seeds, now);
   proxy->ticked = now;
   proxy->tick =
-      kernel::Every(loop, kTick, [raw = proxy.get()] { OnTick(*raw); });
+      kernel::RunEvery(loop, kTick, [raw = proxy.get()] { OnTick(*raw); });
   proxy->exchange_tick =
-      kernel::Every(loop, routing::kExchangePeriod,
-                    [raw = proxy.get()] { ExchangeWhenDue(*raw); });
+      kernel::RunEvery(loop, routing::kExchangeInterval,
+                       [raw = proxy.get()] { ExchangeWhenDue(*raw); });
   StartReading(*proxy);
   Exchange(*proxy);
   return proxy;
@@ -172,11 +174,12 @@
   }
   view.rules_version = proxy.rules ? proxy.rules->version : 0;
   view.endpoints = proxy.endpoints.by_id.size();
-  view.nodes = routing::PartOf(proxy.members, NowOf(proxy)).names.size();
+  view.nodes =
+      routing::MakeFleetSnapshot(proxy.members, NowOf(proxy)).names.size();
   view.calls = proxy.calls.size();
   view.waiting = proxy.waiting.size();
   view.cut = proxy.cut;
-  view.untaken = UntakenOf(proxy);
+  view.undelivered = UntakenOf(proxy);
   view.ready_now = IsReady(proxy);
   return view;
 }
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -13,7 +13,7 @@
 constexpr int kBadGateway = 502;
 
 StopPhase PhaseNow(const Proxy& proxy) {
-  return policy::PhaseOf(StopPlanOf(proxy.options), StoppingFor(proxy));
+  return policy::GetStopPhase(StopPlanOf(proxy.options), StoppingFor(proxy));
 }
 
 void LogCut(Proxy& proxy, const Call& call) {
@@ -48,8 +48,9 @@
   }
 }
 
-void LogTake(Proxy& proxy, const Call& call, const routing::StopAsk& ask,
-             routing::StopVerdict verdict) {
+void LogTake(Proxy& proxy, const Call& call,
+             const routing::StopAdmissionInput& ask,
+             routing::StopAdmissionVerdict verdict) {
   Count(proxy, "egretladder_stop_requests_total",
         "Requests that met a node that stops, by what was decided.",
         std::string("verdict=\"") + routing::NameOf(verdict) + "\"");
@@ -58,7 +59,7 @@
       {{"req", call.facts.id},
        {"verdict", routing::NameOf(verdict)},
        {"stop_ms", ask.since},
-       {"left_ms", policy::LeftForWork(StopPlanOf(proxy.options), ask.since)},
+       {"left_ms", policy::TimeUntilCut(StopPlanOf(proxy.options), ask.since)},
        {"deadline_ms", ask.deadline},
        {"longest_ms", ask.longest},
        {"route", call.route->name}});
@@ -68,7 +69,7 @@
 
 policy::StopPlan StopPlanOf(const ProxyOptions& options) {
   policy::StopPlan plan;
-  plan.addresses_kept = options.directory_keep * kDirectoryKeptTimes;
+  plan.address_ttl = options.directory_keep * kDirectoryKeptTimes;
   plan.settle = kStopSettle;
   plan.grace = options.grace;
   plan.cut_margin = kStopMargin;
@@ -80,8 +81,8 @@
 // A process that ended then would cut answers that endpoints ran to their end:
 // callers see a stream without its last chunk.
 std::size_t UntakenOf(const Proxy& proxy) {
-  return proxy.callers->untaken() + proxy.directory->untaken() +
-         proxy.ready->untaken();
+  return proxy.callers->undelivered() + proxy.directory->undelivered() +
+         proxy.ready->undelivered();
 }
 
 milliseconds StoppingFor(const Proxy& proxy) {
@@ -97,15 +98,16 @@
 bool CanStillFinish(Proxy& proxy, const Call& call,
                     const routing::Placement& placement) {
   if (!proxy.leaving) return true;
-  routing::StopAsk ask;
+  routing::StopAdmissionInput ask;
   ask.arrived = Between(proxy.leaving_since, call.arrived);
   ask.since = StoppingFor(proxy);
   ask.deadline = Between(NowOf(proxy), call.deadline) + kDeadlineMargin;
-  ask.longest = routing::LongestWhole(proxy.endpoints, call.demand, placement);
-  const routing::StopVerdict verdict =
-      routing::DecideTake(StopPlanOf(proxy.options), ask);
+  ask.longest =
+      routing::EstimateLongAnswerTime(proxy.endpoints, call.demand, placement);
+  const routing::StopAdmissionVerdict verdict =
+      routing::DecideStopAdmission(StopPlanOf(proxy.options), ask);
   LogTake(proxy, call, ask, verdict);
-  return routing::IsTaken(verdict);
+  return routing::IsAdmitted(verdict);
 }
 
 void OnStopTick(Proxy& proxy) {
@@ -114,12 +116,12 @@
   if (phase < StopPhase::kFinishing) return;
   if (proxy.listened_until == Time{}) {
     proxy.callers->StopListening();
-    proxy.members.listens = false;
+    proxy.members.is_listening = false;
     proxy.listened_until = NowOf(proxy);
   }
   if (phase < StopPhase::kCutting) return;
   CutCalls(proxy);
-  proxy.callers->RefuseHalfRead("this node is leaving");
+  proxy.callers->RefuseIncompleteRequests("this node is leaving");
   if (proxy.cut_at == Time{}) proxy.cut_at = NowOf(proxy);
 }
 
@@ -140,7 +142,7 @@
 // What was sent before the node stopped listening may not be read yet, and a
 // process that was late may have cut nothing so far: its callers would see a
 // connection that closes.
-bool MayEnd(const Proxy& proxy) {
+bool CanShutDown(const Proxy& proxy) {
   if (!proxy.leaving) return false;
   const Time now = NowOf(proxy);
   const StopPhase phase = PhaseNow(proxy);
@@ -152,8 +154,8 @@
   }
   const bool all_read = proxy.listened_until != Time{} &&
                         now - proxy.listened_until >= kStopSettle &&
-                        proxy.callers->half_read() == 0;
-  return policy::MayExit(
+                        proxy.callers->incomplete_requests() == 0;
+  return policy::CanExit(
       phase, all_read && proxy.calls.empty() && UntakenOf(proxy) == 0);
 }
 
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -48,7 +48,7 @@
 EntryChange Add(EndpointSet& set, const EndpointEntry& entry, Time now) {
   auto endpoint = std::make_shared<Endpoint>();
   endpoint->entry = entry;
-  endpoint->name_hash = kernel::HashOf(entry.id);
+  endpoint->name_hash = kernel::HashBytes(entry.id);
   endpoint->phase =
       entry.leaving ? EndpointPhase::kLeaving : EndpointPhase::kServing;
   endpoint->cold_until = now + entry.cold_left;
@@ -101,11 +101,13 @@
   return "unknown";
 }
 
-EntryChange OnEntry(EndpointSet& set, const EndpointEntry& entry, Time now) {
+EntryChange OnEntryPublished(EndpointSet& set, const EndpointEntry& entry,
+                             Time now) {
   const auto at = set.by_id.find(entry.id);
   if (at == set.by_id.end()) return Add(set, entry, now);
   Endpoint& known = *at->second;
-  if (known.entry.born != entry.born || known.entry.address != entry.address ||
+  if (known.entry.started_unix_ms != entry.started_unix_ms ||
+      known.entry.address != entry.address ||
       known.entry.service != entry.service) {
     Remove(set, entry.id);
     Add(set, entry, now);
@@ -149,7 +151,7 @@
   Remove(set, id);
 }
 
-std::vector<std::string> DropLapsed(EndpointSet& set, Time now) {
+std::vector<std::string> RemoveLapsedEndpoints(EndpointSet& set, Time now) {
   std::vector<std::string> gone;
   for (const auto& [id, endpoint] : set.by_id) {
     if (endpoint->phase == EndpointPhase::kLapsed &&
@@ -170,57 +172,58 @@
   return at != set.zones_out.end() && at->second;
 }
 
-const ServicePace& PaceOf(const EndpointSet& set, const std::string& service) {
+const ServicePace& FindServicePace(const EndpointSet& set,
+                                   const std::string& service) {
   static const ServicePace kNone;
-  const auto at = set.paces.find(service);
-  return at != set.paces.end() ? at->second : kNone;
+  const auto at = set.service_paces.find(service);
+  return at != set.service_paces.end() ? at->second : kNone;
 }
 
-void OnHeard(Endpoint& endpoint, Time now) { endpoint.heard_at = now; }
+void OnSignOfLife(Endpoint& endpoint, Time now) { endpoint.heard_at = now; }
 
-bool IsHeardLately(const Endpoint& endpoint, Time now) {
+bool IsRecentlyHeard(const Endpoint& endpoint, Time now) {
   return now - endpoint.heard_at < kHeardLately;
 }
 
 void OnConnectFailed(Endpoint& endpoint, Time now) {
-  Trust& trust = endpoint.trust;
+  Trust& health = endpoint.health;
   constexpr std::uint32_t kDoublings = 5;
-  const auto pause = kAvoidFirst * (1U << std::min(trust.refused, kDoublings));
-  trust.avoid_until = now + std::min<milliseconds>(pause, kAvoidMost);
-  ++trust.refused;
+  const auto pause = kAvoidFirst * (1U << std::min(health.refused, kDoublings));
+  health.avoid_until = now + std::min<milliseconds>(pause, kAvoidMost);
+  ++health.refused;
 }
 
-void OnFailed(Endpoint& endpoint, Time now) {
-  Trust& trust = endpoint.trust;
-  trust.failing = Smooth(FailingOf(trust, now), 1);
-  trust.failing_at = now;
+void OnAttemptFailed(Endpoint& endpoint, Time now) {
+  Trust& health = endpoint.health;
+  health.failing = Smooth(FailingOf(health, now), 1);
+  health.failing_at = now;
 }
 
-void OnFull(Endpoint& endpoint, milliseconds pause, Time now) {
-  endpoint.trust.full_until = now + pause;
-  endpoint.trust.refused = 0;
+void OnEndpointFull(Endpoint& endpoint, milliseconds pause, Time now) {
+  endpoint.health.full_until = now + pause;
+  endpoint.health.refused = 0;
 }
 
 void OnFirstByte(Endpoint& endpoint, milliseconds took, milliseconds expected) {
   const double late =
       std::max(0.0, static_cast<double>((took - expected).count()));
-  endpoint.trust.drift_ms = Smooth(endpoint.trust.drift_ms, late);
+  endpoint.health.drift_ms = Smooth(endpoint.health.drift_ms, late);
 }
 
 void OnAnswered(Endpoint& endpoint, milliseconds took, Time now) {
-  Trust& trust = endpoint.trust;
-  trust.refused = 0;
-  trust.avoid_until = {};
-  trust.failing = Smooth(FailingOf(trust, now), 0);
-  trust.failing_at = now;
+  Trust& health = endpoint.health;
+  health.refused = 0;
+  health.avoid_until = {};
+  health.failing = Smooth(FailingOf(health, now), 0);
+  health.failing_at = now;
   const auto ms = static_cast<double>(took.count());
-  trust.mean_ms = trust.mean_ms == 0 ? ms : Smooth(trust.mean_ms, ms);
+  health.mean_ms = health.mean_ms == 0 ? ms : Smooth(health.mean_ms, ms);
 }
 
-double FailingOf(const Trust& trust, Time now) {
+double FailingOf(const Trust& health, Time now) {
   const auto age =
-      std::chrono::duration<double, std::milli>(now - trust.failing_at);
-  return trust.failing *
+      std::chrono::duration<double, std::milli>(now - health.failing_at);
+  return health.failing *
          std::exp2(-age.count() /
                    static_cast<double>(kFailureHalfLife.count()));
 }
--- a/routing/src/readers.cc
+++ b/routing/src/store_readers.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/readers.h"
+#include "egretladder/routing/store_readers.h"
 
 #include <algorithm>
 
@@ -14,11 +14,11 @@
 };
 
 Ranked RankOthers(const Members& members, Time now) {
-  const std::uint64_t own = kernel::HashOf(members.self.node);
+  const std::uint64_t own = kernel::HashBytes(members.self.node);
   Ranked ranked;
   for (const auto& [node, known] : members.others) {
-    if (!IsThere(members, known, now)) continue;
-    auto& side = kernel::HashOf(node) > own ? ranked.before : ranked.after;
+    if (!IsMemberAvailable(members, known, now)) continue;
+    auto& side = kernel::HashBytes(node) > own ? ranked.before : ranked.after;
     side.push_back(&known);
   }
   return ranked;
@@ -57,14 +57,14 @@
   return static_cast<std::size_t>(reading) < kReadersMost;
 }
 
-std::vector<std::string> StandbysOf(const Members& members, Time now) {
+std::vector<std::string> StandbyAddresses(const Members& members, Time now) {
   Ranked ranked = RankOthers(members, now);
   const std::size_t rank = ranked.before.size();
   auto& after = ranked.after;
   std::sort(after.begin(), after.end(),
             [](const KnownMember* left, const KnownMember* right) {
-              return kernel::HashOf(left->member.node) >
-                     kernel::HashOf(right->member.node);
+              return kernel::HashBytes(left->member.node) >
+                     kernel::HashBytes(right->member.node);
             });
   std::vector<std::string> standbys;
   for (std::size_t i = 0; i < after.size() && rank + 1 + i < kReadersAble;
