--- a/policy/include/egretladder/policy/estimate.h
+++ b/policy/include/egretladder/policy/estimate.h
@@ -1,9 +1,9 @@
-// Learned service times, long tails included.
+// Learned service times, robust against long-tailed distributions.
 //
-// The mean time in a slot is slot time spent over work ended (Little's law).
-// Work that still runs counts in the slot time, so that very long answers are
-// seen before they end; a mean over ended work alone forgets them for just as
-// long as they hold their slots.
+// The mean time in a slot is the slot time spent divided by the completed
+// attempts (Little's law). Attempts that still run count in the slot time, so
+// that very long answers show before they end. A mean over completed attempts
+// alone misses them for as long as they hold their slots.
 #pragma once
 
 #include <chrono>
@@ -13,44 +13,49 @@
 
 namespace egretladder::policy {
 
-/// Spans that are learned, as a number of seconds.
+/// Learned and estimated times, as a fractional number of seconds.
 using Seconds = std::chrono::duration<double>;
 
-/// What was seen of one class at one target.
+/// Service times of one class at one target. Sums and counts decay
+/// exponentially with each sample.
 struct ServiceTimeStats {
-  double slot_seconds = 0;  ///< Spent, fading with each end.
-  double completions = 0;   ///< Fading likewise.
-  std::uint32_t running = 0;
-  kernel::Time updated_at{};  ///< `slot_seconds` counts up to here.
+  double slot_seconds = 0;  ///< Slot time spent.
+  double completions = 0;
+  std::uint32_t running = 0;  ///< Attempts in flight.
+  kernel::Time updated_at{};  ///< `slot_seconds` is accrued until this time.
   double first_token_sum_seconds = 0;
-  double first_token_square_sum = 0;
+  double first_token_square_sum = 0;  ///< In seconds squared.
   double first_token_count = 0;
-  double tokens = 0;  ///< Produced by ended work, fading.
+  double tokens = 0;  ///< Output tokens of completed attempts.
 };
 
-/// A request of the class was dispatched to the target.
+/// Records that a request of the class was dispatched to the target.
 void RecordDispatch(ServiceTimeStats& stats, kernel::Time now);
-/// Its first token came; older ones fade beyond `ends_remembered`.
+/// Records a first token that came `after_dispatch`.
+/// `estimate_window_completions` is the effective number of samples in the
+/// averages.
 void RecordFirstToken(ServiceTimeStats& stats, Seconds after_dispatch,
                       double estimate_window_completions);
-/// `tokens` were produced in all.
+/// Records a complete answer of `tokens` output tokens.
 void RecordCompletion(ServiceTimeStats& stats, std::uint32_t tokens,
                       double estimate_window_completions, kernel::Time now);
 
-/// Work broke off after `spent` in its slot: it says nothing of how long work
-/// takes, so what it spent is taken back.
+/// Records an attempt that was aborted after `spent` in its slot. It tells
+/// nothing about service times, so that its slot time is subtracted again.
 void RecordAbort(ServiceTimeStats& stats, Seconds spent, kernel::Time now);
 
-/// Mean time in a slot; 0 while nothing was seen. A lower bound while less has
-/// ended than runs.
+/// Returns the mean time in a slot; 0 without data. The value is a lower bound
+/// while fewer attempts have completed than are running.
 Seconds MeanSlotTime(const ServiceTimeStats& stats, kernel::Time now);
-/// Mean time from dispatch to the first token; 0: unknown.
+/// Returns the mean time from dispatch to the first token; 0 without data.
 Seconds MeanTimeToFirstToken(const ServiceTimeStats& stats);
-/// Time to the first token that few exceed: the mean and twice the deviation.
-/// Work started right before its deadline less the mean would be late half of
-/// the time, and deadline order starts just that work under overload.
+/// Returns a time to the first token that few attempts exceed: the mean plus
+/// two standard deviations; 0 without data.
+///
+/// Work that is started the mean time before its deadline is late half of the
+/// time, and under overload deadline order starts just such work.
 Seconds ConservativeTimeToFirstToken(const ServiceTimeStats& stats);
-/// Mean tokens of ended work; 0: unknown.
+/// Returns the mean output tokens of completed attempts; 0 without data.
 double MeanOutputTokens(const ServiceTimeStats& stats);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/health.h
+++ b/policy/include/egretladder/policy/health.h
@@ -1,9 +1,11 @@
-// Slow and failing endpoints, noticed from this node's own answers.
+// Outlier detection: ejects slow and failing endpoints by the answers that this
+// node receives from them.
 //
-// Load: one endpoint 5 times slower that reports health. Reports come late and
-// describe what the engine believes; answers show what callers get. Without it
-// a slow endpoint gets its part of the questions and each of them is late, and
-// one that fails at once looks idle and draws all work.
+// An endpoint may be five times slower than the others and still report that
+// it is healthy. Reports arrive late and say what the engine believes, while
+// answers show what callers get. Without outlier detection a slow endpoint
+// receives its full share of the requests, all of which are late, and an
+// endpoint that fails at once looks idle and attracts all requests.
 #pragma once
 
 #include <cstdint>
@@ -14,42 +16,45 @@
 
 namespace egretladder::policy {
 
-/// What is known of one endpoint.
+/// Health of one endpoint.
 struct Health {
-  double latency_ratio = 1;  ///< First tokens against the usual, smoothed.
-  std::uint32_t samples = 0;
-  std::uint32_t consecutive_failures = 0;  ///< In a row.
-  std::uint32_t good_probes = 0;
-  bool ejected = false;          ///< Gets probes only.
-  std::uint32_t bad_probes = 0;  ///< In a row: probes become rarer.
+  double latency_ratio = 1;   ///< Moving average of the time to first token
+                              ///< relative to the typical one.
+  std::uint32_t samples = 0;  ///< First tokens in `latency_ratio`.
+  std::uint32_t consecutive_failures = 0;
+  std::uint32_t good_probes = 0;  ///< Consecutive probes at the usual speed.
+  bool ejected = false;           ///< Receives probes only.
+  std::uint32_t bad_probes = 0;   ///< Consecutive slow or failed probes. Each
+                                  ///< doubles the interval up to a limit.
   kernel::Time next_probe{};
 };
 
-/// What an event makes of the trust in an endpoint.
+/// How an event changes the state of an endpoint.
 enum class HealthChange : std::uint8_t { kNone, kEjected, kReadmitted };
 
-/// An answer's first token came after `took`; `usual` is what this class takes
-/// at this target (0: unknown).
+/// Records that the first token of an answer came after `latency`.
+/// `typical_latency` is the mean for this class at this target; 0: unknown.
 HealthChange OnFirstTokenLatency(Health& health, Seconds latency,
                                  Seconds typical_latency, const Limits& limits,
                                  kernel::Time now);
 
-/// An attempt failed at the endpoint's side.
+/// Records that an attempt failed on the endpoint's side.
 HealthChange OnFailure(Health& health, const Limits& limits, kernel::Time now);
 
-/// An answer ended well.
+/// Records a complete answer.
 void OnSuccess(Health& health);
 
-/// The engine restarted: what was learned of it is void.
+/// Discards the state because the engine restarted.
 void OnEngineRestart(Health& health);
 
-/// True when an endpoint that is left alone is due for one probe.
+/// Returns true when an ejected endpoint is due for one probe.
 bool IsProbeDue(const Health& health, kernel::Time now);
-/// A probe went out: sets when the next is due.
+/// Records that a probe was sent and schedules the next one.
 void OnProbeSent(Health& health, const Limits& limits, kernel::Time now);
 
-/// True when one more of `servers` endpoints may be left alone: when most look
-/// slow the load is the cause, and leaving them alone would make it worse.
+/// Returns true when one more of `servers` endpoints may be ejected while
+/// `ejected` are. When most endpoints look slow, the load is the cause, and
+/// ejecting them would make it worse.
 bool CanEject(std::uint32_t ejected, std::uint32_t servers,
               const Limits& limits);
 
--- a/policy/include/egretladder/policy/limits.h
+++ b/policy/include/egretladder/policy/limits.h
@@ -1,5 +1,5 @@
-// Every threshold of the decisions under load: the load it answers and what
-// goes wrong without it. Sweeps of them: docs/design/policy-thresholds.md.
+// Thresholds of the scheduling decisions, each with the fault that it prevents.
+// Their sensitivity is described in docs/design/policy-thresholds.md.
 #pragma once
 
 #include <chrono>
@@ -12,138 +12,142 @@
 
 // --- Slots of an endpoint (slots.h) ---
 
-/// Answers in time, per slot, before slots grow.
-/// Load: a fleet that starts cold under full load. Without it slots grow by the
-/// clock, and an endpoint that still loads weights gets work it drops. With
-/// many a cold fleet stays cold for its callers.
+/// Answers in time, per slot, before an endpoint gets more slots. If slots grew
+/// with time instead, an endpoint of a fleet that starts cold under full load
+/// would get work that it drops while it still loads its weights. A high value
+/// keeps a cold fleet slow for its callers.
 inline constexpr std::uint32_t kAnswersPerSlotBeforeGrowth = 2;
 
-/// Share of late or failed answers at which an endpoint counts as overloaded,
-/// and the answers it takes to judge.
-/// Load: an endpoint slowed by long prompts. Without it slots stay where every
-/// answer is late.
+/// Ratio of late or failed answers at which an endpoint counts as overloaded,
+/// for example by long prompts. Without it an endpoint keeps a number of slots
+/// at which every answer is late.
 inline constexpr double kOverloadedLateRatio = 0.25;
-/// Answers it takes to judge an endpoint overloaded.
+/// Minimum number of answers for judging whether an endpoint is overloaded or
+/// cold.
 inline constexpr std::uint32_t kMinAnswersToJudge = 8;
 
-/// Share of late or failed answers at which an endpoint counts as cold again:
-/// it lost what made it fast, without a restart that a report would show.
+/// Ratio of late or failed answers at which an endpoint counts as cold again:
+/// it lost its caches or compiled kernels without a restart that a report would
+/// show.
 inline constexpr double kColdLateRatio = 0.75;
 
 // --- Retries (retry.h) ---
 
-/// What one success adds to a node's retry budget.
-/// Load: every answer fails after an outage. Without a budget each request
-/// becomes as many as its attempts, and the load outlives the outage.
+/// Tokens that one success adds to a node's retry budget. Without a budget each
+/// request is sent as often as its attempts allow when all answers fail after
+/// an outage, and this retry storm outlives the outage.
 inline constexpr double kRetryTokensPerSuccess = 0.1;
 inline constexpr double kMaxRetryTokens = 20;
-/// What a node starts with.
-/// Load: an endpoint that refuses connections just as a node starts. Without it
-/// the node's first failures go to their callers until ten answers succeeded.
-/// Not larger: nodes that start into an outage all spend it at once, before any
-/// success shows that retries help.
+/// Retry budget of a node that has just started. With none, the failures of an
+/// endpoint that refuses connections at that moment go to the callers until ten
+/// answers have succeeded. With a large one, nodes that start during an outage
+/// spend it all at once, before any success shows that retries help.
 inline constexpr double kInitialRetryTokens = 5;
 inline constexpr std::uint8_t kMaxAttempts = 3;
-/// Delay before the second attempt; doubles with each. Jittered, so that those
-/// that failed together don't return together.
+/// Delay before the second attempt. It doubles with each further attempt and is
+/// jittered, so that requests that failed together are not retried together.
 inline constexpr milliseconds kInitialRetryDelay{20};
 
 // --- Requests that crash endpoints (poison.h) ---
 
-/// Deaths of endpoints before a body is quarantined. One would punish each
-/// innocent body whose endpoint's VM failed; three costs one more endpoint.
+/// Endpoint deaths after which a request body is quarantined. With one, an
+/// innocent body is quarantined whenever the VM of its endpoint fails; three
+/// cost one more endpoint.
 inline constexpr std::uint8_t kDeathsBeforeQuarantine = 2;
-/// How long one death is held against a body. Callers send again for minutes.
+/// How long a body stays suspect after one death. Callers retry for minutes.
 inline constexpr milliseconds kSuspectDuration{10 * 60 * 1000};
-/// How long a quarantined body gets no endpoint.
+/// How long a quarantined body is sent to no endpoint.
 inline constexpr milliseconds kQuarantineDuration{30 * 60 * 1000};
-/// Bounds memory when a zone dies with its work.
+/// Bounds the memory for crash records when a zone fails with all its requests.
 inline constexpr std::size_t kMaxCrashRecords = 4096;
 
-// --- The ladder (scheduler_ladder.cc) ---
+// --- The scheduler "ladder" (scheduler_ladder.cc) ---
 
-/// Thresholds of the scheduler "ladder". Plain data, so that a sweep runs the
-/// same load over several values and each idea can be switched off.
+/// Thresholds of the scheduler "ladder". They are plain data, so that a sweep
+/// can run the same workload with several values and with each mechanism
+/// switched off.
 struct Limits {
-  /// Requests that wait at a node, all classes together.
-  /// Load: a broker's batch. Without it memory grows with the batch, by about
-  /// 600 bytes a request.
+  /// Maximum number of requests that wait at a node, all classes together.
+  /// Bounds memory during a large batch; a waiting request takes about 600
+  /// bytes.
   std::uint32_t max_queue_length = 20'000;
 
-  /// Part of a target's slots that aged work of lower tiers may hold while
-  /// higher tiers want them all; 0: no trickle.
-  /// Load: the top tier alone over capacity for an hour. Without it lower tiers
-  /// are never served, and with much of it the top tier is late. The bound is
-  /// derived in docs/design/two-promises.md.
+  /// Share of a target's slot time that aged requests of lower tiers may take
+  /// while higher tiers want all of it; 0: none. Without it lower tiers starve
+  /// for as long as the top tier alone exceeds capacity. A large share makes
+  /// the top tier late. The resulting bound on starvation is derived in
+  /// docs/design/two-promises.md.
   double aging_share = 0.02;
-  /// A lower tier's request counts as aged after this wait.
+  /// Wait after which a request of a lower tier counts as aged.
   milliseconds aging_threshold{5000};
 
-  /// Free slots kept from lower tiers: this times the root of what higher
-  /// tiers run (their fluctuation), at most `reserve_share_most` of the slots
-  /// and, where higher tiers ran lately, at least one; 0: none.
-  /// Load: a batch of long work takes every slot. Without it a buyer's question
-  /// waits until one of them ends. More of it is lost to lower tiers alone.
+  /// Slots that are kept free of lower tiers: this factor times the square root
+  /// of the slots that higher tiers occupy (their fluctuation), at most
+  /// `max_reserve_ratio` of all slots; 0: none. Without it a batch of long
+  /// requests takes every slot, and a request of a higher tier waits until one
+  /// of them ends. A larger factor only costs lower tiers throughput.
   double reserve_factor = 0.5;
   double max_reserve_ratio = 0.2;
 
-  /// Ends seen at which a learned wait counts half; 0: it always counts whole.
-  /// Load: long work among short, and the start of a node. Without it the first
-  /// long answers refuse callers that could be served.
+  /// Number of completions at which a learned wait has a confidence of one
+  /// half; 0: full confidence after the first completion. Without it the first
+  /// long answers after a start lead to the refusal of requests that could
+  /// be served.
   double half_confidence_completions = 16;
-  /// Ends over which service times are learned. Fewer let one very long answer
-  /// shift the estimate; more are slow to see a change.
+  /// Effective number of completions in the learned averages. With fewer, one
+  /// very long answer shifts the estimate; with more, it follows changes
+  /// slowly.
   double estimate_window_completions = 256;
-  /// Whether work that can't make it is refused at once.
-  /// Off, callers in a burst wait for their refusal until their time is up.
+  /// Whether requests that can't meet their deadline are refused on arrival.
+  /// Otherwise callers in a burst are refused only when their time is up.
   bool refuse_early = true;
-  /// Bounds of the time that a refused caller is told to stay away.
+  /// Bounds of the delay after which a refused caller is told to retry.
   milliseconds min_retry_after{200};
   milliseconds max_retry_after{60'000};
 
-  /// Whether expected tokens are charged when work starts.
-  /// Load: an account that starts many at once. Without it none of them is
-  /// charged until its tokens come, and the account takes every slot meanwhile.
+  /// Whether an account is charged for the expected tokens when its request is
+  /// started. Otherwise an account that starts many requests at once is charged
+  /// only when their tokens arrive, and takes every slot until then.
   bool charge_expected = true;
 
-  /// Endpoints drawn for one choice. One ignores load; more than a few cost
-  /// time and herd to the same endpoint.
+  /// Endpoints that are sampled for one choice. A sample of one ignores load;
+  /// a large one costs time and makes nodes herd to the same endpoint.
   std::uint32_t choices = 6;
-  /// An endpoint takes a prompt for its cached prefix while it holds at most
-  /// this times the mean load; 0: no affinity.
-  /// Load: a few prefixes with most of the load. Without the bound they
-  /// overload one endpoint; without affinity each prompt is computed anew.
+  /// Factor over the mean load up to which an endpoint takes a prompt whose
+  /// prefix it has cached; 0: no prefix affinity. Without this bound a few
+  /// popular prefixes overload one endpoint; without affinity each prompt is
+  /// computed anew.
   double affinity_load = 1.5;
-  /// Endpoints that may hold one prefix.
+  /// Endpoints that may hold the same prefix.
   std::uint32_t affinity_replicas = 2;
-  /// What a report's load counts half as much after. Reports lag.
+  /// Half-life of the weight of a reported load, since reports are delayed.
   milliseconds report_half_life{1000};
-  /// Part of the load by which the own zone is preferred; the way to another is
-  /// worth no more than a tie.
+  /// Ratio by which the load score of endpoints in the node's own zone is
+  /// reduced. The shorter network path justifies no more than breaking ties.
   double same_zone_discount = 0.02;
 
-  /// An endpoint whose first tokens take this times the usual is slow; 0: never
-  /// noticed. Load: one endpoint 5 times slower that reports health. Without it
-  /// the endpoint gets its full part of the questions, and each is late.
+  /// Ratio to the typical time to first token at which an endpoint counts as
+  /// slow; 0: never. Without it a slow endpoint that reports itself healthy
+  /// gets its full share of the requests, and all of them are late.
   double slow_ratio = 2.5;
-  /// Answers before an endpoint may be called slow.
+  /// Minimum number of answers before an endpoint can count as slow.
   std::uint32_t min_slow_samples = 6;
-  /// Failures in a row before it is left alone: one that fails at once looks
-  /// idle and draws all work.
+  /// Consecutive failures after which an endpoint is ejected. An endpoint that
+  /// fails at once looks idle and attracts all requests.
   std::uint32_t failures_to_eject = 3;
-  /// Part of a target's endpoints that may be left alone as slow.
+  /// Maximum ratio of a target's endpoints that may be ejected.
   double max_ejected_ratio = 0.34;
   milliseconds probe_interval{1000};
-  /// Answers at the usual speed before a slow endpoint is trusted.
+  /// Consecutive probes at the usual speed after which an endpoint is
+  /// readmitted.
   std::uint32_t probes_to_readmit = 3;
 
-  /// Part of its slots that a zone gets when it comes back, and how long until
-  /// this has doubled; 1: all at once.
-  /// Load: a zone out and back. Without it every new request goes to the zone's
-  /// idle endpoints, and all are late if it is not well.
+  /// Share of its slots that a zone gets when it returns to service; 1: all at
+  /// once. Without this ramp every new request goes to the idle endpoints of
+  /// the zone, and all of them are late if the zone is not healthy.
   double zone_ramp_initial_ratio = 0.125;
-  /// Long enough to notice that the zone is slow before it has much of the
-  /// work.
+  /// Time in which the share of a returning zone doubles. It is long enough to
+  /// notice that the zone is slow before it receives much of the work.
   milliseconds zone_ramp_doubling_time{4000};
 };
 
--- a/policy/include/egretladder/policy/pick.h
+++ b/policy/include/egretladder/policy/pick.h
@@ -1,9 +1,10 @@
-// Where work goes, among endpoints with a free slot.
+// Selection of an endpoint among those with a free slot.
 //
-// A few endpoints are drawn and the best is taken (Mitzenmacher, "The Power of
-// Two Choices"): cost does not grow with the fleet, and nodes that act on the
-// same old reports don't all run to the same endpoint. A cached prefix goes
-// before that, while its endpoint holds no more than its part (Mirrokni et al.,
+// A few endpoints are sampled and the least loaded of them is taken
+// (Mitzenmacher, "The Power of Two Choices"): the cost does not grow with the
+// fleet, and nodes that act on the same outdated reports don't all choose the
+// same endpoint. An endpoint that has the prompt's prefix cached takes
+// precedence while its load is not far above the mean (Mirrokni et al.,
 // "Consistent Hashing with Bounded Loads").
 #pragma once
 
@@ -16,31 +17,34 @@
 
 namespace egretladder::policy {
 
-/// What a choice is made by.
+/// What is known about an endpoint's load.
 struct EndpointLoad {
-  std::uint32_t slots = 0;  ///< This node's.
-  std::uint32_t in_flight = 0;
-  std::uint32_t max_in_flight = 1;  ///< From the rules.
-  std::uint32_t reported_load = 0;  ///< Running and waiting, all nodes.
-  std::uint32_t own_in_flight_at_report =
-      0;                      ///< This node's in flight back then.
-  Time reported_at{};         ///< Default: no report.
+  std::uint32_t slots = 0;      ///< Of this node.
+  std::uint32_t in_flight = 0;  ///< Requests of this node.
+  std::uint32_t max_in_flight =
+      1;  ///< Maximum in flight when warm, by the rules.
+  std::uint32_t reported_load = 0;  ///< Requests running or waiting there, of
+                                    ///< all nodes.
+  std::uint32_t own_in_flight_at_report = 0;  ///< Of this node, when the report
+                                              ///< arrived.
+  Time reported_at{};         ///< Default: no report has arrived.
   bool same_zone = false;     ///< In the node's own zone.
-  bool runs_suspect = false;  ///< See poison.h.
+  bool runs_suspect = false;  ///< Runs a request that may crash it (poison.h).
 };
 
-/// Expected load of an endpoint, smaller is better: own requests in flight over
-/// own slots, and what others had there by the last report, which counts less
-/// the older it is.
+/// Returns the expected load of an endpoint; lower is better. It is the sum of
+/// this node's requests in flight over its slots and of the other nodes' load
+/// in the last report, whose weight halves with each `report_half_life`.
 double LoadScore(const EndpointLoad& load, const Limits& limits, Time now);
 
-/// True when the endpoint may take a prompt for its prefix, `mean` being the
-/// mean of in flight over slots.
+/// Returns true when the endpoint has room for one more prompt whose prefix it
+/// has cached. `mean_load` is the mean of requests in flight over slots.
 bool HasPrefixCapacity(const EndpointLoad& load, double mean_load,
                        const Limits& limits);
 
-/// Endpoints of one target on a ring by the hash of their names; the same on
-/// every node, and little moves when one comes or goes.
+/// Consistent-hash ring of one target's endpoints, by the hash of their names.
+/// It is the same on every node, and few prefixes move when an endpoint comes
+/// or goes.
 struct PrefixRing {
   struct Point {
     std::uint64_t hash = 0;
@@ -52,8 +56,8 @@
 PrefixRing BuildPrefixRing(const rules::Rules& rules,
                            const std::vector<EndpointHandle>& servers);
 
-/// The first `homes` different endpoints for `prefix`; fewer when there are
-/// fewer. O(log n).
+/// Writes the first `max_owners` distinct endpoints for `prefix` to `out`, or
+/// fewer if the ring has fewer. O(log n).
 void FindPrefixOwners(const PrefixRing& ring, std::uint64_t prefix,
                       std::uint32_t max_owners,
                       std::vector<EndpointHandle>& out);
--- a/policy/include/egretladder/policy/poison.h
+++ b/policy/include/egretladder/policy/poison.h
@@ -1,4 +1,5 @@
-// Requests that crash endpoints: blame and quarantine.
+// Detection and quarantine of poison requests: request bodies that crash the
+// endpoints that run them.
 #pragma once
 
 #include <chrono>
@@ -11,51 +12,55 @@
 
 namespace egretladder::policy {
 
-/// What is held against one body.
+/// Endpoint deaths that are attributed to one request body.
 struct CrashRecord {
-  std::uint8_t deaths = 0;    ///< Endpoints that died while running it.
-  kernel::Time expires_at{};  ///< Forgotten then.
+  std::uint8_t deaths = 0;  ///< Endpoints that died while running it.
+  kernel::Time expires_at{};
   bool quarantined = false;
 };
 
-/// Blames by fingerprint of the body. Bounded; the oldest go first.
+/// Crash records by fingerprint of the body. Their number is bounded; those
+/// that expire first are evicted first.
 struct PoisonState {
   std::unordered_map<std::uint64_t, CrashRecord> crash_records;
 };
 
-/// One quarantined body, as nodes tell each other.
+/// A suspect or quarantined body, as nodes announce it to each other.
 struct QuarantineNotice {
   std::uint64_t fingerprint = 0;
-  std::chrono::milliseconds left{};
+  std::chrono::milliseconds left{};  ///< Until the record expires.
   std::uint8_t deaths = 0;
 };
 
-/// An endpoint died while `running` (fingerprints) were on it. Returns those
-/// which became quarantined by this: at the second death under the same body,
-/// and only when it is the one suspect among those running; when several were
-/// suspects no one can say which it was, and they stay suspects.
+/// Records that an endpoint died while the bodies with the fingerprints
+/// `running` ran on it. Returns those that are quarantined as a result.
+///
+/// A body is quarantined at the second death while it runs, provided that it
+/// was the only suspect on the endpoint. With several suspects the cause is
+/// unknown, and they all stay suspects.
 std::vector<QuarantineNotice> OnEndpointDied(
     PoisonState& state, const std::vector<std::uint64_t>& running,
     kernel::Time now);
 
-/// A body ran to its end: whatever was held against it is dropped.
+/// Drops the record of a body, because a request with it ran to completion.
 void ClearSuspect(PoisonState& state, std::uint64_t fingerprint);
 
-/// True when an endpoint died under this body once: it should run beside no
-/// other such body, so that a second death tells them apart.
+/// Returns true when one endpoint died while running this body. Such a body
+/// should not run beside another suspect, so that a second death identifies the
+/// cause.
 bool IsSuspect(const PoisonState& state, std::uint64_t fingerprint,
                kernel::Time now);
 
-/// Another node's blame. Returns true when the body is now quarantined and
-/// was not before.
+/// Merges a record that another node announced. Returns true when the body is
+/// quarantined as a result.
 bool ApplyQuarantineNotice(PoisonState& state, const QuarantineNotice& notice,
                            kernel::Time now);
 
-/// True while a body with this fingerprint gets no endpoint.
+/// Returns true while a body with this fingerprint is sent to no endpoint.
 bool IsQuarantined(const PoisonState& state, std::uint64_t fingerprint,
                    kernel::Time now);
 
-/// What other nodes should know, quarantined or blamed once.
+/// Returns the records that other nodes should learn of, suspects included.
 std::vector<QuarantineNotice> ListQuarantineNotices(const PoisonState& state,
                                                     kernel::Time now);
 
--- a/policy/include/egretladder/policy/scheduler.h
+++ b/policy/include/egretladder/policy/scheduler.h
@@ -1,6 +1,8 @@
-// The scheduler: what is let in, what waits, what is turned away and where work
-// goes, for one node. Pure: (state, event, now) to actions. Several schedulers
-// register as plug-ins, so that a run compares them under the same load.
+// The scheduler of one node: decides which requests are admitted, wait or are
+// refused, and which endpoint each goes to. It does no I/O and reads no clock:
+// each call maps its state, an event and the time to actions. Several
+// schedulers are registered as plug-ins, so that they can be compared under the
+// same workload.
 #pragma once
 
 #include <chrono>
@@ -23,112 +25,120 @@
 using rules::TargetHandle;
 using rules::ZoneHandle;
 
-/// Numbers one request within a node's life.
+/// Identifies a request within the lifetime of a node's process.
 using RequestId = std::uint64_t;
 
-/// What the scheduler knows of a request when it arrives.
+/// An arriving request as the scheduler sees it.
 struct Request {
   RequestId id = 0;
   ClassHandle cls;
   AccountHandle account;
   TargetHandle target;
-  std::uint64_t prefix = 0;       ///< Hash of the prompt's first part; 0: none.
-  std::uint64_t fingerprint = 0;  ///< Hash of the body, for quarantine.
+  std::uint64_t prefix = 0;       ///< Hash of the prompt's prefix; 0: none.
+  std::uint64_t fingerprint = 0;  ///< Hash of the body, for the quarantine.
   std::uint32_t prompt_tokens = 0;
-  std::uint32_t max_tokens = 0;  ///< The caller's cap; 0: unknown.
+  std::uint32_t max_tokens = 0;  ///< Output limit of the caller; 0: unknown.
   Time arrived{};
-  Time deadline{};  ///< First token wanted by then (arrival + class target, or
-                    ///< the caller's own, if earlier).
-  std::uint8_t attempt = 1;  ///< 2 and more: a retry by this node.
+  Time deadline{};  ///< For the first token: the arrival plus the class's
+                    ///< target, or the caller's own deadline if earlier.
+  std::uint8_t attempt = 1;  ///< 2 or more: a retry by this node.
   EndpointHandle avoid;      ///< Where the last attempt failed.
-  bool suspect = false;  ///< See poison.h: apart from other suspects if it can.
+  bool suspect = false;      ///< Its body may crash endpoints (poison.h); kept
+                             ///< apart from other suspects where possible.
 };
 
-/// Why a request goes where it goes. Ends in the decision's log line.
+/// Why an endpoint was chosen. Written to the decision's log line.
 enum class PickReason : std::uint8_t {
   kOnlyChoice,
   kPrefixCached,  ///< The endpoint holds the prompt's prefix.
-  kLeastLoaded,   ///< The less loaded of the choices drawn.
-  kNearZone,      ///< As good as others, and in the node's own zone.
-  kAgedWork,      ///< An aged lower tier's bounded trickle.
-  kProbe,         ///< Tries an endpoint that was slow or cold.
+  kLeastLoaded,   ///< The least loaded of a random sample.
+  kNearZone,      ///< The same, and in the node's own zone.
+  kAgedWork,      ///< An aged request of a lower tier, within the quota of
+                  ///< such requests.
+  kProbe,         ///< A probe of an endpoint that was ejected as slow or
+                  ///< failing.
   kBaseline,      ///< Chosen by a baseline scheduler.
 };
 
-/// Why a request is turned away. It never ran here: the answer says "not run".
+/// Why a request is refused. It did not run on this node, so that the answer
+/// says "not run".
 enum class RefuseReason : std::uint8_t {
-  kDeadlineUnreachable,  ///< Would wait past its deadline; said at once.
+  kDeadlineUnreachable,  ///< Expected to wait past its deadline.
   kClassCap,
   kAccountCap,
-  kShedForHigherTier,  ///< Made room for a higher tier.
+  kShedForHigherTier,  ///< Shed to make room for a higher tier.
   kQueueFull,
   kWaitedTooLong,
-  kNoEndpoint,   ///< Nothing that serves the target takes new work.
-  kQuarantined,  ///< Its body crashed endpoints before.
+  kNoEndpoint,   ///< No endpoint that serves the target takes new work.
+  kQuarantined,  ///< Its body has crashed endpoints.
 };
 
-/// Why running work is cancelled and put back in the queue.
+/// Why a running request is cancelled and put back in the queue.
 enum class PreemptReason : std::uint8_t { kHigherTierWaits };
 
-/// Send the request to the endpoint; it takes one of the node's slots there.
+/// Sends the request to the endpoint. It takes one of the node's slots there.
 struct Dispatch {
   RequestId request = 0;
   EndpointHandle endpoint;
   PickReason reason = PickReason::kOnlyChoice;
-  std::uint8_t engine_priority = 0;  ///< 0 is first; passed to the engine.
+  std::uint8_t engine_priority = 0;  ///< Passed to the engine; 0 is first.
 };
-/// Turn the waiting request away.
+/// Refuses the waiting request.
 struct Refuse {
   RequestId request = 0;
   RefuseReason reason = RefuseReason::kQueueFull;
-  std::chrono::milliseconds retry_after{};  ///< When to come back.
+  std::chrono::milliseconds retry_after{};  ///< When the caller may retry.
 };
-/// Cancel the running request; it arrives anew with the same id.
+/// Cancels the running request, which arrives again with the same id.
 struct Preempt {
   RequestId request = 0;
   EndpointHandle endpoint;
   PreemptReason reason = PreemptReason::kHigherTierWaits;
 };
-/// What a scheduler decides.
+/// A decision of a scheduler.
 using Action = std::variant<Dispatch, Refuse, Preempt>;
-/// In the order in which they are to be carried out.
+/// Decisions in the order in which they are to be carried out.
 using Actions = std::vector<Action>;
 
-/// How an attempt ended, as seen by this node.
+/// How an attempt ended, as this node saw it.
 enum class EndKind : std::uint8_t {
-  kDone,       ///< The complete answer.
-  kNotRun,     ///< Certainly not run: connection refused, or refused by it.
-  kFailed,     ///< May have run: broke off, timed out, garbage.
+  kDone,       ///< The answer is complete.
+  kNotRun,     ///< Certainly not run: the connection or the request was
+               ///< refused.
+  kFailed,     ///< May have run: the connection broke, the attempt timed out,
+               ///< or the answer was invalid.
   kDied,       ///< The endpoint died while running it.
-  kCancelled,  ///< The caller went away, or it was preempted.
+  kCancelled,  ///< The caller disconnected, or the request was preempted.
 };
 
-/// What an endpoint says of itself. `age` is how old the report is by now.
+/// An endpoint's report of its own state.
 struct EngineReport {
-  std::chrono::milliseconds age{};
-  std::uint64_t boot = 0;  ///< Changes when the engine restarts.
-  std::uint32_t running = 0;
-  std::uint32_t waiting = 0;
-  double cache_used = 0;  ///< 0 to 1.
-  std::vector<TargetHandle> loaded;
+  std::chrono::milliseconds age{};   ///< Since the report was made.
+  std::uint64_t boot = 0;            ///< Changes when the engine restarts.
+  std::uint32_t running = 0;         ///< Requests of all nodes.
+  std::uint32_t waiting = 0;         ///< Requests in the engine's own queue.
+  double cache_used = 0;             ///< From 0 to 1.
+  std::vector<TargetHandle> loaded;  ///< Models in memory.
 };
 
-/// What a scheduler is started with.
+/// Options of a new scheduler.
 struct SchedulerOptions {
-  ZoneHandle zone;         ///< The node's own.
-  std::uint64_t seed = 1;  ///< For its random choices.
-  Limits limits;           ///< Changed by measurements only.
+  ZoneHandle zone;         ///< The node's own zone.
+  std::uint64_t seed = 1;  ///< Seed of the random choices.
+  Limits limits;           ///< Other than the defaults in benchmarks and tests
+                           ///< only.
 };
 
-/// Numbers of one endpoint, for `/status` and the invariants of tests.
+/// State of one endpoint, for `/status` and for invariant checks in tests.
 struct EndpointView {
   EndpointHandle endpoint;
   std::uint32_t slots = 0;
   std::uint32_t in_flight = 0;
-  std::chrono::milliseconds first_token{};  ///< As learned; 0: unknown.
+  std::chrono::milliseconds first_token{};  ///< Moving average of the time to
+                                            ///< first token; 0: unknown.
 };
 
-/// Numbers of one class.
+/// State of one class.
 struct ClassView {
   ClassHandle cls;
   std::uint32_t waiting = 0;
@@ -136,62 +146,64 @@
   std::chrono::milliseconds oldest_wait{};
 };
 
-/// What a scheduler shows of itself.
+/// A snapshot of a scheduler's state.
 struct SchedulerView {
   std::vector<EndpointView> endpoints;
   std::vector<ClassView> classes;
 };
 
-/// Each scheduler derives its own state.
+/// Base of the state that each scheduler defines for itself.
 struct SchedulerState {
   virtual ~SchedulerState() = default;
 };
 
-/// One scheduler: plain functions over its state. Events of an unknown request
-/// are ignored. `out` is appended to. Each call may dispatch waiting requests.
+/// A scheduler: plain functions over its state.
+///
+/// Events of an unknown request are ignored. Functions with `out` append their
+/// decisions to it, and each of them may dispatch waiting requests.
 struct SchedulerPlugin {
   static constexpr std::string_view kKind = "scheduler";
 
   std::unique_ptr<SchedulerState> (*create)(const SchedulerOptions& options);
-  /// A new version of the rules is in force. Requests in flight stay.
+  /// A new version of the rules is in force. Requests in flight are kept.
   void (*on_rules)(SchedulerState&, rules::RulesPtr, Time now, Actions& out);
-  /// This node may have `slots` requests in flight at `endpoint` from now on.
+  /// From now on this node may have `slots` requests in flight at `endpoint`.
   void (*on_slots)(SchedulerState&, EndpointHandle, std::uint32_t slots,
                    Time now, Actions& out);
-  /// True while `endpoint` takes new work (false: leaving, dead).
+  /// `endpoint` takes new work, or no longer does since it is leaving or dead.
   void (*on_available)(SchedulerState&, EndpointHandle, bool available,
                        Time now, Actions& out);
   void (*on_report)(SchedulerState&, EndpointHandle, const EngineReport&,
                     Time now);
-  /// `fingerprint` gets no endpoint until `until`.
+  /// Requests with the body `fingerprint` are refused until `until`.
   void (*on_quarantine)(SchedulerState&, std::uint64_t fingerprint, Time until,
                         Time now, Actions& out);
   void (*on_arrival)(SchedulerState&, const Request&, Time now, Actions& out);
   void (*on_first_token)(SchedulerState&, RequestId, Time now);
   void (*on_tokens)(SchedulerState&, RequestId, std::uint32_t count, Time now);
-  /// A dispatched request's attempt ended. It is forgotten; a retry or a
-  /// preempted request arrives anew with the same id.
+  /// The attempt of a dispatched request ended, and its state is dropped. A
+  /// retried or preempted request arrives again with the same id.
   void (*on_end)(SchedulerState&, RequestId, EndKind, Time now, Actions& out);
-  /// The caller of a waiting request went away.
+  /// The caller of a waiting request disconnected.
   void (*on_caller_gone)(SchedulerState&, RequestId, Time now);
-  /// Call at `kSchedulerTickInterval` or more often.
+  /// Must be called at least every `kSchedulerTickInterval`.
   void (*on_tick)(SchedulerState&, Time now, Actions& out);
   SchedulerView (*view)(const SchedulerState&, Time now);
 };
 
-/// Longest pause between two calls of `on_tick`.
+/// Maximum time between two calls of `on_tick`.
 inline constexpr std::chrono::milliseconds kSchedulerTickInterval{10};
 
-/// The scheduler that nodes use unless settings name another.
+/// The scheduler that nodes use unless the settings name another one.
 inline constexpr std::string_view kDefaultScheduler = "ladder";
 
-/// The reasons and ends as logs show them.
+/// Returns the reason's name in logs.
 const char* NameOf(PickReason reason);
-/// As above.
+/// Returns the reason's name in logs.
 const char* NameOf(RefuseReason reason);
-/// As above.
+/// Returns the reason's name in logs.
 const char* NameOf(PreemptReason reason);
-/// As above.
+/// Returns the kind's name in logs.
 const char* NameOf(EndKind kind);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/stopping.h
+++ b/policy/include/egretladder/policy/stopping.h
@@ -1,10 +1,10 @@
-// The graceful stop of a process: until when it takes requests, when it may
-// end, and when it has to end what is left.
+// The graceful stop of a process: until when it accepts requests, when it may
+// exit, and when it ends the remaining requests.
 //
-// Load: planned stops, one node after the other, under full load. Goes wrong
-// without it: callers that still keep the address meet a closed port, or the
-// process ends with answers that their callers haven't got yet. A caller
-// notices a connection that closes in the middle of an answer.
+// Nodes are stopped one after the other under full load. Without these phases
+// callers that still use the address find a closed port, or the process exits
+// while answers are still being delivered, so that callers see their connection
+// close in the middle of an answer.
 #pragma once
 
 #include <chrono>
@@ -14,42 +14,47 @@
 
 using std::chrono::milliseconds;
 
-/// What bounds a stop. All times count from its begin.
+/// The times that bound a stop.
 struct StopPlan {
-  /// Callers that kept the address when the stop began are gone after this.
+  /// How long callers go on using the address after the stop began.
   milliseconds address_ttl{};
-  /// After that, for what they sent last to be read.
+  /// Time after that in which the last requests from callers are still read.
   milliseconds settle{};
-  /// The process is killed at this time.
+  /// Time from the begin of the stop until the process is killed.
   milliseconds grace{};
-  /// Before the kill: requests in progress are ended, and told so.
+  /// Time before the kill at which requests in progress are ended with an
+  /// error.
   milliseconds cut_margin{};
-  /// Before the kill: the process ends, whoever reads slowly.
+  /// Time before the kill at which the process exits, even if callers have not
+  /// read all answers yet.
   milliseconds exit_margin{};
 };
 
-/// Where a stop stands.
+/// Phase of a stop.
 enum class StopPhase : std::uint8_t {
-  kTaking,     ///< Callers still send here, and are served.
-  kSettling,   ///< No caller should send here; one that does may be refused.
-  kFinishing,  ///< Nothing is taken; ends as soon as all have their answers.
-  kCutting,    ///< What is left is ended; answers are still delivered.
-  kOver,       ///< Ends now.
+  kTaking,     ///< Callers still send requests here; they are served.
+  kSettling,   ///< Callers should not send requests here any more; those that
+               ///< do may be refused.
+  kFinishing,  ///< No request is accepted. The process exits as soon as all
+               ///< answers are delivered.
+  kCutting,    ///< Remaining requests are ended; answers are still delivered.
+  kOver,       ///< The process exits now.
 };
-/// As logs show it.
+/// Returns the phase's name in logs.
 const char* NameOf(StopPhase phase);
 
-/// The phase `since` the stop began.
+/// Returns the phase at `elapsed` since the begin of the stop.
 StopPhase GetStopPhase(const StopPlan& plan, milliseconds elapsed);
 
-/// Until requests in progress are ended; below zero: they are.
+/// Returns the time until requests in progress are ended; negative once they
+/// have been.
 milliseconds TimeUntilCut(const StopPlan& plan, milliseconds elapsed);
 
-/// True when the process may end. `answered`: no request is in progress, and
-/// callers have taken all answers.
+/// Returns true when the process may exit. `all_answered` is true when no
+/// request is in progress and callers have received all answers.
 bool CanExit(StopPhase phase, bool all_answered);
 
-/// The shortest grace time in which a plan's phases follow each other.
+/// Returns the shortest grace time that leaves room for all phases.
 milliseconds MinGracePeriod(const StopPlan& plan);
 
 }  // namespace egretladder::policy
--- a/policy/include/egretladder/policy/zone_ramp.h
+++ b/policy/include/egretladder/policy/zone_ramp.h
@@ -1,10 +1,10 @@
-// How fast load returns into an availability zone.
+// Ramps up the load of an availability zone that returns to service.
 //
-// Load: a zone out and back. Its endpoints return idle, so without a rate every
-// new request goes there at once: if the zone is not well, all of them suffer
-// together, and warm caches elsewhere go unused. Out of a zone new work stops
-// at once; the zones that remain are protected by their slots, and strict tiers
-// give tier 1 those slots first.
+// The endpoints of a returning zone are idle. Without a ramp every new request
+// goes there at once: if the zone is not healthy, all of these requests suffer,
+// and warm caches elsewhere go unused. A zone that is taken out gets no new
+// work at once; the remaining zones are protected by their slots, and strict
+// tiers give these slots to tier 1 first.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,23 @@
 
 namespace egretladder::policy {
 
-/// One zone as seen by a node.
+/// The state of one zone on a node.
 struct ZoneRamp {
-  bool out = false;
-  bool returning = false;
-  kernel::Time returned_at{};  ///< Of the return.
+  bool out = false;            ///< Taken out by the rules.
+  bool returning = false;      ///< Back in service and still ramping up.
+  kernel::Time returned_at{};  ///< When the zone returned to service.
 };
 
-/// The rules say whether the zone is out. A zone first seen in is not
-/// returning.
+/// Applies what the rules say about the zone. A zone that was never out starts
+/// without a ramp.
 void UpdateZoneRamp(ZoneRamp& ramp, bool out, kernel::Time now);
 
-/// Part of its slots that the zone gets now, from 0 to 1. Ends the return once
-/// it has reached 1.
+/// Returns the ratio of its slots that the zone may use now, from 0 to 1. Ends
+/// the ramp when the ratio has reached 1.
 double RampRatio(ZoneRamp& ramp, const Limits& limits, kernel::Time now);
 
-/// Slots of an endpoint under `part`; at least 1 of any when the part is not 0.
+/// Returns `ratio` of an endpoint's slots, rounded down, but at least 1 unless
+/// the ratio or the number of slots is 0.
 std::uint32_t ScaleSlots(double ratio, std::uint32_t slots);
 
 }  // namespace egretladder::policy
