--- a/policy/src/admit.cc
+++ b/policy/src/admit.cc
@@ -15,12 +15,12 @@
 Seconds EstimateWait(const WorkAhead& ahead, const SlotCapacity& slots) {
   const double slots_needed = ahead.requests + 1 - slots.free;
   if (slots_needed <= 0) return Seconds(0);
-  if (slots.slots == 0) return Seconds(0);  // No lease yet: nothing is known.
+  if (slots.slots == 0) return Seconds(0);  // No lease yet.
   const double mean =
       ahead.requests > 0 ? ahead.slot_seconds / ahead.requests : 0;
-  // Slots held by long work come free slowly, and at the rate of the work ahead
-  // once that has replaced it. The faster of the two refuses too little rather
-  // than too much.
+  // Slots that long requests hold become free slowly. Once the queued requests
+  // have replaced them, slots become free at the rate of those. Taking the
+  // higher rate refuses too few requests rather than too many.
   const double rate =
       std::max(slots.releases_per_second, mean > 0 ? slots.slots / mean : 0);
   return Seconds(rate > 0 ? slots_needed / (rate * slots.available_ratio) : 0);
--- a/policy/src/aging_quota.cc
+++ b/policy/src/aging_quota.cc
@@ -6,7 +6,7 @@
 namespace egretladder::policy {
 namespace {
 
-constexpr double kMaxSavedSlotSeconds = 1.0;  // Slot seconds.
+constexpr double kMaxSavedSlotSeconds = 1.0;
 
 }  // namespace
 
@@ -27,25 +27,26 @@
 
 bool IsAged(kernel::Time arrived, kernel::Time queue_deadline,
             const Limits& limits, kernel::Time now) {
-  const kernel::Time::duration age = limits.aging_threshold;
-  return now - arrived >= std::min(age, (queue_deadline - arrived) / 2);
+  const kernel::Time::duration threshold = limits.aging_threshold;
+  return now - arrived >= std::min(threshold, (queue_deadline - arrived) / 2);
 }
 
 Seconds MaxStarvationTime(std::uint32_t classes, std::uint32_t slots,
                           Seconds longest, Seconds release,
                           const Limits& limits) {
-  const double accrued = std::min(1.0, limits.aging_share * slots);
+  const double accrual_rate = std::min(1.0, limits.aging_share * slots);
   return Seconds(limits.aging_threshold) +
-         classes * (longest / accrued + release);
+         classes * (longest / accrual_rate + release);
 }
 
 std::uint32_t ReservedSlots(double higher_running, std::uint32_t slots,
                             const Limits& limits) {
   if (limits.reserve_factor <= 0 || higher_running < 0.01) return 0;
   const double wanted = limits.reserve_factor * std::sqrt(higher_running);
-  const double most = limits.max_reserve_ratio * slots;
-  // Rounded down: of one or two slots none is kept, or lower tiers had none.
-  return static_cast<std::uint32_t>(std::min(std::ceil(wanted), most));
+  const double max_reserved = limits.max_reserve_ratio * slots;
+  // Rounded down, so that none of one or two slots is reserved. Lower tiers
+  // would otherwise have no slot at all.
+  return static_cast<std::uint32_t>(std::min(std::ceil(wanted), max_reserved));
 }
 
 }  // namespace egretladder::policy
--- a/policy/src/endpoints.cc
+++ b/policy/src/endpoints.cc
@@ -5,7 +5,7 @@
 namespace egretladder::policy {
 namespace {
 
-/// True when the rules let `endpoint` take new work.
+// Returns true when the rules allow new work at `endpoint`.
 bool IsInService(const rules::Rules& rules, const rules::Endpoint& endpoint) {
   if (!endpoint.source.present || endpoint.leaving) return false;
   const std::size_t zone = endpoint.zone.idx;
--- a/policy/src/estimate.cc
+++ b/policy/src/estimate.cc
@@ -56,10 +56,9 @@
 
 Seconds MeanSlotTime(const ServiceTimeStats& stats, kernel::Time now) {
   const double slot_seconds = SlotSecondsAt(stats, now);
-  double finished_and_running = stats.completions;
-  if (stats.completions < stats.running) finished_and_running += stats.running;
-  return Seconds(finished_and_running > 0 ? slot_seconds / finished_and_running
-                                          : 0);
+  double attempts = stats.completions;
+  if (stats.completions < stats.running) attempts += stats.running;
+  return Seconds(attempts > 0 ? slot_seconds / attempts : 0);
 }
 
 Seconds MeanTimeToFirstToken(const ServiceTimeStats& stats) {
--- a/policy/src/health.cc
+++ b/policy/src/health.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr double kLatencyRatioWeight = 0.25;
-constexpr double kMaxLatencyRatio =
-    20;  // One hang must not outweigh all after it.
+// Bounds one sample, so that a hang doesn't outweigh all later answers.
+constexpr double kMaxLatencyRatio = 20;
 
 void Eject(Health& health, const Limits& limits, kernel::Time now) {
   health.ejected = true;
--- a/policy/src/ladder_admit.cc
+++ b/policy/src/ladder_admit.cc
@@ -1,4 +1,5 @@
-// Who may wait: the ladder's questions to admit.h and the refusals.
+// Admission in the scheduler "ladder": collects the inputs of the decisions in
+// admit.h and refuses requests.
 #include <algorithm>
 #include <cmath>
 
@@ -7,13 +8,14 @@
 namespace egretladder::policy {
 namespace {
 
-// Smoothing of what tiers bring: seconds for what must start within seconds; a
-// minute for what can wait, or a burst of seconds would refuse it.
+// Time constants of the moving averages of each tier's load. Requests that must
+// start within seconds are judged by the short one, and requests that can wait
+// by the long one: a burst of a few seconds would otherwise refuse them.
 constexpr double kDemandWindowSeconds = 5;
 constexpr double kLongDemandWindowSeconds = 60;
 constexpr Seconds kLongWaitThreshold{20};
-constexpr Seconds kCapRetryAfter{
-    1};  // Caps free up as work ends; nobody knows when.
+// A cap allows the next request when one ends, at an unknown time.
+constexpr Seconds kCapRetryAfter{1};
 
 void AppendRefusal(LadderState& state, RequestId request, RefuseReason reason,
                    Seconds expected_wait, Seconds allowed_wait, Actions& out) {
@@ -28,7 +30,7 @@
   return MeanSlotTime(state.stats[target.idx][cls], now).count();
 }
 
-// Of all classes of a target.
+// Returns the decayed number of completions of all classes at a target.
 double CompletionsAtTarget(const LadderState& state, TargetHandle target) {
   double completions = 0;
   for (const ServiceTimeStats& stats : state.stats[target.idx])
@@ -44,11 +46,14 @@
   ahead.slot_seconds += requests * MeanSlotSeconds(state, target, cls, now);
 }
 
-// Higher tiers whole, own class by fair turns, others of the tier when their
-// deadlines are as short. What is late goes after what is in time.
+// Returns the waiting work that is served before `request`: all requests of
+// higher tiers, those of its own class that come before it in fair turns, and
+// those of other classes of its tier whose first-token target is not longer.
+// With `in_time_only`, late requests of its own tier are not counted, since
+// they are served after those in time.
 WorkAhead EstimateWorkAhead(const LadderState& state, const Request& request,
                             bool in_time_only, Time now) {
-  const rules::Class& own = GetClass(state.table, request.cls);
+  const rules::Class& own_class = GetClass(state.table, request.cls);
   const std::uint32_t target = request.target.idx;
   WorkAhead ahead;
   ahead.completions = state.stats[target][request.cls.idx].completions;
@@ -56,9 +61,9 @@
   for (std::uint32_t i = 0; i < waiting.size(); ++i) {
     if (waiting[i] == 0) continue;
     const rules::Class& cls = GetClass(state.table, ClassHandle{i});
-    if (cls.tier > own.tier) continue;
+    if (cls.tier > own_class.tier) continue;
     auto requests = static_cast<double>(waiting[i]);
-    if (in_time_only && cls.tier == own.tier) {
+    if (in_time_only && cls.tier == own_class.tier) {
       requests =
           static_cast<double>(state.queue.queues[target][i].by_deadline.size());
     }
@@ -66,7 +71,8 @@
       requests = FairRequestsAhead(
           static_cast<std::uint32_t>(requests), state.queue.waiting_accounts[i],
           state.queue.usage[i][request.account.idx].waiting);
-    } else if (cls.tier == own.tier && cls.first_token > own.first_token) {
+    } else if (cls.tier == own_class.tier &&
+               cls.first_token > own_class.first_token) {
       continue;
     }
     AddWorkAhead(state, request.target, i, requests, now, ahead);
@@ -108,7 +114,8 @@
   return offered_load > pool.slots;
 }
 
-// Classes that share the trickle, one that arrives included.
+// Returns the number of lower-tier classes that share the aging quota: those
+// with waiting requests, and one for the arriving request.
 std::uint32_t CountLowerClassesWaiting(const LadderState& state,
                                        TargetHandle target) {
   std::uint32_t classes = 1;
@@ -120,7 +127,8 @@
   return classes;
 }
 
-// What higher tiers leave over as they go on arriving; the trickle at least.
+// Returns the ratio of slots that is left for `tier` while higher tiers go on
+// arriving at their present rate, but at least its share of the aging quota.
 double AvailableRatio(const LadderState& state, TargetHandle target,
                       std::uint8_t tier, Seconds allowed_wait, Time now) {
   const Pool& pool = state.pools[target.idx];
@@ -140,7 +148,7 @@
   return std::clamp(1.0 - demand / pool.slots, min_ratio, 1.0);
 }
 
-// What the slots give a request that may wait until `limit`.
+// Returns the capacity for a request that may wait until `wait_until`.
 SlotCapacity EstimateCapacity(const LadderState& state, const Request& request,
                               std::uint8_t tier, Time wait_until, Time now) {
   const Pool& pool = state.pools[request.target.idx];
@@ -180,8 +188,9 @@
   context.deadline = request.deadline;
   context.time_to_first_token = ConservativeTimeToFirstToken(
       state.stats[request.target.idx][request.cls.idx]);
-  // One of each lower class may always wait: the trickle serves what waits,
-  // and a class that is refused on every arrival would never be served.
+  // One request of each lower-tier class may always wait. The aging quota only
+  // serves waiting requests, so that a class that is refused on every arrival
+  // would never be served.
   const bool is_only_waiting =
       cls.tier > rules::kTopTier &&
       state.queue.num_waiting[request.target.idx][request.cls.idx] == 0;
@@ -195,9 +204,10 @@
     return true;
   }
   const auto& servers = GetServers(state.table, target);
-  return std::any_of(servers.begin(), servers.end(), [&](EndpointHandle e) {
-    return CanTakeWork(state.table.endpoints[e.idx]);
-  });
+  return std::any_of(servers.begin(), servers.end(),
+                     [&](EndpointHandle endpoint) {
+                       return CanTakeWork(state.table.endpoints[endpoint.idx]);
+                     });
 }
 
 bool IsKnown(const LadderState& state, const Request& request) {
@@ -205,7 +215,8 @@
          request.account.idx < state.running_by_account.size();
 }
 
-// Room is made by the lowest tier, then by an account far over its part.
+// Makes room in a full queue by refusing a request of a lower tier, or else of
+// an account in the same class that is far over its fair share.
 bool MakeRoom(LadderState& state, const Request& request, std::uint8_t tier,
               Time now, Actions& out) {
   if (state.queue.requests.size() < GetLimits(state).max_queue_length)
@@ -232,7 +243,8 @@
   ++state.waiting_by_account[request.account.idx];
 }
 
-// Wait for what is ahead by tier alone: it will pass first whatever happens.
+// Returns the expected wait behind all waiting requests of higher tiers, which
+// are served first in any case.
 Seconds EstimateWaitForHigherTiers(const LadderState& state,
                                    TargetHandle target, std::uint8_t tier,
                                    Time now) {
@@ -274,28 +286,28 @@
 
 std::optional<WaitingRequest> RemoveWaiting(LadderState& state,
                                             RequestId request) {
-  std::optional<WaitingRequest> taken = Remove(state.queue, request);
-  if (taken) {
-    --state.waiting_by_class[taken->request.cls.idx];
-    --state.waiting_by_account[taken->request.account.idx];
+  std::optional<WaitingRequest> removed = Remove(state.queue, request);
+  if (removed) {
+    --state.waiting_by_class[removed->request.cls.idx];
+    --state.waiting_by_account[removed->request.account.idx];
   }
-  return taken;
+  return removed;
 }
 
 void RefuseWaiting(LadderState& state, RequestId request, RefuseReason reason,
                    Time now, Actions& out) {
-  const std::optional<WaitingRequest> taken = RemoveWaiting(state, request);
-  if (!taken) return;
+  const std::optional<WaitingRequest> removed = RemoveWaiting(state, request);
+  if (!removed) return;
   const AdmissionContext context =
-      MakeAdmissionContext(state, taken->request, now);
+      MakeAdmissionContext(state, removed->request, now);
   AppendRefusal(state, request, reason, context.expected_wait, Seconds(0), out);
 }
 
 bool Admit(LadderState& state, const Request& request, Time now, Actions& out) {
   const auto quarantine = state.quarantined.find(request.fingerprint);
   if (quarantine != state.quarantined.end() && quarantine->second > now) {
-    const Seconds left = quarantine->second - now;
-    AppendRefusal(state, request.id, RefuseReason::kQuarantined, left,
+    const Seconds time_left = quarantine->second - now;
+    AppendRefusal(state, request.id, RefuseReason::kQuarantined, time_left,
                   Seconds(0), out);
     return false;
   }
@@ -328,8 +340,9 @@
   return true;
 }
 
-// Late work of a tier that has been overloaded for longer than the class's
-// patience: what is in time will go on passing it until its bound.
+// Lists late requests of a tier that has been overloaded for longer than the
+// class allows a request to be late. Requests in time would be served before
+// them until their queue deadline.
 void ListStarvedRequests(const LadderState& state, TargetHandle target,
                          std::uint32_t cls, Time now,
                          std::vector<RequestId>& out) {
@@ -344,7 +357,7 @@
   if (!GetLimits(state).refuse_early) return;
   for (const auto& [account, flow] :
        state.queue.queues[target.idx][cls].late.flows) {
-    for (const QueueEntry& place : flow) out.push_back(place.request);
+    for (const QueueEntry& entry : flow) out.push_back(entry.request);
   }
   std::sort(out.begin(), out.end());
 }
--- a/policy/src/ladder_dispatch.cc
+++ b/policy/src/ladder_dispatch.cc
@@ -1,5 +1,5 @@
-// Which waiting request goes next and where to: the ladder's use of queue.h,
-// trickle.h and pick.h.
+// Dispatch in the scheduler "ladder": selects the next waiting request by
+// queue.h and aging_quota.h, and its endpoint by pick.h.
 #include <algorithm>
 #include <cmath>
 
@@ -52,7 +52,9 @@
   return best;
 }
 
-// The aged head below `tier` whose class has gone longest without a start.
+// Returns the head of the class below `tier` that has gone longest without a
+// start, among classes with an aged request. Returns null when there is none or
+// the aging quota is exhausted.
 const WaitingRequest* FindAgedHead(LadderState& state, TargetHandle target,
                                    std::uint8_t tier, Time now) {
   Pool& pool = state.pools[target.idx];
@@ -63,7 +65,8 @@
     if (GetClass(state.table, ClassHandle{cls}).tier <= tier) continue;
     const WaitingRequest* head = FindClassHead(state, target, cls, now);
     if (head == nullptr) continue;
-    // Any of the class that is aged counts, whoever's turn it is.
+    // The class counts as aged when its oldest request does, even if it is
+    // another account's turn.
     const QueueEntries& by_queue_deadline =
         state.queue.queues[target.idx][cls].by_queue_deadline;
     const WaitingRequest& oldest =
@@ -138,7 +141,7 @@
   EndpointHandle best;
   double best_score = 0;
   for (std::size_t i = 0; i < sample_size; ++i) {
-    // All of a few; otherwise at random.
+    // If there are few endpoints, all are compared; otherwise a random sample.
     const std::size_t index = sample_size == num_free
                                   ? (first + i) % num_free
                                   : kernel::RandomBelow(state.random, num_free);
@@ -146,7 +149,7 @@
     EndpointLoad load = state.endpoints[endpoint.idx].load;
     load.runs_suspect = load.runs_suspect && request.suspect;
     double score = LoadScore(load, limits, now);
-    if (endpoint == request.avoid) score += 100;  // When nothing else is free.
+    if (endpoint == request.avoid) score += 100;  // Last resort.
     if (rules::IsValid(best) && score >= best_score) continue;
     best = endpoint;
     best_score = score;
--- a/policy/src/ladder_p.h
+++ b/policy/src/ladder_p.h
@@ -1,5 +1,5 @@
-// State of the scheduler "ladder" and its parts: pools (which slots a target
-// has), admission, dispatch. The decisions themselves have public headers.
+// The state of the scheduler "ladder" and the functions of its parts: pools
+// (the slots of each target), admission and dispatch.
 #pragma once
 
 #include <array>
@@ -23,61 +23,62 @@
 inline constexpr std::uint32_t kNoPosition = 0xffffffffU;
 inline constexpr std::size_t kTiers = rules::kBottomTier + 1U;
 
-/// What an endpoint adds to the pool of one target it serves.
+/// What an endpoint contributes to the pool of one target that it serves.
 struct Membership {
   TargetHandle target;
   std::uint32_t slots = 0;
   std::uint32_t free = 0;
-  std::uint32_t position = kNoPosition;  ///< In the pool's `open`.
+  std::uint32_t position = kNoPosition;  ///< In `Pool::free_endpoints`.
 };
 
-/// What the ladder knows of an endpoint beside the table.
+/// The ladder's state of an endpoint, in addition to `EndpointState`.
 struct LadderEndpoint {
   std::vector<Membership> memberships;
   Health health;
-  EndpointLoad load;  ///< `slots` are those under the zone's shift.
+  EndpointLoad load;  ///< `slots` is scaled by the zone's ramp.
   std::uint64_t boot = 0;
-  std::vector<TargetHandle> loaded_targets;  ///< Empty: not known.
-  std::uint32_t running_suspects = 0;        ///< That run there.
-  Seconds first_token_latency{};             ///< Smoothed.
+  std::vector<TargetHandle> loaded_targets;  ///< Empty: unknown.
+  std::uint32_t running_suspects = 0;        ///< Suspects in flight.
+  Seconds first_token_latency{};             ///< Moving average.
 };
 
-/// What one tier brings to a target.
+/// The load that one tier brings to a target. Loads are in slot seconds per
+/// second.
 struct TierLoad {
-  std::uint32_t running = 0;
-  double mean_running = 0;
-  double admitted_load = 0;       ///< Slot seconds a second, over seconds.
-  double admitted_load_long = 0;  ///< The same, over a minute.
-  double offered_load = 0;        ///< With what was refused, over seconds.
+  std::uint32_t running = 0;      ///< Attempts in flight.
+  double mean_running = 0;        ///< Moving average of `running`.
+  double admitted_load = 0;       ///< Averaged over seconds.
+  double admitted_load_long = 0;  ///< Averaged over a minute.
+  double offered_load = 0;        ///< Includes refused requests.
   Time updated_at{};
-  Time overloaded_since{};  ///< Default: it is not.
+  Time overloaded_since{};  ///< Default: not overloaded.
 };
 
-/// The slots of one target over all its endpoints.
+/// The slots of one target at all its endpoints.
 struct Pool {
   std::uint32_t slots = 0;
-  std::uint32_t free = 0;  ///< At endpoints that are not left alone.
-  std::vector<EndpointHandle>
-      free_endpoints;  ///< With a free slot, not left alone.
+  std::uint32_t free = 0;  ///< At endpoints that are not ejected.
+  /// Endpoints with a free slot that are not ejected.
+  std::vector<EndpointHandle> free_endpoints;
   std::vector<EndpointHandle> ejected;
-  std::uint32_t loaded_endpoints =
-      0;  ///< Endpoints that report the target loaded.
+  /// Number of endpoints that report the target loaded.
+  std::uint32_t loaded_endpoints = 0;
   PrefixRing ring;
   AgingQuota quota;
   std::array<TierLoad, kTiers> tiers;
   std::vector<Time> last_dispatch;  ///< By class.
 };
 
-/// Work in flight.
+/// An attempt in flight.
 struct RunningAttempt {
   Request request;
   EndpointHandle endpoint;
   Time dispatched{};
   std::uint8_t tier = rules::kBottomTier;
   bool has_first_token = false;
-  bool by_aging_quota = false;
-  std::uint32_t tokens = 0;
-  double charged_tokens = 0;
+  bool by_aging_quota = false;  ///< Started by the target's aging quota.
+  std::uint32_t tokens = 0;     ///< Output tokens so far.
+  double charged_tokens = 0;    ///< Charged to the account so far.
 };
 
 struct LadderState : SchedulerState {
@@ -94,10 +95,10 @@
   std::vector<std::uint32_t> running_by_account;
   std::vector<std::uint32_t> waiting_by_class;
   std::vector<std::uint32_t> waiting_by_account;
-  std::unordered_map<std::uint64_t, Time> quarantined;
+  std::unordered_map<std::uint64_t, Time> quarantined;  ///< Until when.
   Time next_sweep{};
-  std::vector<EndpointHandle> scratch_owners;  ///< Scratch.
-  std::vector<RequestId> scratch_ids;          ///< Scratch.
+  std::vector<EndpointHandle> scratch_owners;  ///< Reused buffer.
+  std::vector<RequestId> scratch_ids;          ///< Reused buffer.
 };
 
 inline const Limits& GetLimits(const LadderState& state) {
@@ -106,43 +107,52 @@
 
 // --- ladder_pools.cc ---
 
-/// Takes over new rules: zones, memberships, pools.
+/// Applies new rules to zones, memberships and pools.
 void RebuildPools(LadderState& state, rules::RulesPtr rules, Time now);
-/// Brings the pools in line with an endpoint's slots, health and availability.
+/// Updates the pools to an endpoint's slots, health and availability.
 /// O(targets of the endpoint).
 void RefreshEndpoint(LadderState& state, EndpointHandle endpoint, Time now);
-/// Raises the slots of zones that are coming back.
+/// Raises the slots of endpoints in zones that are returning to service.
 void AdvanceZoneRamps(LadderState& state, Time now);
-/// Notes which targets an endpoint holds.
+/// Sets which targets an endpoint has loaded, and updates the pools.
 void SetLoadedTargets(LadderState& state, EndpointHandle endpoint,
                       const std::vector<TargetHandle>& loaded_targets,
                       Time now);
+/// Ejects or readmits the endpoint. Resets its health instead of ejecting it
+/// when too many endpoints of one of its targets are ejected already.
 void ApplyHealthChange(LadderState& state, EndpointHandle endpoint,
                        HealthChange change, Time now);
 
 // --- ladder_admit.cc ---
 
-/// Lets the request in or appends a refusal; true when it waits now.
+/// Enqueues the request or appends its refusal. Returns true when it waits now.
 bool Admit(LadderState& state, const Request& request, Time now, Actions& out);
-/// Refuses what waited too long or can't make it any more.
+/// Refuses waiting requests that have passed their queue deadline or can no
+/// longer be served before it.
 void RefuseUnreachable(LadderState& state, Time now, Actions& out);
-/// Takes a request out of the queue; nothing when it doesn't wait.
+/// Removes and returns a request from the queue, or nothing when it isn't
+/// there.
 std::optional<WaitingRequest> RemoveWaiting(LadderState& state,
                                             RequestId request);
+/// Removes a waiting request from the queue and appends its refusal.
 void RefuseWaiting(LadderState& state, RequestId request, RefuseReason reason,
                    Time now, Actions& out);
-/// By what runs at the target now.
+/// Returns the rate at which slots of the target become free, by the attempts
+/// in flight and their mean slot time.
 double ReleasesPerSecond(const LadderState& state, TargetHandle target,
                          Time now);
+/// Returns the number of the pool's free slots that `tier` leaves for higher
+/// tiers.
 std::uint32_t SlotsReservedFrom(const LadderState& state, const Pool& pool,
                                 std::uint8_t tier);
 
 // --- ladder_dispatch.cc ---
 
-/// Starts waiting work of one target while slots are free.
+/// Dispatches waiting requests of one target while it has free slots.
 void DispatchTarget(LadderState& state, TargetHandle target, Time now,
                     Actions& out);
-/// The same for every target that an endpoint serves, best first.
+/// Dispatches waiting requests of all targets that the endpoint serves, in the
+/// order of the queue.
 void DispatchEndpoint(LadderState& state, EndpointHandle endpoint, Time now,
                       Actions& out);
 void DispatchAll(LadderState& state, Time now, Actions& out);
--- a/policy/src/ladder_pools.cc
+++ b/policy/src/ladder_pools.cc
@@ -1,4 +1,5 @@
-// Which slots each target has, kept up with every change of an endpoint.
+// Slot pools of the scheduler "ladder": which slots each target has, updated on
+// every change of an endpoint.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +8,7 @@
 namespace egretladder::policy {
 namespace {
 
-bool HasLoadReport(const LadderEndpoint& endpoint) {
+bool IsLoadedSetKnown(const LadderEndpoint& endpoint) {
   return !endpoint.loaded_targets.empty();
 }
 
@@ -21,17 +22,18 @@
 
 bool IsMember(const LadderState& state, const LadderEndpoint& endpoint,
               TargetHandle target) {
-  if (!HasLoadReport(endpoint) || HasLoaded(endpoint, target)) return true;
+  if (!IsLoadedSetKnown(endpoint) || HasLoaded(endpoint, target)) return true;
   if (state.table.rules->targets[target.idx].kind !=
       rules::TargetKind::kModel) {
     return true;
   }
-  // With no holder, an endpoint that must load first is better than none.
+  // If no endpoint has the model loaded, one that must load it first is better
+  // than none.
   return state.pools[target.idx].loaded_endpoints == 0;
 }
 
-void SetFree(LadderState& state, Pool& pool, EndpointHandle endpoint,
-             Membership& membership, bool is_free) {
+void SetHasFreeSlot(LadderState& state, Pool& pool, EndpointHandle endpoint,
+                    Membership& membership, bool is_free) {
   if (is_free == (membership.position != kNoPosition)) return;
   if (is_free) {
     membership.position =
@@ -59,11 +61,11 @@
   const std::uint32_t in_flight = endpoint_info.load.in_flight;
   std::uint32_t free = slots - std::min(slots, in_flight);
   if (endpoint_info.health.ejected) free = 0;
-  pool.slots += slots - membership.slots;  // Wraps back when it shrinks.
+  pool.slots += slots - membership.slots;  // Modular: may shrink.
   pool.free += free - membership.free;
   membership.slots = slots;
   membership.free = free;
-  SetFree(state, pool, endpoint, membership, free > 0);
+  SetHasFreeSlot(state, pool, endpoint, membership, free > 0);
 }
 
 void ClearPool(Pool& pool) {
@@ -181,7 +183,8 @@
   }
   endpoint_info.loaded_targets = loaded_targets;
   RefreshEndpoint(state, endpoint, now);
-  // The first holder puts the others out of the pool, the last one back in.
+  // The first endpoint that loads the target removes the others from the pool,
+  // and the last one that unloads it puts them back.
   for (const TargetHandle target : changed) RefreshTarget(state, target, now);
 }
 
--- a/policy/src/names.cc
+++ b/policy/src/names.cc
@@ -1,4 +1,4 @@
-// Names of reasons as they stand in log lines.
+// Names of reasons and outcomes in log lines.
 #include "egretladder/policy/retry.h"
 #include "egretladder/policy/scheduler.h"
 #include "egretladder/policy/slots.h"
--- a/policy/src/pick.cc
+++ b/policy/src/pick.cc
@@ -9,7 +9,7 @@
 namespace egretladder::policy {
 namespace {
 
-constexpr double kSuspectPenalty = 10;  // Only when nothing else is free.
+constexpr double kSuspectPenalty = 10;  // Last resort only.
 
 double OtherNodesLoad(const EndpointLoad& load, const Limits& limits,
                       Time now) {
@@ -25,8 +25,8 @@
 }  // namespace
 
 double LoadScore(const EndpointLoad& load, const Limits& limits, Time now) {
-  const double own = (load.in_flight + 1.0) / std::max(1U, load.slots);
-  double score = own + OtherNodesLoad(load, limits, now);
+  const double own_load = (load.in_flight + 1.0) / std::max(1U, load.slots);
+  double score = own_load + OtherNodesLoad(load, limits, now);
   if (load.same_zone) score *= 1.0 - limits.same_zone_discount;
   if (load.runs_suspect) score += kSuspectPenalty;
   return score;
@@ -42,7 +42,7 @@
 
 PrefixRing BuildPrefixRing(const rules::Rules& rules,
                            const std::vector<EndpointHandle>& servers) {
-  constexpr std::uint64_t kPointsPerEndpoint = 8;  // Evens out the ring's gaps.
+  constexpr std::uint64_t kPointsPerEndpoint = 8;  // Evens out the shares.
   PrefixRing ring;
   ring.points.reserve(servers.size() * kPointsPerEndpoint);
   for (const EndpointHandle endpoint : servers) {
--- a/policy/src/poison.cc
+++ b/policy/src/poison.cc
@@ -19,7 +19,8 @@
   return &it->second;
 }
 
-// Makes room: first what has expired, then what expires soonest.
+// Makes room for a record: evicts expired records, or else the one that expires
+// first.
 void MakeRoom(PoisonState& state, kernel::Time now) {
   if (state.crash_records.size() < kMaxCrashRecords) return;
   std::erase_if(state.crash_records, [now](const auto& entry) {
@@ -63,9 +64,9 @@
       });
   std::vector<QuarantineNotice> quarantined;
   for (const std::uint64_t fingerprint : fingerprints) {
-    const bool suspect = IsSuspect(state, fingerprint, now);
-    // A known suspect explains the death: the others only ran beside it.
-    if (suspects == 1 && !suspect) continue;
+    const bool is_suspect = IsSuspect(state, fingerprint, now);
+    // The known suspect explains the death, so that no other body is blamed.
+    if (suspects == 1 && !is_suspect) continue;
     CrashRecord& record = GetCrashRecord(state, fingerprint, now);
     if (record.quarantined) continue;
     const bool is_culprit = suspects == 1;
@@ -96,9 +97,9 @@
   const bool is_culprit = notice.deaths >= kDeathsBeforeQuarantine;
   record.deaths = std::max(record.deaths, notice.deaths);
   record.quarantined = is_culprit;
-  const auto longest = is_culprit ? kQuarantineDuration : kSuspectDuration;
+  const auto max_duration = is_culprit ? kQuarantineDuration : kSuspectDuration;
   record.expires_at =
-      std::max(record.expires_at, now + std::min(notice.left, longest));
+      std::max(record.expires_at, now + std::min(notice.left, max_duration));
   return is_culprit;
 }
 
@@ -110,12 +111,12 @@
 
 std::vector<QuarantineNotice> ListQuarantineNotices(const PoisonState& state,
                                                     kernel::Time now) {
-  std::vector<QuarantineNotice> list;
+  std::vector<QuarantineNotice> notices;
   for (const auto& [fingerprint, record] : state.crash_records) {
     if (record.expires_at > now)
-      list.push_back(MakeNotice(fingerprint, record, now));
+      notices.push_back(MakeNotice(fingerprint, record, now));
   }
-  return list;
+  return notices;
 }
 
 }  // namespace egretladder::policy
--- a/policy/src/queue.cc
+++ b/policy/src/queue.cc
@@ -51,64 +51,66 @@
   fair_queue.flows.erase(it);
 }
 
-void MoveLateRequests(WaitQueue& all, ClassQueue& queue,
+void MoveLateRequests(WaitQueue& queue, ClassQueue& class_queue,
                       Time earliest_feasible_deadline) {
-  while (!queue.by_deadline.empty() &&
-         queue.by_deadline.begin()->time < earliest_feasible_deadline) {
-    const RequestId id = queue.by_deadline.begin()->request;
-    queue.by_deadline.erase(queue.by_deadline.begin());
-    WaitingRequest& waiting = all.requests.at(id);
+  while (!class_queue.by_deadline.empty() &&
+         class_queue.by_deadline.begin()->time < earliest_feasible_deadline) {
+    const RequestId id = class_queue.by_deadline.begin()->request;
+    class_queue.by_deadline.erase(class_queue.by_deadline.begin());
+    WaitingRequest& waiting = queue.requests.at(id);
     const Request& request = waiting.request;
     waiting.late = true;
-    RemoveFromFlow(queue.in_time, request.account.idx,
+    RemoveFromFlow(class_queue.in_time, request.account.idx,
                    MakeEntry(request.deadline, waiting));
-    AddToFlow(queue.late, request.account.idx,
+    AddToFlow(class_queue.late, request.account.idx,
               MakeEntry(request.arrived, waiting),
-              GetUsage(all, request.cls, request.account).tokens);
+              GetUsage(queue, request.cls, request.account).tokens);
   }
 }
 
-// Puts outdated entries right until the first one is true.
-void RefreshFront(const WaitQueue& all, FairQueue& fair_queue,
+// Corrects outdated entries of `order` until the first one is accurate.
+void RefreshFront(const WaitQueue& queue, FairQueue& fair_queue,
                   ClassHandle cls) {
   while (!fair_queue.order.empty()) {
     const auto [order_key, account] = *fair_queue.order.begin();
-    const double tokens = all.usage[cls.idx][account].tokens;
+    const double tokens = queue.usage[cls.idx][account].tokens;
     if (order_key >= tokens) return;
     SetOrderKey(fair_queue, account, tokens);
   }
 }
 
-const WaitingRequest* FindFront(WaitQueue& all, FairQueue& fair_queue,
+const WaitingRequest* FindFront(WaitQueue& queue, FairQueue& fair_queue,
                                 ClassHandle cls, AccountBlockedFn is_blocked,
                                 const void* context) {
-  RefreshFront(all, fair_queue, cls);
+  RefreshFront(queue, fair_queue, cls);
   auto it = fair_queue.order.begin();
   while (it != fair_queue.order.end()) {
     const auto [order_key, account] = *it;
-    const double tokens = all.usage[cls.idx][account].tokens;
+    const double tokens = queue.usage[cls.idx][account].tokens;
     if (order_key < tokens) {
-      // Put right, it may belong before the next one: look again.
+      // Its corrected position may be further back, so that the search
+      // restarts.
       SetOrderKey(fair_queue, account, tokens);
       it = fair_queue.order.begin();
       continue;
     }
     if (is_blocked == nullptr || !is_blocked(context, AccountHandle{account})) {
       const RequestId id = fair_queue.flows.at(account).begin()->request;
-      return &all.requests.at(id);
+      return &queue.requests.at(id);
     }
     ++it;
   }
   return nullptr;
 }
 
-// An account that comes back from idling starts level with those that waited:
-// otherwise it could save up for a burst that shuts the others out.
-void RaiseIdleAccount(const WaitQueue& all, ClassQueue& queue, ClassHandle cls,
-                      AccountUsage& usage) {
-  if (usage.waiting > 0 || queue.in_time.order.empty()) return;
-  RefreshFront(all, queue.in_time, cls);
-  usage.tokens = std::max(usage.tokens, queue.in_time.order.begin()->first);
+// Raises the usage of an account that was idle to the lowest one among the
+// waiting accounts. Otherwise it could save up for a burst that starves them.
+void RaiseIdleAccount(const WaitQueue& queue, ClassQueue& class_queue,
+                      ClassHandle cls, AccountUsage& usage) {
+  if (usage.waiting > 0 || class_queue.in_time.order.empty()) return;
+  RefreshFront(queue, class_queue.in_time, cls);
+  usage.tokens =
+      std::max(usage.tokens, class_queue.in_time.order.begin()->first);
 }
 
 }  // namespace
@@ -136,13 +138,14 @@
   waiting.number = ++queue.arrivals;
   waiting.late = false;
   const Request request = waiting.request;
-  ClassQueue& cls = GetClassQueue(queue, request);
+  ClassQueue& class_queue = GetClassQueue(queue, request);
   AccountUsage& usage = GetUsage(queue, request.cls, request.account);
-  RaiseIdleAccount(queue, cls, request.cls, usage);
+  RaiseIdleAccount(queue, class_queue, request.cls, usage);
   const QueueEntry entry = MakeEntry(request.deadline, waiting);
-  AddToFlow(cls.in_time, request.account.idx, entry, usage.tokens);
-  cls.by_deadline.insert(entry);
-  cls.by_queue_deadline.insert(MakeEntry(waiting.queue_deadline, waiting));
+  AddToFlow(class_queue.in_time, request.account.idx, entry, usage.tokens);
+  class_queue.by_deadline.insert(entry);
+  class_queue.by_queue_deadline.insert(
+      MakeEntry(waiting.queue_deadline, waiting));
   if (usage.waiting++ == 0) ++queue.waiting_accounts[request.cls.idx];
   ++queue.num_waiting[request.target.idx][request.cls.idx];
   queue.requests.emplace(request.id, waiting);
@@ -153,20 +156,21 @@
   if (it == queue.requests.end()) return std::nullopt;
   WaitingRequest waiting = it->second;
   queue.requests.erase(it);
-  const Request& taken = waiting.request;
-  ClassQueue& cls = GetClassQueue(queue, taken);
-  const QueueEntry by_deadline = MakeEntry(taken.deadline, waiting);
+  const Request& removed = waiting.request;
+  ClassQueue& class_queue = GetClassQueue(queue, removed);
+  const QueueEntry by_deadline = MakeEntry(removed.deadline, waiting);
   if (waiting.late) {
-    RemoveFromFlow(cls.late, taken.account.idx,
-                   MakeEntry(taken.arrived, waiting));
+    RemoveFromFlow(class_queue.late, removed.account.idx,
+                   MakeEntry(removed.arrived, waiting));
   } else {
-    RemoveFromFlow(cls.in_time, taken.account.idx, by_deadline);
-    cls.by_deadline.erase(by_deadline);
+    RemoveFromFlow(class_queue.in_time, removed.account.idx, by_deadline);
+    class_queue.by_deadline.erase(by_deadline);
   }
-  cls.by_queue_deadline.erase(MakeEntry(waiting.queue_deadline, waiting));
-  AccountUsage& usage = GetUsage(queue, taken.cls, taken.account);
-  if (--usage.waiting == 0) --queue.waiting_accounts[taken.cls.idx];
-  --queue.num_waiting[taken.target.idx][taken.cls.idx];
+  class_queue.by_queue_deadline.erase(
+      MakeEntry(waiting.queue_deadline, waiting));
+  AccountUsage& usage = GetUsage(queue, removed.cls, removed.account);
+  if (--usage.waiting == 0) --queue.waiting_accounts[removed.cls.idx];
+  --queue.num_waiting[removed.target.idx][removed.cls.idx];
   return waiting;
 }
 
@@ -174,12 +178,12 @@
                                ClassHandle cls, Time earliest_feasible_deadline,
                                AccountBlockedFn is_blocked,
                                const void* context) {
-  ClassQueue& waiting = queue.queues[target.idx][cls.idx];
-  MoveLateRequests(queue, waiting, earliest_feasible_deadline);
+  ClassQueue& class_queue = queue.queues[target.idx][cls.idx];
+  MoveLateRequests(queue, class_queue, earliest_feasible_deadline);
   const WaitingRequest* head =
-      FindFront(queue, waiting.in_time, cls, is_blocked, context);
+      FindFront(queue, class_queue.in_time, cls, is_blocked, context);
   if (head != nullptr) return head;
-  return FindFront(queue, waiting.late, cls, is_blocked, context);
+  return FindFront(queue, class_queue.late, cls, is_blocked, context);
 }
 
 bool GoesBefore(const WaitingRequest& left, const WaitingRequest& right) {
@@ -215,10 +219,10 @@
                                         std::uint8_t tier) {
   const WaitingRequest* candidate = nullptr;
   for (const auto& classes : queue.queues) {
-    for (const ClassQueue& cls : classes) {
-      if (cls.by_queue_deadline.empty()) continue;
+    for (const ClassQueue& class_queue : classes) {
+      if (class_queue.by_queue_deadline.empty()) continue;
       const WaitingRequest& newest =
-          queue.requests.at(cls.by_queue_deadline.rbegin()->request);
+          queue.requests.at(class_queue.by_queue_deadline.rbegin()->request);
       if (newest.tier <= tier) continue;
       if (candidate == nullptr || std::tie(candidate->tier, candidate->number) <
                                       std::tie(newest.tier, newest.number)) {
@@ -233,11 +237,11 @@
                                              ClassHandle cls,
                                              AccountHandle account) {
   const std::vector<AccountUsage>& accounts = queue.usage[cls.idx];
-  const auto heaviest =
-      std::max_element(accounts.begin(), accounts.end(),
-                       [](const AccountUsage& l, const AccountUsage& r) {
-                         return l.waiting < r.waiting;
-                       });
+  const auto heaviest = std::max_element(
+      accounts.begin(), accounts.end(),
+      [](const AccountUsage& left_usage, const AccountUsage& right_usage) {
+        return left_usage.waiting < right_usage.waiting;
+      });
   if (heaviest == accounts.end()) return nullptr;
   if (heaviest->waiting <= 2 * (accounts[account.idx].waiting + 1))
     return nullptr;
--- a/policy/src/retry.cc
+++ b/policy/src/retry.cc
@@ -30,8 +30,8 @@
   if (context.end == EndKind::kDone || context.end == EndKind::kCancelled) {
     return DoNotRetry(RetryReason::kMayHaveRun);
   }
-  // The first death is more often the VM's than the body's; a body that saw
-  // two in a row is not tried on a third endpoint.
+  // A first death is more often caused by the VM than by the body. A body whose
+  // two last endpoints died is not sent to a third one.
   if (context.blamed && context.attempt > 1)
     return DoNotRetry(RetryReason::kPoison);
   if (context.attempt >= kMaxAttempts) {
--- a/policy/src/scheduler_common.cc
+++ b/policy/src/scheduler_common.cc
@@ -26,7 +26,8 @@
   return fingerprint != 0 && it != state.quarantined.end() && it->second > now;
 }
 
-// Hands out the oldest of one target while an endpoint has a free slot.
+// Dispatches the first request in the queue of one target. Returns false when
+// there is none or no endpoint has a free slot.
 bool DispatchOne(BaselineState& state, std::uint32_t target, Actions& out) {
   BaselineQueue& queue = state.queues[target];
   if (queue.empty()) return false;
@@ -42,7 +43,7 @@
   return true;
 }
 
-// Targets take turns by the order of their first request, since they share
+// Dispatches requests in order across all targets, since targets share
 // endpoints.
 void DispatchAll(BaselineState& state, Actions& out) {
   std::vector<std::uint32_t> pending;
@@ -166,7 +167,7 @@
   DispatchAll(state, out);
 }
 
-void OnGone(SchedulerState& base, RequestId request, Time /*now*/) {
+void OnCallerGone(SchedulerState& base, RequestId request, Time /*now*/) {
   RemoveWaiting(AsBaseline(base), request);
 }
 
@@ -219,13 +220,13 @@
 
 EndpointHandle PickLeastInFlight(BaselineState& state, TargetHandle target) {
   EndpointHandle best;
-  std::uint32_t least = 0;
+  std::uint32_t fewest = 0;
   for (const EndpointHandle endpoint : GetServers(state.table, target)) {
     const EndpointState& endpoint_state = state.table.endpoints[endpoint.idx];
     if (!HasFreeSlot(endpoint_state)) continue;
-    if (rules::IsValid(best) && endpoint_state.in_flight >= least) continue;
+    if (rules::IsValid(best) && endpoint_state.in_flight >= fewest) continue;
     best = endpoint;
-    least = endpoint_state.in_flight;
+    fewest = endpoint_state.in_flight;
   }
   return best;
 }
@@ -241,7 +242,7 @@
     const SchedulerOptions& options)) {
   return {create,       OnRules,   OnSlots,      OnAvailable, OnReport,
           OnQuarantine, OnArrival, OnFirstToken, OnTokens,    OnEnd,
-          OnGone,       OnTick,    View};
+          OnCallerGone, OnTick,    View};
 }
 
 }  // namespace egretladder::policy
--- a/policy/src/scheduler_common_p.h
+++ b/policy/src/scheduler_common_p.h
@@ -1,5 +1,6 @@
-// The skeleton of the baseline schedulers: one queue for each target in an
-// order that the baseline names, slots respected, longest waits refused.
+// Common parts of the baseline schedulers: one queue for each target, in an
+// order that the baseline defines. Requests are sent only to endpoints with a
+// free slot, and are refused after the maximum wait of their class.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +17,11 @@
 
 namespace egretladder::policy {
 
-/// Place in a queue: smallest first.
+/// Sort key of a waiting request; the smallest goes first.
 struct OrderKey {
   std::uint8_t tier = 0;
   Time time{};
-  std::uint64_t number = 0;  ///< Of arrival.
+  std::uint64_t number = 0;  ///< Arrival order.
 };
 
 inline bool operator<(const OrderKey& left, const OrderKey& right) {
@@ -30,11 +31,11 @@
 
 struct BaselineState;
 
-/// In what baselines differ.
+/// The functions in which baselines differ.
 struct BaselineBehaviour {
   OrderKey (*order)(const BaselineState& state, const Request& request);
-  /// Chooses among endpoints with a free slot for `target`; not valid when
-  /// there is none.
+  /// Chooses an endpoint with a free slot for `target`. Returns an invalid
+  /// handle when there is none.
   EndpointHandle (*pick)(BaselineState& state, TargetHandle target);
 };
 
@@ -52,19 +53,20 @@
   std::unordered_map<RequestId, std::pair<std::uint32_t, OrderKey>> waiting;
   std::unordered_map<RequestId, RunningRequest> running;
   std::unordered_map<std::uint64_t, Time> quarantined;
-  std::vector<std::uint32_t> cursors;  ///< By target, for round robin.
+  std::vector<std::uint32_t> cursors;  ///< Round-robin positions, by target.
   std::uint64_t arrivals = 0;
 };
 
-/// First come, first served, whatever the tier.
+/// Orders requests by arrival, regardless of their tier.
 OrderKey OrderByArrival(const BaselineState& state, const Request& request);
-/// Takes the one with the fewest requests in flight.
+/// Picks the endpoint with the fewest requests in flight.
 EndpointHandle PickLeastInFlight(BaselineState& state, TargetHandle target);
 
 std::unique_ptr<SchedulerState> CreateBaseline(
     const BaselineBehaviour& behaviour);
 
-/// The events that all baselines take alike; `create` is left to each.
+/// Returns a plug-in with the event handlers that all baselines share, and with
+/// the baseline's own `create`.
 SchedulerPlugin BaselinePlugin(
     std::unique_ptr<SchedulerState> (*create)(const SchedulerOptions& options));
 
--- a/policy/src/scheduler_fifo.cc
+++ b/policy/src/scheduler_fifo.cc
@@ -1,4 +1,5 @@
-// Baseline "fifo": in order of arrival, endpoints in turn.
+// Baseline scheduler "fifo": requests in order of arrival, endpoints round
+// robin.
 #include "egretladder/kernel/registry.h"
 #include "scheduler_common_p.h"
 
--- a/policy/src/scheduler_ladder.cc
+++ b/policy/src/scheduler_ladder.cc
@@ -1,6 +1,7 @@
-// "ladder": tiers, deadlines and fair turns over learned endpoints. Each event
-// updates what is known and hands out work; the decisions stand in queue.h,
-// admit.h, trickle.h, pick.h, health.h and shift.h.
+// The scheduler "ladder": tiers, deadlines and fair sharing, with service times
+// and endpoint health learned from answers. Each event updates the state and
+// dispatches waiting requests. The decisions are made in queue.h, admit.h,
+// aging_quota.h, pick.h, health.h and zone_ramp.h.
 #include <algorithm>
 #include <utility>
 
@@ -11,7 +12,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kSweepInterval{100};
-constexpr double kMeanRunningWeight = 0.01;  // A sweep's weight: 10 s.
+constexpr double kMeanRunningWeight = 0.01;  // Per sweep; time constant 10 s.
 
 LadderState& AsLadder(SchedulerState& state) {
   return static_cast<LadderState&>(state);
@@ -28,7 +29,7 @@
   return state;
 }
 
-// What waits for a target that nothing serves any more is told at once.
+// Refuses waiting requests whose target is no longer served by any endpoint.
 void RefuseUnserved(LadderState& state, Time now, Actions& out) {
   std::vector<RequestId> unserved;
   for (const auto& [id, waiting] : state.queue.requests) {
@@ -59,7 +60,7 @@
   DispatchEndpoint(state, endpoint, now, out);
 }
 
-// Forgets what was learned of an engine that is a new one now.
+// Resets the health of an endpoint whose engine has been replaced or restarted.
 void ResetEndpointHealth(LadderState& state, EndpointHandle endpoint,
                          Time now) {
   LadderEndpoint& endpoint_info = state.endpoints[endpoint.idx];
@@ -207,12 +208,13 @@
   DispatchEndpoint(state, running.endpoint, now, out);
 }
 
-void OnGone(SchedulerState& base, RequestId id, Time /*now*/) {
+void OnCallerGone(SchedulerState& base, RequestId id, Time /*now*/) {
   LadderState& state = AsLadder(base);
   (void)RemoveWaiting(state, id);
 }
 
-// Work that hangs sends no first token: its age is evidence as well.
+// Counts attempts that have waited far too long for their first token as slow
+// answers: an attempt that hangs would otherwise never be counted.
 void DetectHangs(LadderState& state, Time now) {
   std::vector<std::pair<EndpointHandle, Seconds>> slow_attempts;
   for (const auto& [id, running] : state.running) {
@@ -284,10 +286,10 @@
   return view;
 }
 
-const SchedulerPlugin kPlugin{Create,   OnRules,      OnSlots,   OnAvailable,
-                              OnReport, OnQuarantine, OnArrival, OnFirstToken,
-                              OnTokens, OnEnd,        OnGone,    OnTick,
-                              View};
+const SchedulerPlugin kPlugin{
+    Create,       OnRules,   OnSlots,      OnAvailable, OnReport,
+    OnQuarantine, OnArrival, OnFirstToken, OnTokens,    OnEnd,
+    OnCallerGone, OnTick,    View};
 const kernel::PluginRegistrar<SchedulerPlugin> kRegistrar("ladder", kPlugin);
 
 }  // namespace
--- a/policy/src/scheduler_least.cc
+++ b/policy/src/scheduler_least.cc
@@ -1,5 +1,5 @@
-// Baseline "least": in order of arrival, to the endpoint with the fewest
-// requests in flight.
+// Baseline scheduler "least": requests in order of arrival, to the endpoint
+// with the fewest requests in flight.
 #include "egretladder/kernel/registry.h"
 #include "scheduler_common_p.h"
 
--- a/policy/src/scheduler_strict.cc
+++ b/policy/src/scheduler_strict.cc
@@ -1,6 +1,6 @@
-// "strict", the ladder's first version, kept so that changes stay comparable:
-// strict by tier, then by deadline, to the endpoint
-// with the fewest requests in flight.
+// Baseline scheduler "strict": requests by tier, then by deadline, to the
+// endpoint with the fewest requests in flight. It is a baseline for changes of
+// the scheduler "ladder".
 #include "egretladder/kernel/registry.h"
 #include "scheduler_common_p.h"
 
--- a/policy/src/slots.cc
+++ b/policy/src/slots.cc
@@ -38,8 +38,9 @@
 
 SlotReason OnEvidence(SlotState& state, const SlotEvidence& evidence,
                       kernel::Time now) {
-  // Nodes report apart: one that is behind still speaks of the boot before.
-  // Taken for a restart, it would throw the endpoint back to cold each time.
+  // Nodes report independently, and a delayed report may still refer to the
+  // previous boot. If it counted as a restart, the endpoint would fall back to
+  // its cold slots each time.
   if (evidence.boot != 0 && evidence.boot == state.previous_boot) {
     return SlotReason::kUnchanged;
   }
