--- a/policy/tests/decisions_test.cc
+++ b/policy/tests/decisions_test.cc
@@ -1,5 +1,5 @@
-// The single decisions of admit.h, estimate.h, trickle.h, health.h, pick.h and
-// shift.h, each alone.
+// Unit tests of the decisions in admit.h, aging_quota.h, estimate.h, health.h,
+// pick.h and zone_ramp.h.
 #include <CppUTest/TestHarness.h>
 
 #include <chrono>
@@ -21,9 +21,10 @@
   ep::Limits limits_;
 };
 
-// One answer in fifty runs for minutes. Learned from ended work alone, service
-// times look short for as long as the long answers hold their slots, and
-// callers are let in who then wait for nothing.
+// One answer in fifty runs for minutes. If service times were learned from
+// completed attempts only, they would look short for as long as the long
+// answers hold their slots, and requests would be admitted that can't be served
+// in time.
 TEST(Decisions, ServiceTimesIncludeRunningAttempts) {
   ep::ServiceTimeStats stats;
   for (int i = 0; i < 100; ++i) {
@@ -38,8 +39,9 @@
   CHECK_TRUE(ep::MeanSlotTime(stats, clock_.now).count() > 3 * before);
 }
 
-// The queue before a request takes 10 s and its answer is wanted in 2 s. It
-// would hear so only after waiting; refused at once it can go elsewhere.
+// The queue ahead of a request takes 10 s, and its deadline is in 2 s. If it
+// were refused only after the deadline, its caller could not try elsewhere in
+// time.
 TEST(Decisions, RefusesOnArrivalWhatWouldMissItsDeadline) {
   ep::AdmissionContext context;
   context.deadline = context.queue_deadline = clock_.now + 2s;
@@ -53,8 +55,8 @@
   CHECK(ep::RetryAfter(context.expected_wait, ep::Seconds(2), 0, limits_) > 8s);
 }
 
-// Its class may wait for 30 s, so a late answer is still of use while the
-// overload passes; in a lasting one it would wait 30 s for a refusal.
+// The class allows waits of 30 s, so that a late answer is still useful after a
+// short overload. In a lasting one the request would wait 30 s for a refusal.
 TEST(Decisions, LateRequestsWaitOnlyWithoutOverload) {
   ep::AdmissionContext context;
   context.deadline = clock_.now + 2s;
@@ -66,13 +68,15 @@
   CHECK_TRUE(ep::DecideAdmission(context, clock_.now).has_value());
 }
 
-// A broker's batch of 5000 waits in the class. A shop's single request goes
-// next by turns, and must not be refused for what the broker has waiting.
+// A batch of 5000 requests of one account waits in the class. The single
+// request of another account is next in fair turns and must not be refused
+// because of the batch.
 TEST(Decisions, BatchDoesNotRefuseOtherAccountsOfItsClass) {
   DOUBLES_EQUAL(1.0, ep::FairRequestsAhead(5000, 1, 0), 0.0);
   DOUBLES_EQUAL(5000.0, ep::FairRequestsAhead(5000, 1, 5000), 0.0);
 }
 
+// Caps limit waiting requests. A request that can start at once doesn't wait.
 TEST(Decisions, CapsApplyUnlessTheRequestCanStart) {
   ep::AdmissionContext context;
   context.deadline = context.queue_deadline = clock_.now + 2s;
@@ -88,8 +92,9 @@
   CHECK_FALSE(ep::DecideAdmission(context, clock_.now).has_value());
 }
 
-// Bulk answers run 50 times as long as questions. By starts, one in a hundred
-// would take a third of the slots; by slot time the share holds.
+// Answers of a low tier run 50 times as long as others. If the quota counted
+// starts, one in a hundred would take a third of the slots. Counting slot time
+// keeps the share.
 TEST(Decisions, AgingQuotaCountsSlotTimeNotStarts) {
   ep::AgingQuota quota;
   quota.updated_at = clock_.now;
@@ -106,8 +111,8 @@
   DOUBLES_EQUAL(limits_.aging_share, share, limits_.aging_share * 0.1);
 }
 
-// An endpoint answers 5 times slower and reports health. Callers sent there
-// wait; it is left alone until probes show it well.
+// An endpoint answers 5 times slower but reports itself healthy. It must be
+// ejected until probes are answered at the usual speed.
 TEST(Decisions, SlowEndpointIsEjectedAndReadmittedByProbes) {
   ep::Health health;
   ep::HealthChange change = ep::HealthChange::kNone;
@@ -125,7 +130,8 @@
   CHECK(change == ep::HealthChange::kReadmitted);
 }
 
-// An endpoint that refuses every connection looks idle, and draws all work.
+// An endpoint that refuses every connection looks idle and attracts all
+// requests.
 TEST(Decisions, ConsecutiveFailuresEjectAnEndpoint) {
   ep::Health health;
   CHECK(ep::OnFailure(health, limits_, clock_.now) == ep::HealthChange::kNone);
@@ -138,16 +144,17 @@
         ep::HealthChange::kEjected);
 }
 
-// All endpoints slow down under load. Left alone one by one, the rest would
-// carry ever more.
+// All endpoints become slow under load. If they were ejected one by one, the
+// load on the others would increase each time.
 TEST(Decisions, NeverEjectsMostEndpoints) {
   CHECK_TRUE(ep::CanEject(3, 12, limits_));
   CHECK_FALSE(ep::CanEject(4, 12, limits_));
   CHECK_FALSE(ep::CanEject(0, 2, limits_));
 }
 
-// A report that is ten seconds old says little of the load now. Trusted fully,
-// all nodes run to an endpoint that was idle then.
+// A report that is ten seconds old says little about the current load. With
+// full weight it would send the requests of all nodes to an endpoint that was
+// idle then.
 TEST(Decisions, OldReportsWeighLess) {
   ep::EndpointLoad load;
   load.slots = load.max_in_flight = 8;
@@ -161,8 +168,8 @@
   DOUBLES_EQUAL(none, old, 0.01);
 }
 
-// One prompt is asked by everybody. Always at its home, it overloads that
-// endpoint while others idle.
+// Many callers send the same prompt. If it always went to the endpoint that has
+// its prefix cached, that endpoint would be overloaded while others are idle.
 TEST(Decisions, HotPrefixDoesNotOverloadItsOwner) {
   ep::EndpointLoad load;
   load.slots = 8;
@@ -172,11 +179,11 @@
   CHECK_FALSE(ep::HasPrefixCapacity(load, 0.5, limits_));
 }
 
-// An endpoint leaves. If prefixes moved between the others as well, every cache
-// would be cold at once.
+// An endpoint leaves. If prefixes also moved between the remaining endpoints,
+// all caches would be cold at once.
 TEST(Decisions, PrefixOwnersStayWhenAnotherEndpointLeaves) {
-  ep::load::Workload load;
-  const auto rules = ep::load::MakeRules(load, 1, {});
+  ep::load::Workload workload;
+  const auto rules = ep::load::MakeRules(workload, 1, {});
   std::vector<ep::EndpointHandle> servers;
   for (std::uint32_t i = 0; i < 12; ++i) servers.push_back({i});
   const ep::PrefixRing full_ring = ep::BuildPrefixRing(*rules, servers);
@@ -192,18 +199,18 @@
   }
 }
 
-// A zone returns with idle endpoints. All at once, every new request goes to a
-// zone of which no one knows whether it is well.
+// A zone returns to service with idle endpoints. Without a ramp every new
+// request would go there before it is known whether the zone is healthy.
 TEST(Decisions, ReturningZoneGetsItsSlotsGradually) {
-  ep::ZoneRamp shift;
-  ep::UpdateZoneRamp(shift, false, clock_.now);
-  DOUBLES_EQUAL(1.0, ep::RampRatio(shift, limits_, clock_.now), 0.0);
-  ep::UpdateZoneRamp(shift, true, clock_.now);
-  DOUBLES_EQUAL(0.0, ep::RampRatio(shift, limits_, clock_.now), 0.0);
-  ep::UpdateZoneRamp(shift, false, clock_.now);
+  ep::ZoneRamp ramp;
+  ep::UpdateZoneRamp(ramp, false, clock_.now);
+  DOUBLES_EQUAL(1.0, ep::RampRatio(ramp, limits_, clock_.now), 0.0);
+  ep::UpdateZoneRamp(ramp, true, clock_.now);
+  DOUBLES_EQUAL(0.0, ep::RampRatio(ramp, limits_, clock_.now), 0.0);
+  ep::UpdateZoneRamp(ramp, false, clock_.now);
   DOUBLES_EQUAL(limits_.zone_ramp_initial_ratio,
-                ep::RampRatio(shift, limits_, clock_.now), 0.001);
+                ep::RampRatio(ramp, limits_, clock_.now), 0.001);
   CHECK_EQUAL(1U, ep::ScaleSlots(limits_.zone_ramp_initial_ratio, 8));
   ek::Advance(clock_, 3 * limits_.zone_ramp_doubling_time);
-  DOUBLES_EQUAL(1.0, ep::RampRatio(shift, limits_, clock_.now), 0.001);
+  DOUBLES_EQUAL(1.0, ep::RampRatio(ramp, limits_, clock_.now), 0.001);
 }
--- a/policy/tests/ladder_random_test.cc
+++ b/policy/tests/ladder_random_test.cc
@@ -1,5 +1,5 @@
-// Random operations on the ladder against a plain model of who waits, who runs
-// and who must be let in.
+// Compares the scheduler "ladder" under random operations with a reference
+// model of which requests wait, run and must be admitted.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -35,9 +35,9 @@
   const ep::SchedulerPlugin* plugin =
       ek::FindPlugin<ep::SchedulerPlugin>("ladder");
   std::unique_ptr<ep::SchedulerState> state;
-  ep::load::Workload load;
+  ep::load::Workload workload;
   std::map<ep::RequestId, ep::Request> waiting;
-  std::map<ep::RequestId, std::uint32_t> running;  // Endpoint.
+  std::map<ep::RequestId, std::uint32_t> running;  // Endpoint by request.
   std::array<std::uint32_t, kEndpoints> slots{};
   std::array<bool, kEndpoints> available{};
   std::uint32_t zone_out = 99;
@@ -46,9 +46,10 @@
   ep::Actions out;
 
   explicit ReferenceModel(std::uint64_t seed) : random(seed) {
-    load.fleet = {2, kEndpoints, 3, 1, 4};
-    load.classes = ep::load::SampleClasses();
-    // Only caps and room decide here; time and the trickle have other tests.
+    workload.fleet = {2, kEndpoints, 3, 1, 4};
+    workload.classes = ep::load::SampleClasses();
+    // Only caps and the queue's length decide here. Deadlines, the aging quota
+    // and endpoint health are switched off and have other tests.
     ep::Limits limits;
     limits.max_queue_length = kMaxQueueLength;
     limits.refuse_early = false;
@@ -66,14 +67,14 @@
     std::vector<std::uint32_t> zones;
     if (zone_out < 2) zones.push_back(zone_out);
     auto rules = std::make_shared<egretladder::rules::Rules>(
-        *ep::load::MakeRules(load, ++version, zones));
+        *ep::load::MakeRules(workload, ++version, zones));
     for (auto& cls : rules->classes) cls.waiting = kClassCap;
     for (auto& account : rules->accounts) account.waiting = kAccountCap;
     plugin->on_rules(*state, rules, clock.now, out);
   }
 
   std::uint8_t GetTier(const ep::Request& request) const {
-    return load.classes[request.cls.idx].tier;
+    return workload.classes[request.cls.idx].tier;
   }
   bool CanTakeWork(std::uint32_t endpoint) const {
     return available[endpoint] && endpoint % 2 != zone_out;
@@ -96,7 +97,7 @@
         [&](const auto& entry) { return predicate(entry.second); }));
   }
 
-  // What becomes of an arrival; nothing: it is let in.
+  // Returns the expected refusal of an arriving request; nothing: admitted.
   std::optional<ep::RefuseReason> ExpectedRefusal(
       const ep::Request& request) const {
     bool any_available = false;
@@ -117,7 +118,8 @@
     return ep::RefuseReason::kQueueFull;
   }
 
-  // An account with more than twice as much in the class makes room.
+  // Returns true when another account has more than twice as many requests in
+  // the class, so that one of them is shed.
   bool IsAnyAccountOverShare(const ep::Request& request) const {
     std::array<std::uint32_t, 4> by_account{};
     for (const auto& [id, entry] : waiting) {
@@ -153,12 +155,11 @@
         }
         waiting.erase(it);
       } else {
-        FAIL("an action that the ladder does not take");
+        FAIL("the ladder must not preempt");
       }
     }
     out.clear();
-    CHECK_TRUE(waiting.empty() ||
-               !HasFreeSlot());  // Nothing waits for no reason.
+    CHECK_TRUE(waiting.empty() || !HasFreeSlot());  // No slot is left idle.
   }
 
   void Arrive() {
@@ -169,7 +170,8 @@
         static_cast<std::uint32_t>(ek::RandomBelow(random, 4));
     request.target.idx = 0;
     request.arrived = clock.now;
-    request.deadline = clock.now + load.classes[request.cls.idx].first_token;
+    request.deadline =
+        clock.now + workload.classes[request.cls.idx].first_token;
     const auto expected = ExpectedRefusal(request);
     waiting[request.id] = request;
     plugin->on_arrival(*state, request, clock.now, out);
@@ -237,8 +239,9 @@
 
 TEST_GROUP(LadderRandom){};
 
-// Zones come and go while endpoints die, leases shrink and callers leave. A
-// request that falls between the tables is never answered.
+// Zones are taken out and return while endpoints die, leases shrink and callers
+// disconnect. A request that is lost between the tables would never be
+// answered.
 TEST(LadderRandom, AgreesWithReferenceModelOverManySeeds) {
   for (std::uint64_t seed = 1; seed <= 80; ++seed) {
     ReferenceModel model(seed);
--- a/policy/tests/ladder_test.cc
+++ b/policy/tests/ladder_test.cc
@@ -1,4 +1,4 @@
-// The scheduler "ladder" on single events, through its plug-in.
+// Tests of the scheduler "ladder" with single events, through its plug-in.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -22,7 +22,7 @@
   const ep::SchedulerPlugin* plugin_ =
       ek::FindPlugin<ep::SchedulerPlugin>("ladder");
   std::unique_ptr<ep::SchedulerState> state_;
-  ep::load::Workload load_{
+  ep::load::Workload workload_{
       "", 1, {2, 4, 2, 1, 4}, ep::load::SampleClasses(), {}};
   ep::Actions out_;
   std::uint64_t version_ = 0;
@@ -36,14 +36,14 @@
     for (std::uint32_t i = 0; i < 4; ++i) SetSlots(i, 2);
   }
   void SetRules(const std::vector<std::uint32_t>& zones_out) {
-    ApplyRules(ep::load::MakeRules(load_, ++version_, zones_out));
+    ApplyRules(ep::load::MakeRules(workload_, ++version_, zones_out));
   }
   void ApplyRules(er::RulesPtr rules) {
     plugin_->on_rules(*state_, std::move(rules), clock_.now, out_);
   }
   std::shared_ptr<er::Rules> CopyRules() {
     return std::make_shared<er::Rules>(
-        *ep::load::MakeRules(load_, ++version_, {}));
+        *ep::load::MakeRules(workload_, ++version_, {}));
   }
   void SetSlots(std::uint32_t endpoint, std::uint32_t slots) {
     plugin_->on_slots(*state_, {endpoint}, slots, clock_.now, out_);
@@ -56,7 +56,7 @@
     request.target.idx = 0;
     request.fingerprint = last_id_;
     request.arrived = clock_.now;
-    request.deadline = clock_.now + load_.classes[cls].first_token;
+    request.deadline = clock_.now + workload_.classes[cls].first_token;
     return request;
   }
   ep::RequestId Arrive(const ep::Request& request) {
@@ -83,12 +83,12 @@
   }
   const ep::Refuse* FindRefusal(ep::RequestId id) {
     for (const ep::Action& action : out_) {
-      const auto* dispatch = std::get_if<ep::Refuse>(&action);
-      if (dispatch != nullptr && dispatch->request == id) return dispatch;
+      const auto* refusal = std::get_if<ep::Refuse>(&action);
+      if (refusal != nullptr && refusal->request == id) return refusal;
     }
     return nullptr;
   }
-  // Takes all eight slots with work that doesn't end.
+  // Occupies all eight slots with requests that don't end.
   void FillAllSlots(std::uint32_t cls = 0) {
     for (int i = 0; i < 8; ++i) Arrive(cls);
     CHECK_EQUAL(8U, Dispatches().size());
@@ -96,8 +96,8 @@
   }
 };
 
-// A node that has no lease yet must not start work: it may be one of many that
-// just started before the same cold endpoint.
+// A node without a lease must not dispatch requests: many nodes may have just
+// started, all in front of the same cold endpoint.
 TEST(Ladder, NothingStartsWithoutALease) {
   state_ = plugin_->create({ep::ZoneHandle{0}, 1, {}});
   SetRules({});
@@ -108,8 +108,8 @@
   CHECK_EQUAL(2U, Dispatches()[0].endpoint.idx);
 }
 
-// Operators take a zone out, an endpoint is leaving and another one died. Work
-// sent there would be cut off.
+// A zone is taken out, an endpoint is leaving and another one has died.
+// Requests sent there would be aborted.
 TEST(Ladder, NoNewWorkInZonesOutOrAtLeavingOrDeadEndpoints) {
   auto rules = CopyRules();
   rules->zones[0].out = true;  // Endpoints 0 and 2.
@@ -132,7 +132,8 @@
   CHECK_EQUAL(4U, Dispatches().size());
 }
 
-// The last endpoint of a model is removed. Its callers would wait in vain.
+// The last endpoint of a model is removed from the rules. Waiting requests for
+// the model could never be served.
 TEST(Ladder, WaitingRequestsWithoutAnEndpointAreRefused) {
   FillAllSlots();
   const ep::RequestId id = Arrive(3);
@@ -142,7 +143,8 @@
   CHECK(FindRefusal(id)->reason == ep::RefuseReason::kNoEndpoint);
 }
 
-// The queue is full of bulk work when a buyer asks.
+// The queue is full of requests of low tiers when one of a higher tier arrives.
+// It must take the place of a lower one and never of a higher one.
 TEST(Ladder, FullQueueShedsOnlyLowerTiers) {
   ep::Limits limits;
   limits.max_queue_length = 4;
@@ -164,8 +166,8 @@
   CHECK_TRUE(FindRefusal(quote) == nullptr);
 }
 
-// A broker may run two checks at a time by its contract. The others of its
-// class must not wait behind the ones that are held back.
+// An account may run two requests at a time. Other accounts of the class must
+// not wait behind its requests that are over this cap.
 TEST(Ladder, RunningCapsDoNotBlockOtherAccounts) {
   auto rules = CopyRules();
   rules->accounts[0].running = 2;
@@ -182,7 +184,8 @@
   CHECK_EQUAL(1U, Dispatches().size());
 }
 
-// A body crashed two endpoints. Sent on, it crashes the next one.
+// A body crashed two endpoints. If dispatched again, it would crash the next
+// one.
 TEST(Ladder, QuarantinedBodiesAreRefused) {
   FillAllSlots();
   const ep::RequestId waiting = Arrive(0);
@@ -196,7 +199,7 @@
   CHECK_TRUE(FindRefusal(retry.id)->retry_after > 1s);
 }
 
-// An engine that must load a model first keeps the caller waiting for minutes.
+// An engine that must load the model first makes the caller wait for minutes.
 TEST(Ladder, RequestsGoWhereTheModelIsLoaded) {
   auto rules = CopyRules();
   rules->targets.push_back({{"other", "load", 1, true}});
@@ -212,15 +215,14 @@
   for (int i = 0; i < 4; ++i) Arrive(0);
   CHECK_EQUAL(2U, Dispatches().size());
   CHECK_EQUAL(2U, Dispatches()[0].endpoint.idx);
-  ep::EngineReport
-      unloaded;  // The only holder lost it: any is better than none.
+  ep::EngineReport unloaded;  // No endpoint has it now: any may load it.
   unloaded.loaded = {ep::TargetHandle{1}};
   plugin_->on_report(*state_, {2}, unloaded, clock_.now);
   Tick(10ms);
   CHECK_EQUAL(4U, Dispatches().size());
 }
 
-// An attempt failed at one endpoint. The next one there fails as well.
+// An attempt failed at one endpoint. A retry there would probably fail as well.
 TEST(Ladder, RetryAvoidsTheFailedEndpoint) {
   for (int i = 0; i < 4; ++i) {
     ep::Request request = MakeRequest(0);
@@ -233,8 +235,8 @@
   }
 }
 
-// Two bodies are suspects for a crash. On one endpoint together, a second death
-// would not tell which it was.
+// Several bodies are suspected of a crash. If two of them ran on one endpoint,
+// a second death would not show which one is the cause.
 TEST(Ladder, SuspectsRunOnDifferentEndpoints) {
   std::vector<std::uint32_t> used;
   for (int i = 0; i < 4; ++i) {
@@ -247,7 +249,7 @@
   CHECK_TRUE(std::unique(used.begin(), used.end()) == used.end());
 }
 
-// Callers go away while they wait, and events come twice or too late.
+// Callers disconnect while they wait, and events arrive twice or too late.
 TEST(Ladder, UnknownAndRepeatedEventsAreIgnored) {
   FillAllSlots();
   const ep::Request request = MakeRequest(0);
@@ -267,8 +269,8 @@
   CHECK_EQUAL(0U, out_.size());
 }
 
-// Slots shrink below what runs. Nothing is cut off, and nothing new starts
-// until enough has ended.
+// Slots shrink below the number of requests in flight. None of these may be
+// cancelled, and none may start until enough of them have ended.
 TEST(Ladder, ShrunkSlotsDrainWithoutCancelling) {
   FillAllSlots();
   for (std::uint32_t i = 0; i < 4; ++i) SetSlots(i, 1);
@@ -285,7 +287,8 @@
   }
 }
 
-// A caller waits past what its class allows. It must be told, with a time.
+// A request waits longer than its class allows. It must be refused with a time
+// to retry.
 TEST(Ladder, WaitsEndAtTheQueueDeadline) {
   FillAllSlots();
   const ep::RequestId id = Arrive(0);
--- a/policy/tests/load_engine.h
+++ b/policy/tests/load_engine.h
@@ -1,5 +1,5 @@
-// How fast an engine answers: by its batch, its cached prefixes and whether it
-// is warm.
+// Service times of a simulated engine, depending on its batch size, its cached
+// prefixes and whether it is warm.
 #pragma once
 
 #include <algorithm>
@@ -13,20 +13,21 @@
 inline constexpr std::size_t kMaxCachedPrefixes = 24;
 inline constexpr double kCachedPrefixFactor = 0.3;
 
-/// What an attempt will do that starts now.
+/// The outcome and timing of an attempt that starts now.
 struct AttemptTiming {
-  bool fails = false;  ///< A cold engine that has more than it bears.
+  bool fails = false;                    ///< The engine is cold and overloaded.
   DoubleSeconds time_to_first_token{0};  ///< From the start to the first token.
   DoubleSeconds time_per_token{0};       ///< From one token to the next.
 };
 
-/// A larger batch makes each of its answers slower.
+/// Returns the factor by which the batch slows down each of its answers.
 inline double BatchSlowdown(const Engine& engine, const FleetSpec& fleet) {
   const double load = engine.in_flight + engine.other_nodes_in_flight;
   return 0.7 + 0.3 * load / fleet.max_in_flight;
 }
 
-/// Notes the prefix in the cache. Returns the part of the work that is left.
+/// Adds the prefix to the cache. Returns the factor on the time to first token,
+/// which is below 1 on a cache hit.
 inline double LookUpPrefix(Engine& engine, std::uint64_t prefix) {
   if (prefix == 0) return 1;
   const auto found =
@@ -46,7 +47,8 @@
          engine.in_flight > 2 * fleet.cold_max_in_flight + answered;
 }
 
-/// The course of an attempt that is in flight at `engine` already.
+/// Returns the timing of an attempt, which `engine` already counts as in
+/// flight.
 inline AttemptTiming PlanAttempt(Engine& engine, const FleetSpec& fleet,
                                  const WorkModel& work_model,
                                  std::uint64_t prefix) {
--- a/policy/tests/load_fixture.h
+++ b/policy/tests/load_fixture.h
@@ -1,4 +1,4 @@
-// A run of one scheduler under one load, with all its parts.
+// Includes all parts of the simulation of a scheduler under a workload.
 #pragma once
 
 #include "load_run.h"
--- a/policy/tests/load_loads.h
+++ b/policy/tests/load_loads.h
@@ -1,4 +1,4 @@
-// The loads that every scheduler is measured under.
+// The workloads that schedulers are compared under.
 #pragma once
 
 #include <utility>
@@ -8,170 +8,179 @@
 
 namespace egretladder::policy::load {
 
-/// Accounts 2 to 9 with equal weights: the shops and charter operators.
+/// Weights of the accounts 2 to 9 (small customers), all equal.
 inline std::vector<double> ShopWeights() {
   return {0, 0, 1, 1, 1, 1, 1, 1, 1, 1};
 }
 inline std::vector<double> BrokerWeights() { return {1, 1}; }
 
-/// An ordinary hour: three quarters of capacity.
+/// An ordinary workload of three quarters of the capacity, times `factor`.
 inline Workload OrdinaryLoad(double factor = 1) {
-  Workload load{"ordinary", 1, {}, SampleClasses(), {}, 120s};
-  load.streams = {{0, 0.30 * factor, 0s, 120s, ShopWeights()},
-                  {1, 0.15 * factor, 0s, 120s, ShopWeights()},
-                  {2, 0.10 * factor, 0s, 120s, BrokerWeights()},
-                  {3, 0.20 * factor, 0s, 120s, ShopWeights()}};
-  return load;
+  Workload workload{"ordinary", 1, {}, SampleClasses(), {}, 120s};
+  workload.streams = {{0, 0.30 * factor, 0s, 120s, ShopWeights()},
+                      {1, 0.15 * factor, 0s, 120s, ShopWeights()},
+                      {2, 0.10 * factor, 0s, 120s, BrokerWeights()},
+                      {3, 0.20 * factor, 0s, 120s, ShopWeights()}};
+  return workload;
 }
 
-/// The same mix at some times what the fleet bears.
+/// The same mix of classes at `factor` times the capacity.
 inline Workload AtCapacity(double factor) {
-  Workload load = OrdinaryLoad(factor / 0.75);
-  load.name = factor > 1 ? "twice capacity" : "at capacity";
-  return load;
+  Workload workload = OrdinaryLoad(factor / 0.75);
+  workload.name = factor > 1 ? "twice capacity" : "at capacity";
+  return workload;
 }
 
-/// A broker sends record checks of 10 times the capacity for 30 s.
+/// One account sends a burst of class 2 at 10 times the capacity for 30 s.
 inline Workload BrokerBurst() {
-  Workload load = OrdinaryLoad();
-  load.name = "broker burst";
-  load.streams.push_back({2, 10, 30s, 60s, {1}});
-  return load;
+  Workload workload = OrdinaryLoad();
+  workload.name = "broker burst";
+  workload.streams.push_back({2, 10, 30s, 60s, {1}});
+  return workload;
 }
 
-/// Quetzal after practice: parents' look-ups at 3 times capacity for 20 s.
+/// Look-ups in the middle tier burst to 3 times the capacity for 20 s.
 inline Workload NightBurst() {
-  Workload load{"night burst", 2, {}, {}, {}, 90s};
-  load.classes = {{"enrol", 1, 1500ms, 1500ms, {40, 0.4}},
-                  {"lookup", 2, 2500ms, 4000ms, {40, 0.5}},
-                  {"report", 4, 60s, 5min, {400, 0.8}}};
-  load.streams = {{0, 0.15, 0s, 90s, ShopWeights()},
-                  {1, 0.25, 0s, 90s, ShopWeights()},
-                  {1, 3.0, 30s, 50s, ShopWeights()},
-                  {2, 0.40, 0s, 90s, BrokerWeights()}};
-  return load;
-}
-
-/// Two accounts and three prefixes with most of the load, 1.4 times capacity.
+  Workload workload{"night burst", 2, {}, {}, {}, 90s};
+  workload.classes = {{"enrol", 1, 1500ms, 1500ms, {40, 0.4}},
+                      {"lookup", 2, 2500ms, 4000ms, {40, 0.5}},
+                      {"report", 4, 60s, 5min, {400, 0.8}}};
+  workload.streams = {{0, 0.15, 0s, 90s, ShopWeights()},
+                      {1, 0.25, 0s, 90s, ShopWeights()},
+                      {1, 3.0, 30s, 50s, ShopWeights()},
+                      {2, 0.40, 0s, 90s, BrokerWeights()}};
+  return workload;
+}
+
+/// 1.4 times the capacity, most of it from two accounts and with three
+/// prefixes.
 inline Workload TwoAccountsDominate() {
-  Workload load{"few take most", 3, {}, SampleClasses(), {}, 90s};
+  Workload workload{"few take most", 3, {}, SampleClasses(), {}, 90s};
   const std::vector<double> skewed = {40, 40, 1, 1, 1, 1, 1, 1, 1, 1};
-  load.streams = {{1, 1.2, 0s, 90s, skewed, 200, 0.6},
-                  {3, 0.2, 0s, 90s, ShopWeights()}};
-  return load;
+  workload.streams = {{1, 1.2, 0s, 90s, skewed, 200, 0.6},
+                      {3, 0.2, 0s, 90s, ShopWeights()}};
+  return workload;
 }
 
-/// Long records as prompts, with shared prefixes, at capacity without caches.
+/// Long prompts with shared prefixes. The load equals the capacity without
+/// prefix caches.
 inline Workload SharedPrefixes() {
-  Workload load{"shared prefixes", 4, {}, SampleClasses(), {}, 60s};
-  load.classes[0].work_model = {40, 0.5, 0, 1, DoubleSeconds(1.2)};
-  load.streams = {{0, 1.0, 0s, 60s, ShopWeights(), 150, 0.3}};
-  return load;
+  Workload workload{"shared prefixes", 4, {}, SampleClasses(), {}, 60s};
+  workload.classes[0].work_model = {40, 0.5, 0, 1, DoubleSeconds(1.2)};
+  workload.streams = {{0, 1.0, 0s, 60s, ShopWeights(), 150, 0.3}};
+  return workload;
 }
 
-/// 2 in 100 answers are 20 times longer than the rest.
+/// 2% of the answers are 20 times longer than the others.
 inline Workload LongTailedAnswers() {
-  Workload load = OrdinaryLoad(1.6);
-  load.name = "long among short";
-  load.seed = 5;
-  for (ClassSpec& cls : load.classes) cls.work_model.long_share = 0.02;
-  return load;
+  Workload workload = OrdinaryLoad(1.6);
+  workload.name = "long among short";
+  workload.seed = 5;
+  for (ClassSpec& cls : workload.classes) cls.work_model.long_share = 0.02;
+  return workload;
 }
 
-/// An hour at 1.5 times capacity by the top tier alone, on a small fleet.
+/// The top tier alone brings 1.5 times the capacity of a small fleet, by
+/// default for an hour.
 inline Workload SaturatedHour(DoubleSeconds length = 3600s) {
-  Workload load{"saturated hour", 6,  {3, 3, 4, 1, 10},
-                SampleClasses(),  {}, length};
-  load.streams = {{0, 1.5, 0s, length, ShopWeights()},
-                  {1, 0.1, 0s, length, ShopWeights()},
-                  {2, 0.1, 0s, length, BrokerWeights()},
-                  {3, 0.1, 0s, length, ShopWeights()}};
-  return load;
+  Workload workload{"saturated hour", 6,  {3, 3, 4, 1, 10},
+                    SampleClasses(),  {}, length};
+  workload.streams = {{0, 1.5, 0s, length, ShopWeights()},
+                      {1, 0.1, 0s, length, ShopWeights()},
+                      {2, 0.1, 0s, length, BrokerWeights()},
+                      {3, 0.1, 0s, length, ShopWeights()}};
+  return workload;
 }
 
-/// The whole fleet starts cold under its ordinary load.
+/// The whole fleet starts cold under the ordinary workload.
 inline Workload AllCold() {
-  Workload load = OrdinaryLoad();
-  load.name = "all cold";
-  load.seed = 7;
-  load.fleet.starts_cold = true;
-  return load;
+  Workload workload = OrdinaryLoad();
+  workload.name = "all cold";
+  workload.seed = 7;
+  workload.fleet.starts_cold = true;
+  return workload;
 }
 
-/// A zone of three out for 30 s, and back with cold caches.
+/// One of three zones is out for 30 s and returns with cold caches.
 inline Workload ZoneOutAndBack() {
-  Workload load = OrdinaryLoad(0.9);
-  load.name = "zone out and back";
-  load.seed = 8;
-  return load;
+  Workload workload = OrdinaryLoad(0.9);
+  workload.name = "zone out and back";
+  workload.seed = 8;
+  return workload;
 }
 
-/// Long summaries fill a small fleet; a buyer asks now and then.
+/// Long requests of the lowest tier fill a small fleet, with a few requests of
+/// the top tier.
 inline Workload BatchOnFewSlots() {
-  Workload load{"batch on few slots", 10, {2, 2, 4, 1, 10},
-                SampleClasses(),      {}, 600s};
-  load.streams = {{0, 0.08, 0s, 600s, ShopWeights()},
-                  {3, 1.5, 0s, 600s, BrokerWeights()}};
-  return load;
+  Workload workload{"batch on few slots", 10, {2, 2, 4, 1, 10},
+                    SampleClasses(),      {}, 600s};
+  workload.streams = {{0, 0.08, 0s, 600s, ShopWeights()},
+                      {3, 1.5, 0s, 600s, BrokerWeights()}};
+  return workload;
 }
 
-/// Half of the engines die one after the other, and come back cold.
+/// Half of the engines crash one after the other and restart cold.
 inline Workload EnginesCrash() {
-  Workload load = OrdinaryLoad();
-  load.name = "engines die";
-  load.seed = 13;
-  return load;
+  Workload workload = OrdinaryLoad();
+  workload.name = "engines die";
+  workload.seed = 13;
+  return workload;
 }
 
-/// A body that crashes engines is sent again, some twenty times in all.
+/// A request body that crashes engines is sent about twenty times.
 inline Workload PoisonSentAgain() {
-  Workload load = OrdinaryLoad();
-  load.name = "poison";
-  load.seed = 14;
-  load.poison_interval = 151;
-  return load;
+  Workload workload = OrdinaryLoad();
+  workload.name = "poison";
+  workload.seed = 14;
+  workload.poison_interval = 151;
+  return workload;
 }
 
-/// A zone comes back warm but 5 times slower for 20 s.
+/// A zone returns warm but 5 times slower for 20 s.
 inline Workload ZoneBackUnwell() {
-  Workload load = OrdinaryLoad(0.8);
-  load.name = "zone back unwell";
-  load.seed = 11;
-  return load;
+  Workload workload = OrdinaryLoad(0.8);
+  workload.name = "zone back unwell";
+  workload.seed = 11;
+  return workload;
 }
 
-/// Other nodes crowd a third of the engines; reports of it are a second old.
+/// Other nodes load a third of the engines heavily. Reports of this are a
+/// second old.
 inline Workload UnevenLoadOfOtherNodes() {
-  Workload load = OrdinaryLoad(0.8);
-  load.name = "uneven others";
-  load.seed = 12;
-  load.classes[0].first_token = 1000ms;
-  load.classes[0].max_wait = 1000ms;
-  return load;
+  Workload workload = OrdinaryLoad(0.8);
+  workload.name = "uneven others";
+  workload.seed = 12;
+  workload.classes[0].first_token = 1000ms;
+  workload.classes[0].max_wait = 1000ms;
+  return workload;
 }
 
+/// One engine becomes 5 times slower.
 inline Workload OneSlowEndpoint() {
-  Workload load = OrdinaryLoad();
-  load.name = "one slow";
-  load.seed = 9;
-  return load;
+  Workload workload = OrdinaryLoad();
+  workload.name = "one slow";
+  workload.seed = 9;
+  return workload;
 }
 
-inline Result RunSimulation(std::string_view scheduler, const Workload& load,
+/// Runs the workload with the events that its name stands for, such as a zone
+/// that is taken out.
+inline Result RunSimulation(std::string_view scheduler,
+                            const Workload& workload,
                             const Limits& limits = {}) {
-  Simulation simulation(scheduler, load, limits);
-  if (load.name == "one slow") {
+  Simulation simulation(scheduler, workload, limits);
+  if (workload.name == "one slow") {
     simulation.ScheduleChange(10s,
                               [](Simulation& sim) { sim.SetSlowdown(0, 5); });
   }
-  if (load.name == "engines die") {
+  if (workload.name == "engines die") {
     for (std::uint32_t i = 0; i < 6; ++i) {
       simulation.ScheduleChange(
           DoubleSeconds(20 + 12 * i),
           [i](Simulation& sim) { sim.Crash(2 * i, DoubleSeconds(10)); });
     }
   }
-  if (load.name == "uneven others") {
+  if (workload.name == "uneven others") {
     for (std::uint32_t second = 0; second < 120; second += 10) {
       simulation.ScheduleChange(
           DoubleSeconds(second), [second](Simulation& sim) {
@@ -181,7 +190,7 @@
           });
     }
   }
-  if (load.name == "zone back unwell") {
+  if (workload.name == "zone back unwell") {
     simulation.RecordStartsInZone(0);
     simulation.ScheduleChange(40s,
                               [](Simulation& sim) { sim.SetZonesOut({0}); });
@@ -193,7 +202,7 @@
       for (std::uint32_t i = 0; i < 12; i += 3) sim.SetSlowdown(i, 1);
     });
   }
-  if (load.name == "zone out and back") {
+  if (workload.name == "zone out and back") {
     simulation.RecordStartsInZone(0);
     simulation.ScheduleChange(40s,
                               [](Simulation& sim) { sim.SetZonesOut({0}); });
@@ -205,7 +214,7 @@
   return simulation.RunSimulation();
 }
 
-/// All loads, in the order in which results list them.
+/// All workloads, in the order in which results list them.
 inline std::vector<Workload> AllWorkloads() {
   return {OrdinaryLoad(),        BrokerBurst(),     NightBurst(),
           TwoAccountsDominate(), SharedPrefixes(),  OneSlowEndpoint(),
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -1,4 +1,4 @@
-// The load that a run plays: who sends what and when, from one seed.
+// The model of a workload: which requests arrive when, drawn from one seed.
 #pragma once
 
 #include <algorithm>
@@ -22,25 +22,25 @@
 inline constexpr DoubleSeconds kTimePerToken{0.02};
 inline constexpr DoubleSeconds kUnloadedTimeToFirstToken{0.5};
 
-/// How long the answers of a class are.
+/// Distribution of the answers of a class.
 struct WorkModel {
   double mean_tokens = 80;
-  double spread = 0.5;    ///< Sigma of the logarithm.
-  double long_share = 0;  ///< Part of requests that are `long_times` longer.
+  double spread = 0.5;    ///< Standard deviation of the logarithm.
+  double long_share = 0;  ///< Ratio of answers `long_factor` as long.
   double long_factor = 20;
-  DoubleSeconds first_token =
-      kUnloadedTimeToFirstToken;  ///< Unloaded, without a cached prefix.
+  /// Time to first token on an idle engine, without a cached prefix.
+  DoubleSeconds first_token = kUnloadedTimeToFirstToken;
 };
 
-/// Requests of one class from some accounts.
+/// A Poisson stream of requests of one class.
 struct ArrivalStream {
   std::uint32_t cls = 0;
-  double load = 0;  ///< Of the fleet's slots.
+  double load = 0;  ///< Relative to the fleet's capacity.
   DoubleSeconds from{0};
   DoubleSeconds to{60};
-  std::vector<double> accounts = {1};  ///< Weights.
-  std::uint32_t prefixes = 0;          ///< 0: none.
-  double hot_prefix_ratio = 0;         ///< Part of requests with 3 prefixes.
+  std::vector<double> accounts = {1};  ///< Weight by account.
+  std::uint32_t prefixes = 0;          ///< Number of prefixes; 0: none.
+  double hot_prefix_ratio = 0;         ///< Requests with one of 3 hot prefixes.
 };
 
 struct ClassSpec {
@@ -67,13 +67,15 @@
   std::vector<ClassSpec> classes;
   std::vector<ArrivalStream> streams;
   DoubleSeconds length{60};
-  /// Each so-manieth request is one and the same body that crashes engines.
+  /// Every request whose number is a multiple of this has the same body, which
+  /// crashes engines; 0: none.
   std::uint64_t poison_interval = 0;
 };
 
 inline constexpr std::uint64_t kPoisonBody = ~std::uint64_t{0};
 
-/// Abay's classes: buyers' questions, quotes, record checks, trace summaries.
+/// Sample classes: buyers' questions, quotes, record checks and trace
+/// summaries.
 inline std::vector<ClassSpec> SampleClasses() {
   return {{"buyer", 1, 1800ms, 1800ms, {80, 0.5}},
           {"quote", 2, 4000ms, 4000ms, {100, 0.5}},
@@ -81,12 +83,13 @@
           {"summary", 5, 60s, 10min, {500, 0.8}}};
 }
 
-/// One request as the world knows it; the scheduler doesn't see `tokens`.
+/// A planned request. The scheduler doesn't know `tokens` in advance.
 struct PlannedRequest {
   Request request;
   std::uint32_t tokens = 1;
 };
 
+/// Draws from the standard normal distribution (Box-Muller transform).
 inline double DrawNormal(kernel::Random& random) {
   const double u = 1.0 - kernel::RandomFraction(random);
   const double v = kernel::RandomFraction(random);
@@ -95,15 +98,16 @@
 
 inline std::uint32_t DrawTokens(kernel::Random& random,
                                 const WorkModel& work_model) {
-  const double at_median = std::exp(work_model.spread * DrawNormal(random));
-  const double correction =
+  const double spread_factor = std::exp(work_model.spread * DrawNormal(random));
+  const double mean_correction =
       std::exp(-work_model.spread * work_model.spread / 2);
-  double tokens = work_model.mean_tokens * at_median * correction;
+  double tokens = work_model.mean_tokens * spread_factor * mean_correction;
   if (kernel::RandomFraction(random) < work_model.long_share)
     tokens *= work_model.long_factor;
   return static_cast<std::uint32_t>(std::clamp(tokens, 1.0, 20'000.0));
 }
 
+/// Returns the mean slot time of an attempt on an idle engine, in seconds.
 inline double MeanSlotSeconds(const WorkModel& work_model) {
   const double factor =
       1 + work_model.long_share * (work_model.long_factor - 1);
@@ -138,13 +142,13 @@
          std::chrono::duration_cast<std::chrono::nanoseconds>(since_start);
 }
 
-/// Draws the arrivals of all streams (Poisson), in order of time.
-inline std::vector<PlannedRequest> PlanArrivals(const Workload& load) {
-  kernel::Random random(load.seed);
+/// Draws the Poisson arrivals of all streams, in order of time.
+inline std::vector<PlannedRequest> PlanArrivals(const Workload& workload) {
+  kernel::Random random(workload.seed);
   std::vector<PlannedRequest> planned;
-  const double slots = load.fleet.endpoints * load.fleet.max_in_flight;
-  for (const ArrivalStream& stream : load.streams) {
-    const ClassSpec& cls = load.classes[stream.cls];
+  const double slots = workload.fleet.endpoints * workload.fleet.max_in_flight;
+  for (const ArrivalStream& stream : workload.streams) {
+    const ClassSpec& cls = workload.classes[stream.cls];
     const double rate = stream.load * slots / MeanSlotSeconds(cls.work_model);
     DoubleSeconds at = stream.from;
     while (rate > 0) {
@@ -173,19 +177,20 @@
   return planned;
 }
 
-/// The rules of a load, with some zones taken out.
-inline rules::RulesPtr MakeRules(const Workload& load, std::uint64_t version,
+/// Returns the rules of a workload with some zones taken out.
+inline rules::RulesPtr MakeRules(const Workload& workload,
+                                 std::uint64_t version,
                                  const std::vector<std::uint32_t>& zones_out) {
   auto new_rules = std::make_shared<rules::Rules>();
   new_rules->version = version;
-  for (std::uint32_t i = 0; i < load.fleet.zones; ++i) {
+  for (std::uint32_t i = 0; i < workload.fleet.zones; ++i) {
     const bool out =
         std::find(zones_out.begin(), zones_out.end(), i) != zones_out.end();
     new_rules->zones.push_back(
         {{"zone-" + std::to_string(i), "load", 1, true}, "addis", out});
   }
   new_rules->targets.push_back({{"model", "load", 1, true}});
-  for (const ClassSpec& spec : load.classes) {
+  for (const ClassSpec& spec : workload.classes) {
     rules::Class cls;
     cls.source = {spec.name, "load", 1, true};
     cls.tier = spec.tier;
@@ -193,18 +198,18 @@
     cls.max_wait = spec.max_wait;
     new_rules->classes.push_back(cls);
   }
-  for (std::uint32_t i = 0; i < load.fleet.accounts; ++i) {
+  for (std::uint32_t i = 0; i < workload.fleet.accounts; ++i) {
     rules::Account account;
     account.source = {"account-" + std::to_string(i), "load", 1, true};
     new_rules->accounts.push_back(account);
   }
-  for (std::uint32_t i = 0; i < load.fleet.endpoints; ++i) {
+  for (std::uint32_t i = 0; i < workload.fleet.endpoints; ++i) {
     rules::Endpoint endpoint;
     endpoint.source = {"engine-" + std::to_string(i), "load", 1, true};
-    endpoint.zone.idx = i % load.fleet.zones;
+    endpoint.zone.idx = i % workload.fleet.zones;
     endpoint.serves = {TargetHandle{0}};
-    endpoint.max_in_flight = load.fleet.max_in_flight;
-    endpoint.cold_max_in_flight = load.fleet.cold_max_in_flight;
+    endpoint.max_in_flight = workload.fleet.max_in_flight;
+    endpoint.cold_max_in_flight = workload.fleet.cold_max_in_flight;
     new_rules->endpoints.push_back(endpoint);
   }
   return new_rules;
--- a/policy/tests/load_parts.h
+++ b/policy/tests/load_parts.h
@@ -1,4 +1,4 @@
-// The parts of a run: engines, steps in time and requests with their fate.
+// The state of a simulation: engines, scheduled events and requests.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 
 namespace egretladder::policy::load {
 
-/// An engine as it is, whatever it reports.
+/// The actual state of an engine, which its reports may not show.
 struct Engine {
   std::uint32_t in_flight = 0;
-  std::uint32_t other_nodes_in_flight = 0;  ///< In flight by other nodes.
-  double slowdown = 1;
-  std::uint32_t answers_until_warm = 0;  ///< Answers until it is warm.
+  std::uint32_t other_nodes_in_flight = 0;  ///< Requests of other nodes.
+  double slowdown = 1;                      ///< Factor on all service times.
+  std::uint32_t answers_until_warm = 0;     ///< 0: warm.
   std::uint64_t boot = 1;
-  bool takes_work = true;  ///< By rules and availability.
-  std::uint32_t leased_slots = 0;
+  bool takes_work = true;           ///< By the rules and its availability.
+  std::uint32_t leased_slots = 0;   ///< Slots of the simulated node.
   std::list<std::uint64_t> cached;  ///< Prefixes, newest first.
   SlotState slots;
   SlotEvidence evidence;
@@ -34,24 +34,25 @@
   kPlannedChange,
 };
 
+/// A scheduled event. Events of the same time happen in the order of `number`.
 struct Event {
   Time at{};
   std::uint64_t number = 0;
   EventKind kind = EventKind::kTick;
-  std::uint64_t id = 0;
-  std::uint32_t attempt = 0;
+  std::uint64_t id = 0;       ///< The request, or the index of a change.
+  std::uint32_t attempt = 0;  ///< Outdated if the request has a later one.
   bool operator>(const Event& other) const {
     return at != other.at ? at > other.at : number > other.number;
   }
 };
 
-/// One request in the run.
+/// A request in the simulation.
 struct SimRequest {
   PlannedRequest planned;
   bool waiting = false;
   bool running = false;
   bool ended = false;
-  bool first_token = false;
+  bool has_first_token = false;
   bool by_aging_quota = false;
   std::uint32_t attempt = 1;
   std::uint32_t engine = 0;
--- a/policy/tests/load_result.h
+++ b/policy/tests/load_result.h
@@ -1,4 +1,4 @@
-// What callers got in a run.
+// The results of a simulation, as callers see them.
 #pragma once
 
 #include <algorithm>
@@ -16,11 +16,11 @@
   std::uint32_t late = 0;
   std::uint32_t refused = 0;
   std::uint32_t failed = 0;
-  DoubleSeconds worst_wait{0};        ///< Until its start.
-  DoubleSeconds worst_refusal{0};     ///< From arrival to a refusal.
-  DoubleSeconds refusal_waits{0};     ///< Sum.
-  DoubleSeconds longest_unserved{0};  ///< Some waited and none started.
-  std::vector<double> first_tokens;   ///< Seconds from arrival.
+  DoubleSeconds worst_wait{0};        ///< From arrival to dispatch.
+  DoubleSeconds worst_refusal{0};     ///< From arrival to refusal.
+  DoubleSeconds refusal_waits{0};     ///< Sum over all refusals.
+  DoubleSeconds longest_unserved{0};  ///< Some waited, none was started.
+  std::vector<double> first_tokens;   ///< Seconds since arrival.
 };
 
 struct Result {
@@ -33,21 +33,24 @@
   DoubleSeconds longest_aged_attempt{0};
   std::uint32_t preempted = 0;
   std::uint32_t poison_deaths = 0;
-  std::uint32_t starts_at_slow_engines =
-      0;  ///< Started at engines slower than the others.
-  /// Broken rules: any scheduler must have none.
+  /// Attempts at engines that are slowed down.
+  std::uint32_t starts_at_slow_engines = 0;
+  /// Violated invariants; any scheduler must have none.
   std::uint32_t violations = 0;
   std::string first_violation;
-  /// Higher tier turned away for room while a lower one waited, and lower
-  /// started before higher without the trickle. Baselines have many.
+  /// Requests that were refused for lack of room while a lower tier waited, or
+  /// dispatched while a higher tier waited without using the aging quota.
+  /// Baseline schedulers have many.
   std::uint32_t tier_inversions = 0;
-  /// By class and account: produced in time, and asked for.
+  /// By class and account: tokens of answers in time, and tokens of all
+  /// requests.
   std::vector<std::vector<double>> tokens;
   std::vector<std::vector<double>> demand;
-  std::vector<std::uint32_t>
-      zone_starts_by_second;  ///< Starts in a zone by second.
+  /// Dispatches to the recorded zone, by second.
+  std::vector<std::uint32_t> zone_starts_by_second;
 };
 
+/// Returns the ratio of requests that were answered in time.
 inline double Attainment(const Result& result, std::uint32_t cls) {
   const ClassResult& class_result = result.classes[cls];
   return class_result.offered == 0
@@ -55,14 +58,16 @@
              : static_cast<double>(class_result.in_time) / class_result.offered;
 }
 
+/// Returns the mean time to first token in seconds.
 inline double MeanTimeToFirstToken(const Result& result, std::uint32_t cls) {
   double sum = 0;
-  for (const double took : result.classes[cls].first_tokens) sum += took;
+  for (const double latency_seconds : result.classes[cls].first_tokens)
+    sum += latency_seconds;
   const auto count = result.classes[cls].first_tokens.size();
   return count == 0 ? 0 : sum / static_cast<double>(count);
 }
 
-/// 95 in 100 first tokens came within this many seconds.
+/// Returns the 95th percentile of the time to first token in seconds.
 inline double TimeToFirstTokenP95(const Result& result, std::uint32_t cls) {
   std::vector<double> sorted = result.classes[cls].first_tokens;
   if (sorted.empty()) return 0;
@@ -70,18 +75,20 @@
   return sorted[sorted.size() * 95 / 100];
 }
 
-inline double Goodput(const Result& result, const Workload& load) {
-  return result.tokens_in_time / load.length.count();
+/// Returns the tokens of answers in time per second of the workload.
+inline double Goodput(const Result& result, const Workload& workload) {
+  return result.tokens_in_time / workload.length.count();
 }
 
+/// Returns the ratio of slot time that was spent on attempts without an answer.
 inline double WastedRatio(const Result& result) {
   return result.slot_seconds <= 0
              ? 0
              : result.wasted_slot_seconds / result.slot_seconds;
 }
 
-/// What each account would get of `total` by equal parts, none more than it
-/// asked for.
+/// Returns the max-min fair shares of `total`: equal for all accounts, but none
+/// more than its demand.
 inline std::vector<double> FairShares(const std::vector<double>& demand,
                                       double total) {
   std::vector<double> shares(demand.size(), 0);
@@ -107,8 +114,8 @@
   return shares;
 }
 
-/// Jain's index over what the accounts of a class got in time against their
-/// fair parts; 1 is fair.
+/// Returns Jain's fairness index of the tokens that the accounts of a class got
+/// in time, relative to their fair shares; 1 is fair.
 inline double JainIndex(const Result& result, std::uint32_t cls) {
   double total = 0;
   for (const double tokens : result.tokens[cls]) total += tokens;
--- a/policy/tests/load_run.h
+++ b/policy/tests/load_run.h
@@ -1,7 +1,8 @@
-// A run of one scheduler under one load: engines with slots, service times and
-// caches on a paused clock, from one seed. After every step the rules that no
-// run may break are checked. What happens to requests, engines and decisions
-// stands in the headers load_run_*.h; load_fixture.h has them all.
+// A discrete-event simulation of one scheduler under one workload: engines with
+// slots, service times and caches, on a simulated clock and from one seed.
+// Invariants are checked after every event. The headers load_run_*.h define the
+// handling of requests, engines and decisions; load_fixture.h includes them
+// all.
 #pragma once
 
 #include <functional>
@@ -25,46 +26,47 @@
 
 class Simulation {
  public:
-  Simulation(std::string_view scheduler, Workload load,
+  Simulation(std::string_view scheduler, Workload workload,
              const Limits& limits = {})
-      : load_(std::move(load)),
+      : workload_(std::move(workload)),
         plugin_(kernel::FindPlugin<SchedulerPlugin>(scheduler)),
-        random_(load_.seed + 1),
-        wait_counts_(MakeWaitCounts(load_.classes.size())) {
+        random_(workload_.seed + 1),
+        wait_counts_(MakeWaitCounts(workload_.classes.size())) {
     result_.scheduler = scheduler;
-    result_.classes.resize(load_.classes.size());
-    result_.tokens.assign(load_.classes.size(),
-                          std::vector<double>(load_.fleet.accounts));
+    result_.classes.resize(workload_.classes.size());
+    result_.tokens.assign(workload_.classes.size(),
+                          std::vector<double>(workload_.fleet.accounts));
     result_.demand = result_.tokens;
     result_.zone_starts_by_second.resize(
-        static_cast<std::size_t>(load_.length.count()) + 1);
-    engines_.resize(load_.fleet.endpoints);
-    state_ = plugin_->create({ZoneHandle{0}, load_.seed, limits});
+        static_cast<std::size_t>(workload_.length.count()) + 1);
+    engines_.resize(workload_.fleet.endpoints);
+    state_ = plugin_->create({ZoneHandle{0}, workload_.seed, limits});
   }
 
-  /// Does something to the run at a moment, such as taking a zone out.
+  /// Schedules a change at a time since the start, such as taking a zone out.
   void ScheduleChange(DoubleSeconds at,
                       std::function<void(Simulation&)> change) {
     changes_.emplace_back(at, std::move(change));
   }
-  /// New rules take these zones out, and all others back in.
+  /// Applies new rules in which exactly these zones are out.
   void SetZonesOut(const std::vector<std::uint32_t>& zones);
-  /// An engine takes `slow` times as long for everything; 1 is as it should.
+  /// Multiplies all service times of an engine; 1 is normal.
   void SetSlowdown(std::uint32_t engine, double slowdown) {
     engines_[engine].slowdown = slowdown;
   }
-  /// So many requests of other nodes run at an engine.
+  /// Sets the number of requests of other nodes at an engine.
   void SetOtherNodesInFlight(std::uint32_t engine,
                              std::uint32_t other_nodes_in_flight) {
     engines_[engine].other_nodes_in_flight = other_nodes_in_flight;
   }
-  /// Restarts an engine's cache and compiled state; its boot changes if `boot`.
+  /// Clears an engine's caches. If `boot`, it is a restart that reports show.
   void MakeCold(std::uint32_t engine, bool boot);
-  /// The engine dies with what runs on it and is back, cold, after `away`.
+  /// Crashes an engine and the attempts on it. It is back, cold, after
+  /// `downtime`.
   void Crash(std::uint32_t engine, DoubleSeconds downtime);
-  /// The zone whose starts go to `first_wave`.
+  /// Sets the zone whose dispatches go to `Result::zone_starts_by_second`.
   void RecordStartsInZone(std::uint32_t zone) { recorded_zone_ = zone; }
-  /// Plays the load to its end. Call it once.
+  /// Runs the workload to its end. Must be called once only.
   Result RunSimulation();
 
  private:
@@ -109,34 +111,34 @@
     }
     for (const Engine& engine : engines_) {
       Check(engine.in_flight <=
-                std::max(engine.leased_slots, load_.fleet.max_in_flight),
-            "more in flight than the engine bears");
+                std::max(engine.leased_slots, workload_.fleet.max_in_flight),
+            "more requests in flight than the engine can take");
     }
   }
 
-  static double& CellOf(std::vector<std::vector<double>>& table,
-                        const PlannedRequest& planned) {
+  static double& CellFor(std::vector<std::vector<double>>& table,
+                         const PlannedRequest& planned) {
     return table[planned.request.cls.idx][planned.request.account.idx];
   }
   const ClassSpec& GetClass(const SimRequest& sim_request) const {
-    return load_.classes[sim_request.planned.request.cls.idx];
+    return workload_.classes[sim_request.planned.request.cls.idx];
   }
   std::uint8_t GetTier(const Request& request) const {
-    return load_.classes[request.cls.idx].tier;
+    return workload_.classes[request.cls.idx].tier;
   }
-  void Check(bool holds, const char* rule) {
-    if (holds) return;
-    if (result_.violations++ == 0) result_.first_violation = rule;
+  void Check(bool is_satisfied, const char* invariant) {
+    if (is_satisfied) return;
+    if (result_.violations++ == 0) result_.first_violation = invariant;
   }
-  static std::chrono::nanoseconds ToNanoseconds(DoubleSeconds span) {
-    return std::chrono::duration_cast<std::chrono::nanoseconds>(span);
+  static std::chrono::nanoseconds ToNanoseconds(DoubleSeconds seconds) {
+    return std::chrono::duration_cast<std::chrono::nanoseconds>(seconds);
   }
   void AddEvent(Time at, EventKind kind, std::uint64_t id,
                 std::uint32_t attempt = 0) {
     events_.push({at, ++last_event_number_, kind, id, attempt});
   }
 
-  Workload load_;
+  Workload workload_;
   const SchedulerPlugin* plugin_;
   std::unique_ptr<SchedulerState> state_;
   kernel::Random random_;
--- a/policy/tests/load_run_actions.h
+++ b/policy/tests/load_run_actions.h
@@ -1,4 +1,4 @@
-// Carries out what the scheduler decides, and checks it.
+// Carries out the scheduler's decisions and checks them.
 #pragma once
 
 #include "load_run.h"
@@ -10,9 +10,10 @@
   Engine& engine = engines_[dispatch.endpoint.idx];
   const Request& request = sim_request.planned.request;
   Check(sim_request.waiting && !sim_request.running,
-        "started what did not wait");
-  Check(engine.takes_work, "started at an endpoint that takes no work");
-  Check(engine.in_flight < engine.leased_slots, "more in flight than slots");
+        "dispatched a request that was not waiting");
+  Check(engine.takes_work, "dispatched to an endpoint that takes no work");
+  Check(engine.in_flight < engine.leased_slots,
+        "more requests in flight than slots");
   LeaveQueue(sim_request);
   const bool by_aging_quota = dispatch.reason == PickReason::kAgedWork;
   if (!by_aging_quota && IsHigherTierWaiting(wait_counts_, GetTier(request))) {
@@ -33,7 +34,7 @@
     ++result_.starts_at_slow_engines;
   const auto second =
       static_cast<std::size_t>(DoubleSeconds(now_ - kStart).count());
-  if (sim_request.engine % load_.fleet.zones == recorded_zone_ &&
+  if (sim_request.engine % workload_.fleet.zones == recorded_zone_ &&
       second < result_.zone_starts_by_second.size()) {
     ++result_.zone_starts_by_second[second];
   }
@@ -46,8 +47,8 @@
 inline void Simulation::Apply(const Refuse& refuse) {
   SimRequest& sim_request = sim_requests_[refuse.request];
   const Request& request = sim_request.planned.request;
-  Check(sim_request.waiting, "refused what did not wait");
-  Check(refuse.retry_after > 0ms, "a refusal without a time to come back");
+  Check(sim_request.waiting, "refused a request that was not waiting");
+  Check(refuse.retry_after > 0ms, "refused without a retry delay");
   LeaveQueue(sim_request);
   const bool to_make_room = refuse.reason == RefuseReason::kQueueFull ||
                             refuse.reason == RefuseReason::kShedForHigherTier;
@@ -64,10 +65,10 @@
 
 inline void Simulation::Apply(const Preempt& preempt) {
   SimRequest& sim_request = sim_requests_[preempt.request];
-  Check(sim_request.running && !sim_request.first_token,
-        "preempted after a first token");
+  Check(sim_request.running && !sim_request.has_first_token,
+        "preempted a request after its first token");
   Check(IsHigherTierWaiting(wait_counts_, GetTier(sim_request.planned.request)),
-        "preempted for no higher tier");
+        "preempted a request while no higher tier waited");
   ++result_.preempted;
   AbortAttempt(preempt.request, EndKind::kCancelled);
 }
@@ -75,7 +76,7 @@
 inline void Simulation::ScheduleAttempt(std::uint64_t id,
                                         const SimRequest& sim_request) {
   const AttemptTiming timing = PlanAttempt(
-      engines_[sim_request.engine], load_.fleet,
+      engines_[sim_request.engine], workload_.fleet,
       GetClass(sim_request).work_model, sim_request.planned.request.prefix);
   if (timing.fails) {
     return AddEvent(now_ + ToNanoseconds(kFailureDelay), EventKind::kEnd, id,
--- a/policy/tests/load_run_engines.h
+++ b/policy/tests/load_run_engines.h
@@ -1,4 +1,4 @@
-// What happens to engines: slots, reports, cold starts, crashes, zones out.
+// Simulation of engines: slots, reports, cold starts, crashes and zones out.
 #pragma once
 
 #include "load_run.h"
@@ -7,20 +7,22 @@
 
 inline void Simulation::SetZonesOut(const std::vector<std::uint32_t>& zones) {
   for (std::uint32_t i = 0; i < engines_.size(); ++i) {
-    engines_[i].takes_work = std::find(zones.begin(), zones.end(),
-                                       i % load_.fleet.zones) == zones.end();
+    engines_[i].takes_work =
+        std::find(zones.begin(), zones.end(), i % workload_.fleet.zones) ==
+        zones.end();
   }
   CallScheduler([&](Actions& out) {
-    plugin_->on_rules(*state_, MakeRules(load_, ++version_, zones), now_, out);
+    plugin_->on_rules(*state_, MakeRules(workload_, ++version_, zones), now_,
+                      out);
   });
 }
 
 inline void Simulation::MakeCold(std::uint32_t engine, bool boot) {
-  Engine& cold = engines_[engine];
-  cold.answers_until_warm = kAnswersToWarm;
-  cold.cached.clear();
+  Engine& cold_engine = engines_[engine];
+  cold_engine.answers_until_warm = kAnswersToWarm;
+  cold_engine.cached.clear();
   if (!boot) return;
-  ++cold.boot;
+  ++cold_engine.boot;
   RestartSlots(engine);
 }
 
@@ -43,7 +45,8 @@
            changes_.size() - 1);
 }
 
-// One body crashes every engine that runs it, and its caller sends it again.
+// Crashes the engine that runs the poison body, and quarantines the bodies that
+// are identified by this.
 inline void Simulation::HandlePoison(std::uint64_t id) {
   const std::uint32_t engine = sim_requests_[id].engine;
   ++result_.poison_deaths;
@@ -72,7 +75,8 @@
   });
 }
 
-// The keeper's part: slots from evidence, reports a second old.
+// Plays the part of the other nodes: updates the slots of each engine from its
+// evidence, and delivers reports that are one second old.
 inline void Simulation::UpdateFleet() {
   for (std::uint32_t i = 0; i < engines_.size(); ++i) {
     Engine& engine = engines_[i];
@@ -91,12 +95,12 @@
 
 inline void Simulation::RestartSlots(std::uint32_t engine) {
   Engine& started = engines_[engine];
-  const std::uint32_t cold = started.answers_until_warm > 0
-                                 ? load_.fleet.cold_max_in_flight
-                                 : load_.fleet.max_in_flight;
-  (void)StartSlots(started.slots, cold, load_.fleet.max_in_flight, started.boot,
-                   now_);
-  started.slots.cold_max_in_flight = load_.fleet.cold_max_in_flight;
+  const std::uint32_t initial_slots = started.answers_until_warm > 0
+                                          ? workload_.fleet.cold_max_in_flight
+                                          : workload_.fleet.max_in_flight;
+  (void)StartSlots(started.slots, initial_slots, workload_.fleet.max_in_flight,
+                   started.boot, now_);
+  started.slots.cold_max_in_flight = workload_.fleet.cold_max_in_flight;
   UpdateLease(engine);
 }
 
--- a/policy/tests/load_run_requests.h
+++ b/policy/tests/load_run_requests.h
@@ -1,4 +1,4 @@
-// What happens to requests: they arrive, run, answer, end or are repeated.
+// Simulation of requests: arrival, tokens, end and retries.
 #pragma once
 
 #include "load_run.h"
@@ -23,7 +23,7 @@
   if (sim_request.planned.request.fingerprint == kPoisonBody) {
     return HandlePoison(event.id);
   }
-  sim_request.first_token = true;
+  sim_request.has_first_token = true;
   sim_request.first_token_at = now_;
   const bool in_time =
       now_ - sim_request.started <= GetClass(sim_request).first_token;
@@ -46,7 +46,7 @@
   SimRequest& sim_request = sim_requests_[event.id];
   if (!sim_request.running || sim_request.attempt != event.attempt) return;
   Engine& engine = engines_[sim_request.engine];
-  if (!sim_request.first_token) {  // It failed.
+  if (!sim_request.has_first_token) {  // The attempt failed.
     ++engine.evidence.failed;
     return AbortAttempt(event.id, EndKind::kFailed);
   }
@@ -68,24 +68,24 @@
                                  .count());
   if (sim_request.first_token_at <= sim_request.planned.request.deadline) {
     ++cls.in_time;
-    // Work that a queue carries past the end is no goodput of the load.
-    if (now_ <= TimeAt(load_.length)) {
+    // Answers after the end of the workload don't count as its goodput.
+    if (now_ <= TimeAt(workload_.length)) {
       result_.tokens_in_time += sim_request.planned.tokens;
     }
-    CellOf(result_.tokens, sim_request.planned) += sim_request.planned.tokens;
+    CellFor(result_.tokens, sim_request.planned) += sim_request.planned.tokens;
   } else {
     ++cls.late;
   }
 }
 
-// An attempt ends without an answer; it may be repeated.
+// Ends an attempt without an answer. The request may be retried.
 inline void Simulation::AbortAttempt(std::uint64_t id, EndKind kind) {
   SimRequest& sim_request = sim_requests_[id];
   result_.wasted_slot_seconds +=
       DoubleSeconds(now_ - sim_request.started).count();
   ReleaseSlot(sim_request);
   ++sim_request.attempt;
-  sim_request.first_token = false;
+  sim_request.has_first_token = false;
   sim_request.reported_tokens = 0;
   if (kind == EndKind::kCancelled) {
     AddEvent(now_, EventKind::kRetry, id);
@@ -102,10 +102,10 @@
   context.blamed = kind == EndKind::kDied;
   context.attempt = static_cast<std::uint8_t>(sim_request.attempt - 1);
   context.deadline = sim_request.planned.request.deadline;
-  const RetryDecision answer =
+  const RetryDecision decision =
       DecideRetry(budget_, context, kernel::RandomFraction(random_), now_);
-  if (answer.should_retry) {
-    AddEvent(now_ + answer.delay, EventKind::kRetry, id);
+  if (decision.should_retry) {
+    AddEvent(now_ + decision.delay, EventKind::kRetry, id);
     return;
   }
   ++result_.classes[sim_request.planned.request.cls.idx].failed;
--- a/policy/tests/load_run_steps.h
+++ b/policy/tests/load_run_steps.h
@@ -1,4 +1,4 @@
-// The run from its plan to its end, step by step in time.
+// The event loop of the simulation.
 #pragma once
 
 #include "load_run.h"
@@ -7,13 +7,13 @@
 
 inline void Simulation::Start() {
   now_ = kStart;
-  for (PlannedRequest& planned : PlanArrivals(load_)) {
-    if (load_.poison_interval > 0 &&
-        planned.request.id % load_.poison_interval == 0) {
+  for (PlannedRequest& planned : PlanArrivals(workload_)) {
+    if (workload_.poison_interval > 0 &&
+        planned.request.id % workload_.poison_interval == 0) {
       planned.request.fingerprint = kPoisonBody;
     }
     ++result_.classes[planned.request.cls.idx].offered;
-    CellOf(result_.demand, planned) += planned.tokens;
+    CellFor(result_.demand, planned) += planned.tokens;
     AddEvent(planned.request.arrived, EventKind::kArrival, planned.request.id);
     sim_requests_[planned.request.id].planned = planned;
   }
@@ -23,7 +23,7 @@
   }
   SetZonesOut({});
   for (std::uint32_t i = 0; i < engines_.size(); ++i) {
-    if (load_.fleet.starts_cold)
+    if (workload_.fleet.starts_cold)
       engines_[i].answers_until_warm = kAnswersToWarm;
     RestartSlots(i);
   }
@@ -54,7 +54,7 @@
   }
 }
 
-// A change may add others, which moves the list.
+// Copies the change first: it may add others, which reallocates the list.
 inline void Simulation::ApplyChange(std::uint64_t number) {
   const std::function<void(Simulation&)> change = changes_[number].second;
   change(*this);
@@ -67,7 +67,7 @@
     events_.pop();
     now_ = event.at;
     HandleEvent(event);
-    if (now_ > TimeAt(load_.length) && unfinished_ == 0) break;
+    if (now_ > TimeAt(workload_.length) && unfinished_ == 0) break;
   }
   CheckAllFinished();
   return result_;
--- a/policy/tests/load_waiting.h
+++ b/policy/tests/load_waiting.h
@@ -1,5 +1,5 @@
-// Who waits in a run, by tier and by class, and since when a class in which
-// some wait has had no start.
+// Counts of waiting requests by tier and by class, and how long a class with
+// waiting requests has gone without a dispatch.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 struct WaitCounts {
   std::vector<std::uint32_t> by_tier;
   std::vector<std::uint32_t> by_class;
-  std::vector<Time> unserved_since;  ///< Time::max(): none of the class waits.
+  std::vector<Time> unserved_since;  ///< Time::max(): none waits.
 };
 
 inline WaitCounts MakeWaitCounts(std::size_t classes) {
@@ -28,7 +28,8 @@
   if (++counts.by_class[cls] == 1) counts.unserved_since[cls] = now;
 }
 
-/// Ends a span in which some of the class waited and none started.
+/// Ends a time in which requests of the class waited and none was dispatched,
+/// and updates `longest`.
 inline void EndUnservedSpan(WaitCounts& counts, std::uint32_t cls, Time now,
                             DoubleSeconds& longest) {
   Time& since = counts.unserved_since[cls];
--- a/policy/tests/loads_test.cc
+++ b/policy/tests/loads_test.cc
@@ -10,11 +10,14 @@
 namespace el = egretladder::policy::load;
 
 TEST_GROUP(Loads){
-    // No run of any scheduler may break a rule; the ladder never puts a lower
-    // tier before a higher one but for the trickle, and wastes little.
-    el::Result RunAndCheck(std::string_view scheduler, const el::Workload& load,
+    // No scheduler may violate an invariant. In addition, the ladder never
+    // serves a lower tier before a higher one, except within the aging quota,
+    // and wastes little slot time.
+    el::Result RunAndCheck(std::string_view scheduler,
+                           const el::Workload& workload,
                            const ep::Limits& limits = {}){
-        const el::Result result = el::RunSimulation(scheduler, load, limits);
+        const el::Result result = el::RunSimulation(scheduler, workload,
+                                                    limits);
 STRCMP_EQUAL("", result.first_violation.c_str());
 CHECK_EQUAL(0U, result.violations);
 if (scheduler == "ladder") {
@@ -23,15 +26,16 @@
 }
 return result;
 }
-// A check that can fail: the baselines do break the order of tiers.
-el::Result RunBaseline(const el::Workload& load) {
-  return RunAndCheck("least", load);
+// Runs a baseline, which does violate the order of tiers. This shows that the
+// check can fail.
+el::Result RunBaseline(const el::Workload& workload) {
+  return RunAndCheck("least", workload);
 }
 }
 ;
 
-// A broker sends ten times what the fleet bears for half a minute. In order of
-// arrival its checks stand before the buyers' questions, and aircraft wait.
+// One account sends ten times the capacity in a lower tier for half a minute.
+// In order of arrival these requests would delay those of the top tier.
 TEST(Loads, BurstOfALowerTierDoesNotDelayTheTopTier) {
   const el::Result without_burst = RunAndCheck("ladder", el::OrdinaryLoad());
   const el::Result ladder = RunAndCheck("ladder", el::BrokerBurst());
@@ -46,18 +50,19 @@
   CHECK_TRUE(checks.refusal_waits.count() / checks.refused < 2);
 }
 
-// Parents look for free places after practice, three times what the fleet
-// bears. Served in order of arrival, most answers come when no one waits.
+// A burst of three times the capacity. Served in order of arrival, most answers
+// would come after their deadline.
 TEST(Loads, BurstOverCapacityKeepsGoodput) {
-  const el::Workload load = el::NightBurst();
-  const el::Result ladder = RunAndCheck("ladder", load);
-  const el::Result least = RunBaseline(load);
+  const el::Workload workload = el::NightBurst();
+  const el::Result ladder = RunAndCheck("ladder", workload);
+  const el::Result least = RunBaseline(workload);
   CHECK_TRUE(el::Attainment(ladder, 0) >= 0.99);
-  CHECK_TRUE(el::Goodput(ladder, load) > 1.1 * el::Goodput(least, load));
+  CHECK_TRUE(el::Goodput(ladder, workload) >
+             1.1 * el::Goodput(least, workload));
 }
 
-// Two accounts send nine in ten requests. Without fair turns the shops wait
-// behind them and get their quotes too late.
+// Two accounts send nine in ten requests. Without fair sharing the requests of
+// the other accounts wait behind them and are late.
 TEST(Loads, DominantAccountsDoNotStarveOthers) {
   const el::Result ladder = RunAndCheck("ladder", el::TwoAccountsDominate());
   const el::Result least = RunBaseline(el::TwoAccountsDominate());
@@ -65,8 +70,8 @@
   CHECK_TRUE(el::JainIndex(least, 1) < 0.7);
 }
 
-// Many prompts share long records. Computed anew each time, they cost the
-// first second of every answer.
+// Many prompts share long prefixes. Without prefix affinity they are computed
+// anew each time, which takes the first second of every answer.
 TEST(Loads, SharedPrefixesGoWhereTheyAreCached) {
   ep::Limits off;
   off.affinity_load = 0;
@@ -77,8 +82,8 @@
              0.8 * el::MeanTimeToFirstToken(without_affinity, 0));
 }
 
-// One endpoint answers five times slower and reports health. Buyers who are
-// sent there get late answers.
+// One endpoint answers five times slower but reports itself healthy. Requests
+// that are sent there are late.
 TEST(Loads, SlowEndpointIsDetectedFromAnswers) {
   const el::Result ladder = RunAndCheck("ladder", el::OneSlowEndpoint());
   const el::Result least = RunBaseline(el::OneSlowEndpoint());
@@ -86,8 +91,8 @@
   CHECK_TRUE(el::Attainment(ladder, 0) > el::Attainment(least, 0));
 }
 
-// Two answers in a hundred are twenty times longer. Estimates by mean service
-// time alone refuse or keep the wrong ones.
+// Two answers in a hundred are twenty times longer. Estimates by the mean of
+// completed answers alone refuse or admit the wrong requests.
 TEST(Loads, LongTailedServiceTimes) {
   const el::Result ladder = RunAndCheck("ladder", el::LongTailedAnswers());
   const el::Result least = RunBaseline(el::LongTailedAnswers());
@@ -95,14 +100,16 @@
   CHECK_TRUE(el::Attainment(least, 0) < 0.6);
 }
 
-// Buyers alone bring one and a half times what the fleet bears for an hour.
-// Strict order never serves the rest; the trickle serves every class within its
-// bound and takes no more than its share.
+// The top tier alone brings one and a half times the capacity for an hour. With
+// strict priority lower tiers are never served. The aging quota must serve
+// every class within the bound of MaxStarvationTime and take no more than its
+// share.
 TEST(Loads, SaturatedTopTierDoesNotStarveLowerTiers) {
-  const el::Workload load = el::SaturatedHour();
+  const el::Workload workload = el::SaturatedHour();
   const ep::Limits limits;
-  const el::Result ladder = RunAndCheck("ladder", load);
-  const std::uint32_t slots = load.fleet.endpoints * load.fleet.max_in_flight;
+  const el::Result ladder = RunAndCheck("ladder", workload);
+  const std::uint32_t slots =
+      workload.fleet.endpoints * workload.fleet.max_in_flight;
   const ep::Seconds max_starvation = ep::MaxStarvationTime(
       3, slots, ladder.longest_aged_attempt, ep::Seconds(3), limits);
   for (std::uint32_t cls = 1; cls < 4; ++cls) {
@@ -111,20 +118,21 @@
   }
   const double share = ladder.aged_slot_seconds / (slots * 3600.0);
   CHECK_TRUE(share <= limits.aging_share * 1.05);
-  CHECK_TRUE(el::Attainment(ladder, 0) > 0.64);  // 0.667 is all there is.
-  const el::Result strict = RunAndCheck("strict", load);
+  CHECK_TRUE(el::Attainment(ladder, 0) > 0.64);  // At most 1 / 1.5.
+  const el::Result strict = RunAndCheck("strict", workload);
   CHECK_TRUE(strict.classes[3].longest_unserved > max_starvation);
 }
 
-// Every engine starts cold under the ordinary load. Given their full slots,
-// they drop work.
+// Every engine starts cold under the ordinary workload. With all their slots at
+// once they would drop requests.
 TEST(Loads, WholeFleetStartsCold) {
   const el::Result ladder = RunAndCheck("ladder", el::AllCold());
   const el::Result least = RunBaseline(el::AllCold());
   CHECK_TRUE(el::Attainment(ladder, 0) > el::Attainment(least, 0) + 0.05);
 }
 
-// Operators take a zone out for half a minute and bring it back cold.
+// A zone is taken out for half a minute and returns with cold caches. It must
+// get no request while it is out, and get requests again after its return.
 TEST(Loads, ZoneOutAndBack) {
   const el::Result ladder = RunAndCheck("ladder", el::ZoneOutAndBack());
   const el::Result least = RunBaseline(el::ZoneOutAndBack());
@@ -136,27 +144,30 @@
   CHECK_TRUE(ladder.zone_starts_by_second[110] > 0);
 }
 
-// Engines die one after the other with what runs on them.
+// Engines crash one after the other with the attempts on them, which must be
+// retried elsewhere in time.
 TEST(Loads, CrashingEnginesCostLittle) {
   const el::Result ladder = RunAndCheck("ladder", el::EnginesCrash());
   CHECK_TRUE(el::Attainment(ladder, 0) >= 0.99);
   CHECK_TRUE(ladder.wasted_slot_seconds > 0);
 }
 
-// One body crashes each engine that runs it, and its caller sends it again. Two
-// engines are lost before it is known; those that ran beside it go on.
+// One body crashes each engine that runs it and is sent many times. It must be
+// identified after two to four crashes, and the bodies that ran beside it must
+// not be quarantined.
 TEST(Loads, PoisonIsQuarantinedAndInnocentBodiesAreNot) {
   for (std::uint64_t seed = 14; seed < 20; ++seed) {
-    el::Workload load = el::PoisonSentAgain();
-    load.seed = seed;
-    const el::Result ladder = RunAndCheck("ladder", load);
+    el::Workload workload = el::PoisonSentAgain();
+    workload.seed = seed;
+    const el::Result ladder = RunAndCheck("ladder", workload);
     CHECK_TRUE(ladder.poison_deaths >= 2);
     CHECK_TRUE(ladder.poison_deaths <= 4);
     CHECK_TRUE(el::Attainment(ladder, 0) >= 0.97);
   }
 }
 
-// Long summaries hold every slot of a small fleet when a buyer asks.
+// A batch of long requests would hold every slot of a small fleet when a
+// request of the top tier arrives.
 TEST(Loads, BatchLeavesASlotForTheTopTier) {
   const el::Result ladder = RunAndCheck("ladder", el::BatchOnFewSlots());
   const el::Result least = RunBaseline(el::BatchOnFewSlots());
@@ -164,8 +175,8 @@
   CHECK_TRUE(el::Attainment(least, 0) < 0.3);
 }
 
-// Twice the load must not bring less than the load that the fleet bears, and
-// callers who get nothing must not wait long to hear so.
+// At twice the capacity the goodput must not drop below the goodput at
+// capacity, and refused callers must not wait long for the refusal.
 TEST(Loads, GoodputHoldsAtTwiceTheLoad) {
   const el::Workload at_capacity_load = el::AtCapacity(1);
   const el::Workload double_load = el::AtCapacity(2);
--- a/policy/tests/poison_test.cc
+++ b/policy/tests/poison_test.cc
@@ -25,8 +25,8 @@
   }
 };
 
-// One body crashes each engine that runs it, and its caller sends it again.
-// Others that only ran beside it must go on being served.
+// One body crashes each engine that runs it and is sent again. Bodies that only
+// ran beside it must still be served.
 TEST(Poison, SecondDeathQuarantinesTheBodyPresentBothTimes) {
   CHECK_EQUAL(0U, CountQuarantinedByDeath({1, 2, 3}));
   CHECK_FALSE(IsQuarantined(1));
@@ -37,8 +37,8 @@
   CHECK_FALSE(ep::IsSuspect(state_, 4, clock_.now));
 }
 
-// An innocent body runs beside the poison twice. No one can say which of the
-// two it was, so neither is cut off until a third death tells them apart.
+// An innocent body runs beside the poison twice. Either of the two may be the
+// cause, so that neither is quarantined until a third death tells them apart.
 TEST(Poison, TwoSuspectsTogetherAreNotQuarantined) {
   CHECK_EQUAL(0U, CountQuarantinedByDeath({1, 2}));
   CHECK_EQUAL(0U, CountQuarantinedByDeath({1, 2, 9}));
@@ -49,8 +49,8 @@
   CHECK_FALSE(IsQuarantined(2));
 }
 
-// A body was on an endpoint whose VM failed, and ran well elsewhere. A second
-// VM failure a minute later must not cut its caller off.
+// A body ran on an endpoint whose VM failed, and then completed elsewhere. A
+// second VM failure a minute later must not quarantine it.
 TEST(Poison, CompletionClearsASuspect) {
   CHECK_EQUAL(0U, CountQuarantinedByDeath({1}));
   ep::ClearSuspect(state_, 1);
@@ -58,7 +58,8 @@
   CHECK_FALSE(IsQuarantined(1));
 }
 
-// The engine was mended meanwhile; a body held for ever would never be served.
+// The engine may have been fixed in the meantime. A body in quarantine without
+// an expiry would never be served again.
 TEST(Poison, SuspicionAndQuarantineExpire) {
   CHECK_EQUAL(0U, CountQuarantinedByDeath({1}));
   CHECK_EQUAL(1U, CountQuarantinedByDeath({1}));
@@ -67,7 +68,8 @@
   CHECK_EQUAL(0U, CountQuarantinedByDeath({1}));
 }
 
-// The caller sends the poison to another node, which saw no death itself.
+// The caller sends the poison to another node, which saw no death itself and
+// depends on the notices of its peers. Their duration and number are bounded.
 TEST(Poison, NoticesOfOtherNodesApplyAndAreBounded) {
   CHECK_FALSE(ep::ApplyQuarantineNotice(state_, {1, 10min, 1}, clock_.now));
   CHECK_EQUAL(1U, CountQuarantinedByDeath({1, 2}));
--- a/policy/tests/queue_test.cc
+++ b/policy/tests/queue_test.cc
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kAccounts = 5;
 const ep::Time kStart{1h};
 
-// The same rules by plain scans over one list.
+// A reference implementation of the queue's order by scans over one list.
 struct ReferenceQueue {
   std::vector<ep::WaitingRequest> waiting;
   std::vector<ep::AccountUsage> usage_by_account{kAccounts};
@@ -119,8 +119,9 @@
   }
 };
 
-// A fault in the order shows to callers as one account that waits for ever.
-// Random operations over many seeds give the same heads as plain scans.
+// A fault in the order would leave the requests of one account waiting for
+// ever. Random operations over many seeds must give the same heads as the
+// reference.
 TEST(Queue, AgreesWithReferenceQueueUnderRandomOperations) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     ek::Random random(seed);
@@ -170,8 +171,8 @@
   }
 }
 
-// A broker's batch stands before one question of another account. In order of
-// arrival the question waits for the whole batch.
+// A batch of one account was queued before a single request of another. In
+// order of arrival this request would wait for the whole batch.
 TEST(Queue, SmallAccountPassesABatch) {
   for (ep::RequestId id = 1; id <= 100; ++id) {
     ep::Push(queue_, MakeWaiting(id, 0, kStart, 5s));
@@ -182,8 +183,8 @@
   CHECK_EQUAL(101U, FindHeadId(kStart + 1s));
 }
 
-// Under overload the earliest deadline is the one just missed. Served first,
-// every answer comes a little too late.
+// Under overload the earliest deadlines have just been missed. If these
+// requests were served first, every answer would be a little late.
 TEST(Queue, RequestsInTimeGoBeforeLateOnes) {
   ep::Push(queue_, MakeWaiting(1, 0, kStart, 100ms));
   ep::Push(queue_, MakeWaiting(2, 0, kStart, 900ms));
@@ -193,18 +194,19 @@
   CHECK_EQUAL(1U, FindHeadId(kStart + 500ms));
 }
 
-// An account with twice the share pays for twice the tokens.
+// An account with twice the share may use twice the tokens.
 TEST(Queue, ShareDividesTheCharge) {
   ep::Charge(queue_, {0}, {0}, 100, 2);
   ep::Charge(queue_, {0}, {1}, 60, 1);
   ep::Push(queue_, MakeWaiting(1, 0, kStart, 5s));
   ep::Push(queue_, MakeWaiting(2, 1, kStart, 5s));
-  CHECK_EQUAL(1U, FindHeadId(kStart));  // 50 a share against 60.
+  CHECK_EQUAL(1U, FindHeadId(kStart));  // 50 per share against 60.
   ep::Charge(queue_, {0}, {0}, 30, 2);
-  CHECK_EQUAL(2U, FindHeadId(kStart));  // 65 against 60.
+  CHECK_EQUAL(2U, FindHeadId(kStart));  // 65 per share against 60.
 }
 
-// When the queue is full of one account's batch, its own newest makes room.
+// The queue is full of one account's batch when another account's request
+// arrives. The newest request of the batch must make room.
 TEST(Queue, FindsNewestRequestOfAccountOverShare) {
   for (ep::RequestId id = 1; id <= 9; ++id) {
     ep::Push(queue_, MakeWaiting(id, 0, kStart, 5s));
--- a/policy/tests/retry_test.cc
+++ b/policy/tests/retry_test.cc
@@ -18,8 +18,8 @@
   }
 };
 
-// The connection to an endpoint breaks while a payment runs on it. Sent again,
-// the payment may be taken twice.
+// The connection to an endpoint breaks while it processes a payment. A retry
+// could take the payment twice.
 TEST(Retry, MayHaveRunIsRetriedOnlyIfRepeatable) {
   CHECK(Decide({ep::EndKind::kFailed, false}).reason ==
         ep::RetryReason::kMayHaveRun);
@@ -29,14 +29,16 @@
   CHECK(not_run.reason == ep::RetryReason::kNotRun);
 }
 
-// The caller has half of the answer. A second run would send it another text.
+// The caller has half of the answer. A second run would continue with another
+// text.
 TEST(Retry, NoRetryAfterTheAnswerStarted) {
   CHECK(Decide({ep::EndKind::kFailed, true, true}).reason ==
         ep::RetryReason::kAnswerStarted);
 }
 
-// Every endpoint refuses after an outage. Each of a thousand callers' requests
-// becomes three, and the endpoints that come back drown in retries.
+// Every endpoint refuses requests after an outage. Without a budget each of a
+// thousand requests would become three, and endpoints that recover would be
+// overloaded by retries.
 TEST(Retry, BudgetLimitsARetryStorm) {
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -49,8 +51,8 @@
   CHECK_TRUE(Decide({ep::EndKind::kNotRun, true}).should_retry);
 }
 
-// An endpoint refuses connections when a node has just started. A node that had
-// to earn its first retry would pass each of the first failures on to a caller.
+// An endpoint refuses connections when a node has just started. With an empty
+// budget at the start, each of the first failures would reach a caller.
 TEST(Retry, NewNodeRetriesAFewFailures) {
   for (double spent = 0; spent < ep::kInitialRetryTokens; ++spent) {
     CHECK_TRUE(Decide({ep::EndKind::kNotRun, true}).should_retry);
@@ -60,7 +62,7 @@
   CHECK_TRUE(ep::kInitialRetryTokens >= 2);
 }
 
-// The caller has given up by then; the repeat would be work for no one.
+// The caller has given up by then, so that a retry would be wasted work.
 TEST(Retry, NoRetryPastTheDeadlineOrMaxAttempts) {
   ep::RetryContext context{ep::EndKind::kNotRun, true};
   context.deadline = clock_.now + 1ms;
@@ -70,8 +72,8 @@
   CHECK(Decide(context).reason == ep::RetryReason::kAttemptsSpent);
 }
 
-// Two endpoints in a row died under one request. A third attempt would take
-// the next one from everybody.
+// Two endpoints in a row died while running one request. A third attempt would
+// probably crash the next one.
 TEST(Retry, NoThirdAttemptAfterTwoDeaths) {
   ep::RetryContext context{ep::EndKind::kDied, true};
   context.blamed = true;
--- a/policy/tests/slots_test.cc
+++ b/policy/tests/slots_test.cc
@@ -16,7 +16,8 @@
 
   void setup() override { ep::StartSlots(state_, 2, 16, 7, clock_.now); }
 
-  // Ends right after a window of answers was judged.
+  // Grows the slots to their maximum. Ends right after the last answers were
+  // judged, so that no evidence is left.
   void GrowToMaximum() {
     for (int i = 0; i < 50; ++i) {
       (void)ep::OnEvidence(state_, {16, 0, 0, 7}, clock_.now);
@@ -24,9 +25,9 @@
   }
 };
 
-// An endpoint just started and every node has work for it. By the clock alone
-// it would get its full load while it still loads weights, and callers of that
-// work wait in vain.
+// An endpoint has just started, and every node has requests for it. If its
+// slots grew with time, it would get its full load while it still loads its
+// weights, and those requests would be dropped.
 TEST(Slots, ColdEndpointGrowsOnAnswersOnly) {
   CHECK_EQUAL(2U, state_.slots);
   ek::Advance(clock_, 10min);
@@ -38,8 +39,8 @@
   CHECK_EQUAL(4U, state_.slots);
 }
 
-// The engine restarted between two reports. Its old slots would drop warm load
-// on a cold engine.
+// The engine restarted between two reports. With its old slots the cold engine
+// would get the load of a warm one.
 TEST(Slots, RestartResetsSlotsAndDelayedReportsAreIgnored) {
   GrowToMaximum();
   CHECK_EQUAL(16U, state_.slots);
@@ -52,8 +53,8 @@
   CHECK_EQUAL(4U, state_.slots);
 }
 
-// An endpoint loses its cache and compiled kernels without a restart: reports
-// show nothing, callers see every first token late.
+// An endpoint loses its cache and compiled kernels without a restart. Reports
+// don't show this, but every first token is late.
 TEST(Slots, FallsBackToColdWhenMostAnswersAreLate) {
   GrowToMaximum();
   std::uint32_t late_answers = 0;
@@ -65,8 +66,8 @@
   CHECK_TRUE(late_answers <= 16);
 }
 
-// Long prompts make a third of the answers late at full slots; a smaller
-// number in flight answers all in time.
+// Long prompts make half of the answers late with all slots in use. With fewer
+// requests in flight all of them would be in time.
 TEST(Slots, ShrinksWhenOverloadedAndGrowsBackSlowly) {
   GrowToMaximum();
   CHECK(ep::OnEvidence(state_, {10, 8, 2, 7}, clock_.now) ==
--- a/policy/tests/stopping_test.cc
+++ b/policy/tests/stopping_test.cc
@@ -32,17 +32,17 @@
   CHECK(ep::TimeUntilCut(MakePlan(), 3000ms) == 4300ms);
 }
 
-// An idle process that ended at once would leave callers that still keep its
-// address with a closed port.
+// If an idle process exited at once, callers that still use its address would
+// find a closed port.
 TEST(Stopping, IdleProcessStaysUntilCallersAreGone) {
   CHECK_FALSE(ep::CanExit(StopPhase::kTaking, true));
   CHECK_FALSE(ep::CanExit(StopPhase::kSettling, true));
   CHECK(ep::CanExit(StopPhase::kFinishing, true));
 }
 
-// A caller on a slow link still takes its answer. Ended now, the process would
-// cut it; not ended before the kill, it would be cut all the same, and nothing
-// would say so in the log.
+// A caller on a slow link is still reading its answer. If the process exited
+// now, the answer would be truncated. If it did not exit before the kill, the
+// answer would be truncated as well, but without a log line that says so.
 TEST(Stopping, DeliversAnswersUntilTheExitTime) {
   CHECK_FALSE(ep::CanExit(StopPhase::kFinishing, false));
   CHECK_FALSE(ep::CanExit(StopPhase::kCutting, false));
