--- a/net/src/pack_zstd.cc
+++ b/net/src/compression_zstd.cc
@@ -2,7 +2,7 @@
 
 #include <memory>
 
-#include "egretladder/net/pack.h"
+#include "egretladder/net/compression.h"
 
 namespace egretladder::net {
 namespace {
--- a/net/tests/pack_test.cc
+++ b/net/tests/compression_test.cc
@@ -1,5 +1,5 @@
 // Compressed bytes between nodes.
-#include "egretladder/net/pack.h"
+#include "egretladder/net/compression.h"
 
 #include <CppUTest/TestHarness.h>
 
