--- a/net/include/egretladder/net/http_server.h
+++ b/net/include/egretladder/net/http_server.h
@@ -123,7 +123,7 @@
   /// Connections whose caller hasn't taken its answer yet: bytes wait to be
   /// written, or the caller hasn't closed a connection that the answer ended.
   /// A process that ends before cuts these answers.
-  std::size_t untaken() const;
+  std::size_t undelivered() const;
 
  private:
   friend class HttpConnection;
--- a/net/src/http_server_libevent.cc
+++ b/net/src/http_server_libevent.cc
@@ -108,7 +108,7 @@
   for (const auto& connection : connections) connection->RefuseHalfRead(why);
 }
 
-std::size_t HttpServer::untaken() const {
+std::size_t HttpServer::undelivered() const {
   return static_cast<std::size_t>(std::count_if(
       state_->connections.begin(), state_->connections.end(),
       [](const auto& connection) { return connection->IsUntaken(); }));
--- a/net/tests/http_server_test.cc
+++ b/net/tests/http_server_test.cc
@@ -139,20 +139,20 @@
   send_buffer = kSmallBuffer;
   auto caller = Ask(Get("/", "Connection: close\r\n"), kSmallBuffer);
   calls[0]->Answer(200, "OK", {}, std::string(kLongAnswer, 'a'));
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   bool counted = true;
   stage.Until([&] {
     caller->Take(10'000);
-    if (server->untaken() != 1) counted = false;
+    if (server->undelivered() != 1) counted = false;
     return caller->end() != et::PeerEnd::kOpen;
   });
   CHECK(counted);
   const et::Answer answer = OnlyAnswer(*caller);
   LONGS_EQUAL(kLongAnswer, answer.body.size());
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   caller->Close();
   stage.Until([this] { return server->connections() == 0; });
-  LONGS_EQUAL(0, server->untaken());
+  LONGS_EQUAL(0, server->undelivered());
 }
 
 // A caller stops reading for some seconds while the rest of its answer is with
@@ -166,11 +166,11 @@
   stage.Settle();
   Move(3s);
   Sweep();
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   const et::Answer answer = OnlyAnswer(*caller);
   LONGS_EQUAL(kFitsTheKernel, answer.body.size());
   caller->Close();
-  stage.Until([this] { return server->untaken() == 0; });
+  stage.Until([this] { return server->undelivered() == 0; });
 }
 
 // The caller never goes on. Its connection is given up after the time for
@@ -182,10 +182,10 @@
   stage.Settle();
   Move(2s);
   Sweep();
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   Move(31s);
   stage.Until([this] { return server->connections() == 0; });
-  LONGS_EQUAL(0, server->untaken());
+  LONGS_EQUAL(0, server->undelivered());
 }
 
 // A node that leaves ends each connection with its answer. A caller with a
@@ -327,10 +327,10 @@
   auto caller = Connect();
   caller->Send(PostHead("/", kManyBytes));
   OnlyAnswer(*caller);
-  LONGS_EQUAL(1, server->untaken());
+  LONGS_EQUAL(1, server->undelivered());
   Move(1001ms);
   stage.Until([this] { return server->connections() == 0; });
-  LONGS_EQUAL(0, server->untaken());
+  LONGS_EQUAL(0, server->undelivered());
 }
 
 // A node ends while a caller is in the middle of its head, its body, or waits
@@ -507,7 +507,7 @@
   stage.Settle();
   LONGS_EQUAL(1, gone);
   LONGS_EQUAL(0, server->connections());
-  LONGS_EQUAL(0, server->untaken());
+  LONGS_EQUAL(0, server->undelivered());
   LONGS_EQUAL(1, calls[0].use_count());
 }
 
