--- a/net/tests/harness.h
+++ b/net/tests/harness.h
@@ -26,7 +26,7 @@
   /// True when the loop has nothing to do but to wait, soon.
   bool Rests();
 
-  kernel::PausedClock clock;
+  kernel::ManualClock clock;
   kernel::Loop loop;
 };
 
