--- a/net/src/http_client_libevent.cc
+++ b/net/src/http_client_libevent.cc
@@ -146,8 +146,8 @@
   }
 
   void Later(std::function<void()> action) {
-    later_ = kernel::After(*client_->loop, std::chrono::milliseconds(0),
-                           std::move(action));
+    later_ = kernel::RunAfter(*client_->loop, std::chrono::milliseconds(0),
+                              std::move(action));
   }
 
   void Connect() {
@@ -167,7 +167,7 @@
     PrepareSocket(bufferevent_getfd(link_->buffer.get()));
     const auto time = request_.connect_time.count() > 0 ? request_.connect_time
                                                         : kHttpConnectTime;
-    later_ = kernel::After(*client_->loop, time, [this] {
+    later_ = kernel::RunAfter(*client_->loop, time, [this] {
       Fail(ExchangeFault::kNotConnected, "connecting took too long");
     });
   }
@@ -317,7 +317,7 @@
   ExchangeHandlers handlers_;
   AnswerReader reader_;
   LinkPtr link_;
-  kernel::Watch later_;
+  kernel::EventWatcher later_;
   HttpExchangePtr self_;  // Until it is over.
   bool reused_ = false;   // The connection served another request before.
   bool sent_ = false;
--- a/net/src/http_connection_p.h
+++ b/net/src/http_connection_p.h
@@ -24,7 +24,7 @@
   Listener listener;
   std::string address;
   bool close_after_answers = false;
-  kernel::Watch sweep;
+  kernel::EventWatcher sweep;
 
   void Accept(evutil_socket_t fd);
   // Takes what the kernel accepted already and would reset with the listener.
--- a/net/src/http_server_libevent.cc
+++ b/net/src/http_server_libevent.cc
@@ -37,8 +37,8 @@
   evconnlistener_set_error_cb(state_->listener.get(), refuse);
   state_->address =
       WithBoundPort(address, evconnlistener_get_fd(state_->listener.get()));
-  state_->sweep = kernel::Every(*state_->loop, kHttpSweep,
-                                [state = state_.get()] { state->Sweep(); });
+  state_->sweep = kernel::RunEvery(*state_->loop, kHttpSweep,
+                                   [state = state_.get()] { state->Sweep(); });
   return kernel::Result<void>(boost::outcome_v2::success());
 }
 
--- a/net/tests/harness.cc
+++ b/net/tests/harness.cc
@@ -48,22 +48,22 @@
       FAIL("what the test waits for never came");
     }
     // The break ends a turn also when callbacks ask for each other for ever.
-    const kernel::Watch wake =
-        kernel::After(loop, 1ms, [this] { kernel::StopLoop(loop); });
+    const kernel::EventWatcher wake =
+        kernel::RunAfter(loop, 1ms, [this] { kernel::StopLoop(loop); });
     event_base_loop(loop.base.get(), EVLOOP_ONCE);
   }
 }
 
 void Stage::Settle() {
   bool over = false;
-  const kernel::Watch end =
-      kernel::After(loop, kSettleTime, [&over] { over = true; });
+  const kernel::EventWatcher end =
+      kernel::RunAfter(loop, kSettleTime, [&over] { over = true; });
   Until([&over] { return over; });
 }
 
 bool Stage::Rests() {
-  const kernel::Watch end =
-      kernel::After(loop, kLongestTurn, [this] { kernel::StopLoop(loop); });
+  const kernel::EventWatcher end =
+      kernel::RunAfter(loop, kLongestTurn, [this] { kernel::StopLoop(loop); });
   event_base_loop(loop.base.get(), EVLOOP_NONBLOCK);
   return event_base_got_break(loop.base.get()) == 0;
 }
