--- a/net/tests/harness.cc
+++ b/net/tests/harness.cc
@@ -36,7 +36,7 @@
 }  // namespace
 
 Stage::Stage() : loop(kernel::CreateLoop()) {
-  loop.clock = kernel::ViewOf(clock);
+  loop.clock = kernel::ClockOf(clock);
   // As the programs do: a write to a closed connection is an error, no end.
   std::signal(SIGPIPE, SIG_IGN);
 }
