--- a/net/include/egretladder/net/compression.h
+++ b/net/include/egretladder/net/compression.h
@@ -10,10 +10,11 @@
 namespace egretladder::net {
 
 /// Compresses `bytes`, with a checksum of them.
-kernel::Result<std::string> Pack(std::string_view bytes);
+kernel::Result<std::string> Compress(std::string_view bytes);
 
-/// Restores what `Pack` made. Refuses what is not that, doesn't match its
+/// Restores what `Compress` made. Refuses what is not that, doesn't match its
 /// checksum, or would take more than `most` bytes, before it takes them.
-kernel::Result<std::string> Unpack(std::string_view packed, std::size_t most);
+kernel::Result<std::string> Decompress(std::string_view packed,
+                                       std::size_t most);
 
 }  // namespace egretladder::net
--- a/net/include/egretladder/net/http_client.h
+++ b/net/include/egretladder/net/http_client.h
@@ -16,7 +16,7 @@
 namespace egretladder::net {
 
 /// How an exchange failed. Decides what may be sent again.
-enum class ExchangeFault : std::uint8_t {
+enum class ExchangeError : std::uint8_t {
   kNotConnected,  ///< No byte of the request left.
   kBroken,        ///< The connection ended or went silent: outcome unknown.
   kBadAnswer,     ///< What came back is no answer, or not a whole one.
@@ -24,26 +24,26 @@
 
 /// What the taker of an answer does with its head.
 enum class HeadVerdict : std::uint8_t {
-  kTake,
+  kAccept,
   /// It belongs to another request: read past it and wait for the right one.
   kSkip,
 };
 
-/// Called from the loop. After `on_end` or `on_fault` nothing more comes.
+/// Called from the loop. After `on_end` or `on_error` nothing more comes.
 struct ExchangeHandlers {
   /// The first byte of the request is about to leave. False: don't send.
   std::function<bool()> may_send;
   std::function<HeadVerdict(const HttpAnswerHead&)> on_head;
   std::function<void(std::string_view piece)> on_body;
   std::function<void()> on_end;
-  std::function<void(ExchangeFault, const std::string& detail)> on_fault;
+  std::function<void(ExchangeError, const std::string& detail)> on_error;
 };
 
 /// Which open connections a request may take.
-enum class Reuse : std::uint8_t {
-  kAny,    ///< Any that the endpoint is expected to keep open.
-  kYoung,  ///< Only one that it can't be closing yet.
-  kNone,   ///< None: nothing leaves until a new one is accepted.
+enum class ConnectionReuse : std::uint8_t {
+  kAny,           ///< Any that the endpoint is expected to keep open.
+  kRecentlyUsed,  ///< Only one that it can't be closing yet.
+  kNone,          ///< None: nothing leaves until a new one is accepted.
 };
 
 /// One request to be sent.
@@ -51,8 +51,9 @@
   std::string address;  ///< `IP:port`.
   std::string head;
   std::string body;
-  bool is_head = false;  ///< The method is HEAD: the answer has no body.
-  Reuse reuse = Reuse::kAny;
+  bool is_head_request =
+      false;  ///< The method is HEAD: the answer has no body.
+  ConnectionReuse reuse = ConnectionReuse::kAny;
   std::chrono::milliseconds connect_time{};  ///< 0: the standard.
 };
 
--- a/net/include/egretladder/net/http_message.h
+++ b/net/include/egretladder/net/http_message.h
@@ -36,14 +36,14 @@
 };
 
 /// Compares field names; case does not matter.
-bool SameName(std::string_view left, std::string_view right);
+bool IsSameFieldName(std::string_view left, std::string_view right);
 /// Value of the first field of that name; empty when there is none.
 std::string_view ValueOf(const HttpFields& fields, std::string_view name);
 /// How many fields have that name.
 std::size_t CountOf(const HttpFields& fields, std::string_view name);
 /// True for fields that concern one connection and are never passed on
 /// (RFC 9110, section 7.6.1), framing included.
-bool IsOfOneConnection(std::string_view name);
+bool IsHopByHopField(std::string_view name);
 
 /// How the body of a message that is being written is framed.
 enum class BodyFraming : std::uint8_t {
@@ -54,16 +54,16 @@
 
 /// Head of a request to an endpoint, ready to be sent. `fields` must hold no
 /// field of one connection.
-std::string RequestText(std::string_view method, std::string_view target,
-                        const HttpFields& fields, BodyFraming framing,
-                        std::size_t body_size);
+std::string FormatRequestHead(std::string_view method, std::string_view target,
+                              const HttpFields& fields, BodyFraming framing,
+                              std::size_t body_size);
 /// Head of an answer to a caller.
 std::string AnswerText(int status, std::string_view reason,
                        const HttpFields& fields, BodyFraming framing,
                        std::size_t body_size, bool close);
 /// The usual words for a status.
-std::string_view ReasonOf(int status);
+std::string_view ReasonPhrase(int status);
 /// One chunk of a chunked body.
-std::string ChunkText(std::string_view piece);
+std::string FormatChunk(std::string_view piece);
 
 }  // namespace egretladder::net
--- a/net/include/egretladder/net/http_server.h
+++ b/net/include/egretladder/net/http_server.h
@@ -23,11 +23,12 @@
 /// it holds for requests that begin later.
 struct ServerLimits {
   ReadLimits size{std::size_t{16} << 10U, std::size_t{4} << 20U};
-  std::chrono::milliseconds head_time{3000};  ///< From its first byte.
-  std::chrono::milliseconds body_time{kRequestBodyTime};  ///< After its head.
-  std::chrono::milliseconds idle_time{15000};  ///< Between two requests.
+  std::chrono::milliseconds head_timeout{3000};  ///< From its first byte.
+  std::chrono::milliseconds body_timeout{
+      kRequestBodyTime};                          ///< After its head.
+  std::chrono::milliseconds idle_timeout{15000};  ///< Between two requests.
   /// A caller that takes nothing of its answer for this long is dropped.
-  std::chrono::milliseconds drain_time{30000};
+  std::chrono::milliseconds write_timeout{30000};
   std::size_t connections = 2000;
 };
 
@@ -65,7 +66,7 @@
   bool begun() const { return begun_; }
   bool over() const { return connection_ == nullptr; }
   /// Bytes that the caller has not taken yet.
-  std::size_t Unsent() const;
+  std::size_t UnsentBytes() const;
 
  private:
   friend class HttpConnection;
@@ -117,9 +118,9 @@
   /// Connections whose caller has sent a part of a request so far. A process
   /// that ends before the rest leaves it with a connection that closes, which
   /// doesn't say that nothing ran.
-  std::size_t half_read() const;
+  std::size_t incomplete_requests() const;
   /// Answers these as not run, and ends their connections.
-  void RefuseHalfRead(const std::string& why);
+  void RefuseIncompleteRequests(const std::string& why);
   /// Connections whose caller hasn't taken its answer yet: bytes wait to be
   /// written, or the caller hasn't closed a connection that the answer ended.
   /// A process that ends before cuts these answers.
--- a/net/include/egretladder/net/kj_loop.h
+++ b/net/include/egretladder/net/kj_loop.h
@@ -37,9 +37,9 @@
   void shutdownWrite() override;
 
   /// Bytes that wait to be taken by the other side.
-  std::size_t WaitingOutput() const;
+  std::size_t PendingOutputBytes() const;
   /// True when the other side has ended it, or it broke.
-  bool IsOver() const { return ended_ || broken_; }
+  bool IsDisconnected() const { return ended_ || broken_; }
 
  private:
   class ReadOperation;
--- a/net/include/egretladder/net/socket.h
+++ b/net/include/egretladder/net/socket.h
@@ -40,7 +40,7 @@
 ///
 /// The kernel takes a peer that reads nothing for one that isn't there. Give
 /// those that may pause, as callers do, as long as they may.
-void PrepareSocket(evutil_socket_t fd,
+void SetTcpOptions(evutil_socket_t fd,
                    std::chrono::milliseconds unacknowledged = kUserTimeout);
 
 /// Listens on `address` (`IP:port`, port 0 for any); `accept` gets each
@@ -50,13 +50,13 @@
                                   void* arg);
 
 /// The bytes that wait to be read. Valid until the buffer changes.
-std::string_view InputOf(bufferevent* buffer);
+std::string_view PendingInput(bufferevent* buffer);
 /// Takes `size` bytes off the input.
 void Consume(bufferevent* buffer, std::size_t size);
 /// Appends to the output.
 void Write(bufferevent* buffer, std::string_view bytes);
 /// Bytes that wait to be sent.
-std::size_t WaitingOutput(bufferevent* buffer);
+std::size_t PendingOutputBytes(bufferevent* buffer);
 
 /// Bytes, and the end after them, that the other side hasn't acknowledged.
 int HeldByKernel(evutil_socket_t fd);
--- a/net/src/compression_zstd.cc
+++ b/net/src/compression_zstd.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-kernel::Result<std::string> Pack(std::string_view bytes) {
+kernel::Result<std::string> Compress(std::string_view bytes) {
   constexpr const char* kStep = "compress";
   const std::unique_ptr<ZSTD_CCtx, ContextDelete> context(ZSTD_createCCtx());
   if (context == nullptr) return Failed(kStep, "no memory");
@@ -30,7 +30,8 @@
   return packed;
 }
 
-kernel::Result<std::string> Unpack(std::string_view packed, std::size_t most) {
+kernel::Result<std::string> Decompress(std::string_view packed,
+                                       std::size_t most) {
   constexpr const char* kStep = "restore compressed bytes";
   const auto size = ZSTD_getFrameContentSize(packed.data(), packed.size());
   if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN) {
--- a/net/src/http_call.cc
+++ b/net/src/http_call.cc
@@ -47,7 +47,7 @@
 
 void HttpCall::Send(std::string_view piece) {
   if (over() || piece.empty()) return;
-  connection_->Put(chunked_ ? ChunkText(piece) : std::string(piece));
+  connection_->Put(chunked_ ? FormatChunk(piece) : std::string(piece));
 }
 
 void HttpCall::End() {
@@ -69,8 +69,8 @@
   connection->Close();
 }
 
-std::size_t HttpCall::Unsent() const {
-  return connection_ == nullptr ? 0 : connection_->Unsent();
+std::size_t HttpCall::UnsentBytes() const {
+  return connection_ == nullptr ? 0 : connection_->UnsentBytes();
 }
 
 }  // namespace egretladder::net
--- a/net/src/http_client_libevent.cc
+++ b/net/src/http_client_libevent.cc
@@ -40,10 +40,11 @@
   return std::chrono::seconds(seconds);
 }
 
-bool IsFresh(const Link& link, Reuse reuse, kernel::Time now) {
+bool IsFresh(const Link& link, ConnectionReuse reuse, kernel::Time now) {
   const auto keeps = link.keeps.count() > 0 ? link.keeps : kIdleUnknown;
-  const auto allowed = std::chrono::duration<double, std::milli>(keeps) *
-                       (reuse == Reuse::kAny ? kIdlePart : kIdlePartYoung);
+  const auto allowed =
+      std::chrono::duration<double, std::milli>(keeps) *
+      (reuse == ConnectionReuse::kAny ? kIdlePart : kIdlePartYoung);
   return now - link.idle_since < allowed;
 }
 
@@ -54,13 +55,14 @@
   std::unordered_map<std::string, std::vector<LinkPtr>> idle;
   std::uint64_t opened = 0;
 
-  LinkPtr TakeIdle(const std::string& address, Reuse reuse);
+  LinkPtr TakeIdle(const std::string& address, ConnectionReuse reuse);
   void KeepIdle(LinkPtr link);
   static void Drop(Link* link);
 };
 
-LinkPtr HttpClient::State::TakeIdle(const std::string& address, Reuse reuse) {
-  if (reuse == Reuse::kNone) return nullptr;
+LinkPtr HttpClient::State::TakeIdle(const std::string& address,
+                                    ConnectionReuse reuse) {
+  if (reuse == ConnectionReuse::kNone) return nullptr;
   const auto at = idle.find(address);
   if (at == idle.end()) return nullptr;
   const kernel::Time now = kernel::Now(loop->clock);
@@ -68,12 +70,12 @@
     if (!IsFresh(*at->second.back(), reuse, now)) {
       // The last used is the youngest; one that is too old for a request that
       // asks for young ones may still serve others.
-      if (reuse == Reuse::kAny) at->second.clear();
+      if (reuse == ConnectionReuse::kAny) at->second.clear();
       return nullptr;
     }
     LinkPtr link = std::move(at->second.back());
     at->second.pop_back();
-    if (InputOf(link->buffer.get()).empty()) return link;
+    if (PendingInput(link->buffer.get()).empty()) return link;
   }
   return nullptr;
 }
@@ -142,7 +144,7 @@
 
  private:
   AnswerReader MakeReader() const {
-    return AnswerReader({kAnswerHead, kAnswerBody}, request_.is_head);
+    return AnswerReader({kAnswerHead, kAnswerBody}, request_.is_head_request);
   }
 
   void Later(std::function<void()> action) {
@@ -161,14 +163,14 @@
     ++client_->opened;
     if (!target || bufferevent_socket_connect(
                        link_->buffer.get(), target->get(), target->size) != 0) {
-      Later([this] { Fail(ExchangeFault::kNotConnected, "no connection"); });
+      Later([this] { Fail(ExchangeError::kNotConnected, "no connection"); });
       return;
     }
-    PrepareSocket(bufferevent_getfd(link_->buffer.get()));
+    SetTcpOptions(bufferevent_getfd(link_->buffer.get()));
     const auto time = request_.connect_time.count() > 0 ? request_.connect_time
                                                         : kHttpConnectTime;
     later_ = kernel::RunAfter(*client_->loop, time, [this] {
-      Fail(ExchangeFault::kNotConnected, "connecting took too long");
+      Fail(ExchangeError::kNotConnected, "connecting took too long");
     });
   }
 
@@ -195,7 +197,7 @@
       return;
     }
     if (!link_->connected) {
-      Fail(ExchangeFault::kNotConnected, "the connection was refused");
+      Fail(ExchangeError::kNotConnected, "the connection was refused");
       return;
     }
     if (!sent_) {
@@ -210,12 +212,12 @@
     // are of no use either, and each would cost a request an attempt.
     if (reused_ && !head_given_) client_->idle.erase(request_.address);
     // A reset is no end, also of an answer that has no length.
-    Fail(ExchangeFault::kBroken, "the connection was reset");
+    Fail(ExchangeError::kBroken, "the connection was reset");
   }
 
   void SendRequest() {
     const auto self = shared_from_this();
-    if (!InputOf(link_->buffer.get()).empty()) {
+    if (!PendingInput(link_->buffer.get()).empty()) {
       Connect();  // What is there belongs to no request.
       return;
     }
@@ -233,7 +235,7 @@
 
   void Read() {
     while (link_ != nullptr && sent_) {
-      const std::string_view input = InputOf(link_->buffer.get());
+      const std::string_view input = PendingInput(link_->buffer.get());
       if (input.empty()) return;
       const std::size_t used = reader_.Feed(input);
       Consume(link_->buffer.get(), used);
@@ -259,7 +261,7 @@
     if (!piece.empty() && !skip_) handlers_.on_body(piece);
     if (link_ == nullptr) return false;  // Cancelled by a handler.
     if (reader_.state() == ReadState::kFailed) {
-      Fail(ExchangeFault::kBadAnswer, reader_.detail());
+      Fail(ExchangeError::kBadAnswer, reader_.detail());
       return false;
     }
     if (reader_.state() != ReadState::kDone) return true;
@@ -275,7 +277,7 @@
 
   void OnEnded() {
     if (!head_given_) {
-      Fail(ExchangeFault::kBroken, "the connection ended without an answer");
+      Fail(ExchangeError::kBroken, "the connection ended without an answer");
       return;
     }
     reader_.FeedEnd();
@@ -283,14 +285,14 @@
     if (reader_.state() == ReadState::kDone && !skip_) {
       Complete();
     } else {
-      Fail(ExchangeFault::kBroken, "the answer broke off");
+      Fail(ExchangeError::kBroken, "the answer broke off");
     }
   }
 
   void Complete() {
     const bool reusable = !tainted_ && reader_.head().keep_alive &&
-                          InputOf(link_->buffer.get()).empty() &&
-                          WaitingOutput(link_->buffer.get()) == 0;
+                          PendingInput(link_->buffer.get()).empty() &&
+                          PendingOutputBytes(link_->buffer.get()) == 0;
     const auto done = std::move(handlers_.on_end);
     handlers_ = {};
     if (reusable) client_->KeepIdle(std::move(link_));
@@ -298,8 +300,8 @@
     if (done) done();
   }
 
-  void Fail(ExchangeFault fault, const std::string& detail) {
-    const auto fail = std::move(handlers_.on_fault);
+  void Fail(ExchangeError fault, const std::string& detail) {
+    const auto fail = std::move(handlers_.on_error);
     handlers_ = {};
     const auto self = shared_from_this();
     Release();
--- a/net/src/http_connection_p.h
+++ b/net/src/http_connection_p.h
@@ -73,7 +73,7 @@
     bufferevent_setcb(buffer_.get(), OnReadable, OnWritten, OnEvent, this);
     bufferevent_setwatermark(buffer_.get(), EV_READ, 0, kHttpReadAhead);
     if (const auto server = server_.lock()) {
-      const timeval drain = kernel::ToTimeval(server->limits.drain_time);
+      const timeval drain = kernel::ToTimeval(server->limits.write_timeout);
       bufferevent_set_timeouts(buffer_.get(), nullptr, &drain);
     }
     bufferevent_enable(buffer_.get(), EV_READ | EV_WRITE);
@@ -128,8 +128,8 @@
     if (!closed_) Write(buffer_.get(), bytes);
   }
 
-  std::size_t Unsent() const {
-    return closed_ ? 0 : WaitingOutput(buffer_.get());
+  std::size_t UnsentBytes() const {
+    return closed_ ? 0 : PendingOutputBytes(buffer_.get());
   }
 
   // A part of a request came, and not all of it.
@@ -137,14 +137,14 @@
     return awaits_ == Awaits::kHead || awaits_ == Awaits::kBody;
   }
 
-  void RefuseHalfRead(const std::string& why) {
+  void RefuseIncompleteRequests(const std::string& why) {
     if (IsHalfRead()) Refuse(kUnavailable, why);
   }
 
   // What was written may still be on its way to the caller.
   bool IsUntaken() const {
     if (closed_) return false;
-    return lingering_ || Unsent() > 0 ||
+    return lingering_ || UnsentBytes() > 0 ||
            HeldByKernel(bufferevent_getfd(buffer_.get())) > 0;
   }
 
@@ -191,7 +191,7 @@
   void InputEnded() {
     if (closed_) return;
     input_ended_ = true;
-    if (call_ != nullptr || Unsent() == 0) {
+    if (call_ != nullptr || UnsentBytes() == 0) {
       Close();
     } else if (!lingering_) {
       LingerThenClose();
@@ -204,7 +204,7 @@
     reader_ = std::make_unique<RequestReader>(server->limits.size);
     began_ = false;
     continued_ = false;
-    Await(Awaits::kRequest, server->limits.idle_time);
+    Await(Awaits::kRequest, server->limits.idle_timeout);
   }
 
   void SetReading(bool reading) {
@@ -223,11 +223,11 @@
 
   void Read() {
     if (lingering_) {
-      Consume(buffer_.get(), InputOf(buffer_.get()).size());
+      Consume(buffer_.get(), PendingInput(buffer_.get()).size());
       return;
     }
     if (closed_) return;
-    const std::string_view input = InputOf(buffer_.get());
+    const std::string_view input = PendingInput(buffer_.get());
     if (call_ != nullptr) {  // Read when its answer is out.
       // Called back at once and for ever while it is full.
       if (input.size() >= kHttpReadAhead) SetReading(false);
@@ -238,7 +238,7 @@
     if (server == nullptr) return;
     if (!began_) {
       began_ = true;
-      Await(Awaits::kHead, server->limits.head_time);
+      Await(Awaits::kHead, server->limits.head_timeout);
     }
     const ReadState before = reader_->state();
     Consume(buffer_.get(), reader_->Feed(input));
@@ -249,11 +249,11 @@
       StartCall(*server);
     } else if (reader_->state() == ReadState::kBody) {
       if (before == ReadState::kHead) {
-        Await(Awaits::kBody, server->limits.body_time);
+        Await(Awaits::kBody, server->limits.body_timeout);
       }
       if (reader_->WantsContinue() && !std::exchange(continued_, true)) {
-        Put(AnswerText(kContinue, ReasonOf(kContinue), {}, BodyFraming::kNone,
-                       0, false));
+        Put(AnswerText(kContinue, ReasonPhrase(kContinue), {},
+                       BodyFraming::kNone, 0, false));
       }
     }
   }
@@ -275,7 +275,7 @@
       body = server->handlers.refusal_body(status, why);
     }
     const HttpFields fields = {{"Content-Type", "application/json"}};
-    Put(AnswerText(status, ReasonOf(status), fields, BodyFraming::kLength,
+    Put(AnswerText(status, ReasonPhrase(status), fields, BodyFraming::kLength,
                    body.size(), true));
     Put(body);
     LingerThenClose();
@@ -288,9 +288,9 @@
   void LingerThenClose() {
     lingering_ = true;
     awaits_ = Awaits::kNothing;
-    Consume(buffer_.get(), InputOf(buffer_.get()).size());
+    Consume(buffer_.get(), PendingInput(buffer_.get()).size());
     SetReading(true);
-    if (WaitingOutput(buffer_.get()) == 0) Written();
+    if (PendingOutputBytes(buffer_.get()) == 0) Written();
   }
 
   void Written() {
@@ -319,7 +319,7 @@
     if (server == nullptr || held == 0) return false;
     const kernel::Time now = kernel::Now(loop_.clock);
     if (std::exchange(held_, held) != held) held_since_ = now;
-    return now - held_since_ < server->limits.drain_time;
+    return now - held_since_ < server->limits.write_timeout;
   }
 
   std::weak_ptr<HttpServer::State> server_;
--- a/net/src/http_message.cc
+++ b/net/src/http_message.cc
@@ -36,33 +36,34 @@
 
 }  // namespace
 
-bool SameName(std::string_view left, std::string_view right) {
+bool IsSameFieldName(std::string_view left, std::string_view right) {
   return left.size() == right.size() &&
          strncasecmp(left.data(), right.data(), left.size()) == 0;
 }
 
 std::string_view ValueOf(const HttpFields& fields, std::string_view name) {
   for (const HttpField& field : fields) {
-    if (SameName(field.name, name)) return field.value;
+    if (IsSameFieldName(field.name, name)) return field.value;
   }
   return {};
 }
 
 std::size_t CountOf(const HttpFields& fields, std::string_view name) {
   return static_cast<std::size_t>(std::count_if(
-      fields.begin(), fields.end(),
-      [name](const HttpField& field) { return SameName(field.name, name); }));
+      fields.begin(), fields.end(), [name](const HttpField& field) {
+        return IsSameFieldName(field.name, name);
+      }));
 }
 
-bool IsOfOneConnection(std::string_view name) {
+bool IsHopByHopField(std::string_view name) {
   return std::any_of(
       kOfOneConnection.begin(), kOfOneConnection.end(),
-      [name](std::string_view one) { return SameName(one, name); });
+      [name](std::string_view one) { return IsSameFieldName(one, name); });
 }
 
-std::string RequestText(std::string_view method, std::string_view target,
-                        const HttpFields& fields, BodyFraming framing,
-                        std::size_t body_size) {
+std::string FormatRequestHead(std::string_view method, std::string_view target,
+                              const HttpFields& fields, BodyFraming framing,
+                              std::size_t body_size) {
   std::string text;
   text.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
   Append(text, fields);
@@ -83,13 +84,13 @@
   return text;
 }
 
-std::string_view ReasonOf(int status) {
+std::string_view ReasonPhrase(int status) {
   const auto reason = boost::beast::http::obsolete_reason(
       boost::beast::http::int_to_status(static_cast<unsigned>(status)));
   return {reason.data(), reason.size()};
 }
 
-std::string ChunkText(std::string_view piece) {
+std::string FormatChunk(std::string_view piece) {
   std::array<char, 24> size{};
   const int written =
       std::snprintf(size.data(), size.size(), "%zx\r\n", piece.size());
--- a/net/src/http_reader_beast.cc
+++ b/net/src/http_reader_beast.cc
@@ -119,7 +119,7 @@
   const std::size_t codings = CountOf(fields, "Transfer-Encoding");
   if (codings > 1) return "two Transfer-Encoding";
   if (codings == 1) {
-    if (!SameName(ValueOf(fields, "Transfer-Encoding"), "chunked")) {
+    if (!IsSameFieldName(ValueOf(fields, "Transfer-Encoding"), "chunked")) {
       return "a Transfer-Encoding other than chunked";
     }
     if (lengths > 0) return "two framings";
@@ -214,7 +214,8 @@
 const std::string& RequestReader::detail() const { return state_->detail; }
 bool RequestReader::WantsContinue() const {
   return state_->state == ReadState::kBody &&
-         SameName(ValueOf(state_->parser.fields, "Expect"), "100-continue");
+         IsSameFieldName(ValueOf(state_->parser.fields, "Expect"),
+                         "100-continue");
 }
 HttpRequest& RequestReader::request() { return state_->request; }
 
--- a/net/src/http_server_libevent.cc
+++ b/net/src/http_server_libevent.cc
@@ -43,7 +43,7 @@
 }
 
 void HttpServer::State::Accept(evutil_socket_t fd) {
-  PrepareSocket(fd, limits.drain_time);
+  SetTcpOptions(fd, limits.write_timeout);
   Bufferevent buffer = handlers.make_buffer
                            ? handlers.make_buffer(loop->base.get(), fd)
                            : Bufferevent(bufferevent_socket_new(
@@ -97,15 +97,16 @@
   state_->AcceptWaiting();
   state_->listener.reset();
 }
-std::size_t HttpServer::half_read() const {
+std::size_t HttpServer::incomplete_requests() const {
   return static_cast<std::size_t>(std::count_if(
       state_->connections.begin(), state_->connections.end(),
       [](const auto& connection) { return connection->IsHalfRead(); }));
 }
 
-void HttpServer::RefuseHalfRead(const std::string& why) {
+void HttpServer::RefuseIncompleteRequests(const std::string& why) {
   const auto connections = state_->connections;
-  for (const auto& connection : connections) connection->RefuseHalfRead(why);
+  for (const auto& connection : connections)
+    connection->RefuseIncompleteRequests(why);
 }
 
 std::size_t HttpServer::undelivered() const {
--- a/net/src/kj_loop.cc
+++ b/net/src/kj_loop.cc
@@ -186,7 +186,7 @@
 }
 
 kj::Promise<void> BuffereventStream::Drained() {
-  if (WaitingOutput() <= kStreamBuffer) return kj::READY_NOW;
+  if (PendingOutputBytes() <= kStreamBuffer) return kj::READY_NOW;
   return kj::newAdaptedPromise<void, DrainOperation>(*this);
 }
 
@@ -199,7 +199,7 @@
   if (fd >= 0) shutdown(fd, SHUT_WR);
 }
 
-std::size_t BuffereventStream::WaitingOutput() const {
+std::size_t BuffereventStream::PendingOutputBytes() const {
   return evbuffer_get_length(bufferevent_get_output(buffer_.get()));
 }
 
--- a/net/src/socket.cc
+++ b/net/src/socket.cc
@@ -14,7 +14,7 @@
 
 namespace egretladder::net {
 
-void PrepareSocket(evutil_socket_t fd,
+void SetTcpOptions(evutil_socket_t fd,
                    std::chrono::milliseconds unacknowledged) {
   SetNoDelay(fd);
   const int on = 1;
@@ -45,7 +45,7 @@
   return listener;
 }
 
-std::string_view InputOf(bufferevent* buffer) {
+std::string_view PendingInput(bufferevent* buffer) {
   evbuffer* input = bufferevent_get_input(buffer);
   const std::size_t size = evbuffer_get_length(input);
   if (size == 0) return {};
@@ -60,7 +60,7 @@
   evbuffer_add(bufferevent_get_output(buffer), bytes.data(), bytes.size());
 }
 
-std::size_t WaitingOutput(bufferevent* buffer) {
+std::size_t PendingOutputBytes(bufferevent* buffer) {
   return evbuffer_get_length(bufferevent_get_output(buffer));
 }
 
--- a/net/tests/http_client_test.cc
+++ b/net/tests/http_client_test.cc
@@ -32,7 +32,7 @@
   std::string body;
   int ends = 0;
   int faults = 0;
-  en::ExchangeFault fault{};
+  en::ExchangeError fault{};
   bool over() const { return ends + faults > 0; }
 };
 
@@ -52,8 +52,8 @@
                             const std::string& body = "") {
     en::ExchangeRequest request;
     request.address = endpoint->address();
-    request.head = en::RequestText("POST", path, {{"Host", "h"}},
-                                   en::BodyFraming::kLength, body.size());
+    request.head = en::FormatRequestHead("POST", path, {{"Host", "h"}},
+                                         en::BodyFraming::kLength, body.size());
     request.body = body;
     en::ExchangeHandlers handlers;
     handlers.may_send = [&outcome] {
@@ -63,13 +63,13 @@
     handlers.on_head = [&outcome](const en::HttpAnswerHead& head) {
       ++outcome.heads;
       outcome.status = head.status;
-      return en::HeadVerdict::kTake;
+      return en::HeadVerdict::kAccept;
     };
     handlers.on_body = [&outcome](std::string_view piece) {
       outcome.body += piece;
     };
     handlers.on_end = [&outcome] { ++outcome.ends; };
-    handlers.on_fault = [&outcome](en::ExchangeFault fault,
+    handlers.on_error = [&outcome](en::ExchangeError fault,
                                    const std::string& /*detail*/) {
       ++outcome.faults;
       outcome.fault = fault;
@@ -248,7 +248,7 @@
   });
   if (other == nullptr) {
     LONGS_EQUAL(0, second.sendings);
-    CHECK(second.fault == en::ExchangeFault::kNotConnected);
+    CHECK(second.fault == en::ExchangeError::kNotConnected);
     return;
   }
   TakeHead(*other);
@@ -270,7 +270,7 @@
   stage.Settle();
   LONGS_EQUAL(1, second.sendings);
   LONGS_EQUAL(1, second.faults);
-  CHECK(second.fault == en::ExchangeFault::kBroken);
+  CHECK(second.fault == en::ExchangeError::kBroken);
   CHECK(endpoint->Accept() == nullptr);
 }
 
@@ -287,7 +287,7 @@
     ++first.sendings;
     return true;
   };
-  handlers.on_fault = [&first](en::ExchangeFault fault,
+  handlers.on_error = [&first](en::ExchangeError fault,
                                const std::string& /*detail*/) {
     ++first.faults;
     first.fault = fault;
@@ -297,7 +297,7 @@
   stage.Settle();
   LONGS_EQUAL(1, first.faults);
   LONGS_EQUAL(0, first.sendings);
-  CHECK(first.fault == en::ExchangeFault::kNotConnected);
+  CHECK(first.fault == en::ExchangeError::kNotConnected);
 }
 
 // An endpoint's process dies in the middle of an answer. The part that came is
@@ -315,7 +315,7 @@
   LONGS_EQUAL(1, first.heads);
   LONGS_EQUAL(1, first.faults);
   LONGS_EQUAL(0, first.ends);
-  CHECK(first.fault == en::ExchangeFault::kBroken);
+  CHECK(first.fault == en::ExchangeError::kBroken);
 }
 
 // The same for an answer that ends with its connection: a reset is no such end,
@@ -331,7 +331,7 @@
   UntilOver(first);
   LONGS_EQUAL(1, first.faults);
   LONGS_EQUAL(0, first.ends);
-  CHECK(first.fault == en::ExchangeFault::kBroken);
+  CHECK(first.fault == en::ExchangeError::kBroken);
 }
 
 // An endpoint closes in the middle of an answer with a length, or of one in
@@ -348,7 +348,7 @@
     UntilOver(first);
     LONGS_EQUAL(1, first.faults);
     LONGS_EQUAL(0, first.ends);
-    CHECK(first.fault == en::ExchangeFault::kBroken);
+    CHECK(first.fault == en::ExchangeError::kBroken);
   }
 }
 
--- a/net/tests/http_server_test.cc
+++ b/net/tests/http_server_test.cc
@@ -31,7 +31,8 @@
 }
 
 bool SaysClose(const et::Answer& answer) {
-  return en::SameName(en::ValueOf(answer.head.fields, "Connection"), "close");
+  return en::IsSameFieldName(en::ValueOf(answer.head.fields, "Connection"),
+                             "close");
 }
 
 }  // namespace
@@ -416,7 +417,7 @@
   CHECK(calls[0]->over());
   TakeToTheEnd(*caller);
   CHECK(caller->end() == et::PeerEnd::kEnded);
-  const std::string chunk = en::ChunkText(piece);
+  const std::string chunk = en::FormatChunk(piece);
   const std::string& taken = caller->taken();
   CHECK(taken.size() > chunk.size());
   CHECK(taken.substr(taken.size() - chunk.size()) == chunk);
@@ -501,7 +502,7 @@
   caller->Reset();
   stage.Until([this] { return gone > 0; });
   CHECK(calls[0]->over());
-  LONGS_EQUAL(0, calls[0]->Unsent());
+  LONGS_EQUAL(0, calls[0]->UnsentBytes());
   calls[0]->Send("more");
   calls[0]->End();
   stage.Settle();
@@ -515,7 +516,7 @@
 // after the time for taking, and whoever makes the answer is told once.
 TEST(HttpServer, DropsACallerThatTakesNothing) {
   en::ServerLimits limits;
-  limits.drain_time = 100ms;
+  limits.write_timeout = 100ms;
   Start(limits);
   send_buffer = kSmallBuffer;
   auto caller = Ask(Get("/"), kSmallBuffer);
