--- a/net/include/egretladder/net/address.h
+++ b/net/include/egretladder/net/address.h
@@ -1,4 +1,4 @@
-// Addresses in text, `IP:port`, and those of sockets.
+// Conversion between addresses in text, `IP:port`, and socket addresses.
 #pragma once
 
 #include <event2/util.h>
@@ -11,23 +11,26 @@
 
 namespace egretladder::net {
 
-/// Host and port; brackets of IPv6 are taken off. Port 0 when there is none.
+/// Returns the host, without the brackets of an IPv6 address, and the port, 0
+/// if there is none.
 std::pair<std::string, std::uint16_t> SplitAddress(const std::string& address);
 
+/// A socket address of either IP version.
 struct SocketAddress {
   sockaddr_storage storage{};
   int size = 0;
   sockaddr* get() { return reinterpret_cast<sockaddr*>(&storage); }
 };
 
-/// Nothing when `address` is not an IP number with a port.
+/// Parses an IP address with a port. Returns no value if `address` has no
+/// numeric IP address.
 std::optional<SocketAddress> ParseAddress(const std::string& address);
 
-/// `address` with the port that the socket got.
+/// Returns `address` with the port to which the socket is bound.
 std::string WithBoundPort(const std::string& address, evutil_socket_t fd);
 
-/// Small writes leave at once; a token must not wait for the acknowledgement
-/// of the one before.
+/// Disables Nagle's algorithm, so that a small write such as a token is not
+/// delayed until the previous one is acknowledged.
 void SetNoDelay(evutil_socket_t fd);
 
 }  // namespace egretladder::net
--- a/net/include/egretladder/net/compression.h
+++ b/net/include/egretladder/net/compression.h
@@ -1,4 +1,4 @@
-// Compressed bytes between nodes. Source: Zstandard (RFC 8878).
+// Compression of data that nodes send each other, with Zstandard (RFC 8878).
 #pragma once
 
 #include <cstddef>
@@ -9,12 +9,13 @@
 
 namespace egretladder::net {
 
-/// Compresses `bytes`, with a checksum of them.
+/// Compresses `bytes` and adds a checksum of them.
 kernel::Result<std::string> Compress(std::string_view bytes);
 
-/// Restores what `Compress` made. Refuses what is not that, doesn't match its
-/// checksum, or would take more than `most` bytes, before it takes them.
+/// Returns the bytes that `Compress` was given. Fails if `packed` is malformed,
+/// doesn't match its checksum, or states a size above `max_bytes`, in which
+/// case no memory is allocated for it.
 kernel::Result<std::string> Decompress(std::string_view packed,
-                                       std::size_t most);
+                                       std::size_t max_bytes);
 
 }  // namespace egretladder::net
--- a/net/include/egretladder/net/event_splitter.h
+++ b/net/include/egretladder/net/event_splitter.h
@@ -1,4 +1,4 @@
-// Cuts a stream of events (text/event-stream) into whole events.
+// Splits a stream of events (text/event-stream) at event boundaries.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +8,20 @@
 
 namespace egretladder::net {
 
-/// What was read of a stream.
+/// State of the splitter for one stream.
 ///
-/// An endpoint that dies breaks off in the middle of an event. A caller that
-/// has got half an event can't be given the rest by another endpoint, so that
-/// only whole events are passed on.
+/// The stream of an endpoint that crashes may end in the middle of an event. If
+/// a caller had received a part of that event, another endpoint could not
+/// resume the stream, so that only complete events are passed on.
 struct EventSplitter {
-  std::string rest;          ///< Begun and not ended.
-  std::size_t scanned = 0;   ///< Of `rest`, up to the start of a line.
-  std::string id_in_rest;    ///< Of the event in `rest`.
-  std::string last_id;       ///< Of the last whole event.
-  std::uint64_t events = 0;  ///< Whole ones.
+  std::string rest;               ///< Bytes of an incomplete event.
+  std::size_t scanned_bytes = 0;  ///< Bytes of `rest` in complete lines.
+  std::string pending_id;         ///< Id of the incomplete event.
+  std::string last_id;       ///< Id of the last complete event that had one.
+  std::uint64_t events = 0;  ///< Number of complete events.
 };
 
-/// Takes bytes; returns the whole events that they complete.
+/// Adds bytes to the stream. Returns the events that they complete.
 std::string SplitEvents(EventSplitter& splitter, std::string_view bytes);
 
 }  // namespace egretladder::net
--- a/net/include/egretladder/net/http_client.h
+++ b/net/include/egretladder/net/http_client.h
@@ -1,5 +1,5 @@
-// Endpoints' side of HTTP/1.1: connections that are used again, requests sent,
-// answers read piece by piece.
+// HTTP/1.1 client for calls to endpoints. It reuses connections and delivers
+// answers piece by piece.
 #pragma once
 
 #include <chrono>
@@ -15,23 +15,26 @@
 
 namespace egretladder::net {
 
-/// How an exchange failed. Decides what may be sent again.
+/// How an exchange failed. Determines whether the request may be sent again.
 enum class ExchangeError : std::uint8_t {
-  kNotConnected,  ///< No byte of the request left.
-  kBroken,        ///< The connection ended or went silent: outcome unknown.
-  kBadAnswer,     ///< What came back is no answer, or not a whole one.
+  kNotConnected,  ///< No byte of the request was sent.
+  kBroken,        ///< The connection was lost: the outcome is unknown.
+  kBadAnswer,     ///< The answer is not valid HTTP or is too large.
 };
 
-/// What the taker of an answer does with its head.
+/// What the handler of an answer's head decides.
 enum class HeadVerdict : std::uint8_t {
   kAccept,
-  /// It belongs to another request: read past it and wait for the right one.
+  /// The answer belongs to another request: it is discarded, and the exchange
+  /// waits for the next one.
   kSkip,
 };
 
-/// Called from the loop. After `on_end` or `on_error` nothing more comes.
+/// Handlers of an exchange, called from the event loop. None is called after
+/// `on_end` or `on_error`.
 struct ExchangeHandlers {
-  /// The first byte of the request is about to leave. False: don't send.
+  /// Called before the first byte is sent. Returns false to cancel the
+  /// exchange.
   std::function<bool()> may_send;
   std::function<HeadVerdict(const HttpAnswerHead&)> on_head;
   std::function<void(std::string_view piece)> on_body;
@@ -39,35 +42,37 @@
   std::function<void(ExchangeError, const std::string& detail)> on_error;
 };
 
-/// Which open connections a request may take.
+/// Which idle connections a request may reuse.
 enum class ConnectionReuse : std::uint8_t {
-  kAny,           ///< Any that the endpoint is expected to keep open.
-  kRecentlyUsed,  ///< Only one that it can't be closing yet.
-  kNone,          ///< None: nothing leaves until a new one is accepted.
+  kAny,           ///< Any that the endpoint should still keep open.
+  kRecentlyUsed,  ///< Only one that the endpoint can't be closing yet.
+  kNone,          ///< None: the request waits for a new connection.
 };
 
 /// One request to be sent.
 struct ExchangeRequest {
   std::string address;  ///< `IP:port`.
-  std::string head;
+  std::string head;     ///< Request line and fields, ready to be sent.
   std::string body;
   bool is_head_request =
       false;  ///< The method is HEAD: the answer has no body.
   ConnectionReuse reuse = ConnectionReuse::kAny;
-  std::chrono::milliseconds connect_time{};  ///< 0: the standard.
+  std::chrono::milliseconds connect_timeout{};  ///< 0: `kHttpConnectTimeout`.
 };
 
 class HttpExchange;
-/// Keeps an exchange going; letting it go does not stop it.
+/// Refers to an exchange. Releasing it does not cancel the exchange.
 using HttpExchangePtr = std::shared_ptr<HttpExchange>;
 
-/// Stops an exchange: its connection is closed, and no handler is called any
-/// more. The endpoint sees the close and stops work.
+/// Cancels an exchange: its connection is closed, so that the endpoint can stop
+/// its work, and no handler is called any more. Null is allowed.
 void Cancel(const HttpExchangePtr& exchange);
-/// Holds back or goes on reading, while the caller is slow.
+/// Pauses or resumes reading the answer, for a caller that reads slowly. Null
+/// is allowed.
 void SetReading(const HttpExchangePtr& exchange, bool reading);
 
-/// Connections to any number of addresses, kept for reuse, last used first.
+/// A client for any number of addresses. Idle connections are kept and reused,
+/// the most recently used first.
 class HttpClient {
  public:
   explicit HttpClient(kernel::Loop& loop);
@@ -75,12 +80,12 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Sends a request. Handlers are called from the loop, never from in here.
+  /// Sends a request. No handler is called before this returns.
   HttpExchangePtr Start(ExchangeRequest request, ExchangeHandlers handlers);
-  /// Connections opened since the start.
+  /// Number of connections opened so far.
   std::uint64_t opened() const;
 
-  /// Known to the sources only.
+  /// Defined in the source file.
   struct State;
 
  private:
--- a/net/include/egretladder/net/http_message.h
+++ b/net/include/egretladder/net/http_message.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages as plain data, and the rules on which fields travel on.
+// HTTP/1.1 messages as plain data, and the rule which fields are forwarded.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,15 @@
   std::string name;
   std::string value;
 };
-/// In the order received.
+/// Fields in the order received.
 using HttpFields = std::vector<HttpField>;
 
-/// A request, read whole.
+/// A complete request.
 struct HttpRequest {
   std::string method;
-  std::string target;  ///< Path and query as sent.
+  std::string target;  ///< Path and query, as received.
   bool keep_alive = true;
-  bool chunks_understood = true;  ///< False for HTTP/1.0.
+  bool supports_chunked = true;  ///< False for HTTP/1.0.
   HttpFields fields;
   std::string body;
 };
@@ -35,14 +35,14 @@
   HttpFields fields;
 };
 
-/// Compares field names; case does not matter.
+/// Compares field names without regard to case.
 bool IsSameFieldName(std::string_view left, std::string_view right);
-/// Value of the first field of that name; empty when there is none.
+/// Returns the value of the first field of that name, empty if there is none.
 std::string_view ValueOf(const HttpFields& fields, std::string_view name);
-/// How many fields have that name.
+/// Returns the number of fields of that name.
 std::size_t CountOf(const HttpFields& fields, std::string_view name);
-/// True for fields that concern one connection and are never passed on
-/// (RFC 9110, section 7.6.1), framing included.
+/// Returns true for fields that apply to a single connection and are never
+/// forwarded (RFC 9110, section 7.6.1), including those of the framing.
 bool IsHopByHopField(std::string_view name);
 
 /// How the body of a message that is being written is framed.
@@ -52,18 +52,18 @@
   kChunked,  ///< `Transfer-Encoding: chunked`.
 };
 
-/// Head of a request to an endpoint, ready to be sent. `fields` must hold no
-/// field of one connection.
+/// Returns the head of a request to an endpoint, ready to be sent. `fields`
+/// must not contain hop-by-hop fields.
 std::string FormatRequestHead(std::string_view method, std::string_view target,
                               const HttpFields& fields, BodyFraming framing,
                               std::size_t body_size);
-/// Head of an answer to a caller.
-std::string AnswerText(int status, std::string_view reason,
-                       const HttpFields& fields, BodyFraming framing,
-                       std::size_t body_size, bool close);
-/// The usual words for a status.
+/// Returns the head of an answer to a caller. `close` adds `Connection: close`.
+std::string FormatAnswerHead(int status, std::string_view reason,
+                             const HttpFields& fields, BodyFraming framing,
+                             std::size_t body_size, bool close);
+/// Returns the standard reason phrase of a status.
 std::string_view ReasonPhrase(int status);
-/// One chunk of a chunked body.
+/// Returns one chunk of a chunked body.
 std::string FormatChunk(std::string_view piece);
 
 }  // namespace egretladder::net
--- a/net/include/egretladder/net/http_reader.h
+++ b/net/include/egretladder/net/http_reader.h
@@ -1,8 +1,8 @@
-// Strict reading of HTTP/1.1 without I/O. Source: Boost.Beast's parsers.
+// Strict parsing of HTTP/1.1 without I/O, on top of Boost.Beast's parsers.
 //
-// A request whose end is open to doubt is a way to smuggle a second one past
-// this program: an endpoint that sees the end elsewhere runs bytes that nobody
-// sent as a request. So what is unclear is refused, never guessed.
+// A request with an ambiguous end allows request smuggling: an endpoint that
+// finds the end elsewhere runs a part of the body as a second request, which
+// this program has not checked. Ambiguous messages are therefore refused.
 #pragma once
 
 #include <cstddef>
@@ -15,25 +15,25 @@
 
 namespace egretladder::net {
 
-/// How far a message was read.
+/// The part of a message that is read next, or the result.
 enum class ReadState : std::uint8_t { kHead, kBody, kDone, kFailed };
 
-/// Why a message can't be read.
-enum class ReadFault : std::uint8_t {
+/// Why a message was refused.
+enum class ReadError : std::uint8_t {
   kNone,
-  kSyntax,  ///< Breaks RFC 9112, or its end is open to doubt.
+  kSyntax,  ///< Violates RFC 9112 or has an ambiguous end.
   kHeadTooLarge,
   kBodyTooLarge,
 };
 
-/// Largest sizes of a message, in bytes.
+/// Limits for the size of a message.
 struct ReadLimits {
-  std::size_t head = 0;
-  std::size_t body = 0;
+  std::size_t max_head_bytes = 0;
+  std::size_t max_body_bytes = 0;
 };
 
 struct RequestReaderState;
-/// Lets the reader own a type that only its source knows.
+/// Deletes the state, whose type is complete only in the source file.
 struct RequestReaderDelete {
   void operator()(RequestReaderState* state) const;
 };
@@ -43,17 +43,18 @@
  public:
   explicit RequestReader(const ReadLimits& limits);
 
-  /// Takes bytes, the unread rest of the input from its start; returns how many
-  /// were used. 0 while the head is incomplete.
+  /// Parses `bytes`, all input that has not been consumed yet. Returns how many
+  /// bytes were consumed, 0 while the head is incomplete.
   std::size_t Feed(std::string_view bytes);
 
   ReadState state() const;
-  ReadFault fault() const;
-  /// What Beast says of the fault, for the log.
+  ReadError error() const;
+  /// Description of the error for the log.
   const std::string& detail() const;
-  /// True when the caller waits for `100 Continue` before it sends the body.
+  /// Returns true if the caller waits for `100 Continue` before it sends the
+  /// body.
   bool WantsContinue() const;
-  /// Complete in `kDone`.
+  /// The request; complete in `kDone`.
   HttpRequest& request();
 
  private:
@@ -61,27 +62,29 @@
 };
 
 struct AnswerReaderState;
-/// As above.
+/// Deletes the state, whose type is complete only in the source file.
 struct AnswerReaderDelete {
   void operator()(AnswerReaderState* state) const;
 };
 
-/// Reads one answer, whose body is taken piece by piece.
+/// Reads one answer. Its body is available piece by piece.
 class AnswerReader {
  public:
-  /// `no_body`: the request was a HEAD.
+  /// `no_body`: the method of the request was HEAD.
   AnswerReader(const ReadLimits& limits, bool no_body);
 
-  /// As `RequestReader::Feed`.
+  /// Parses `bytes`, all input that has not been consumed yet. Returns how many
+  /// bytes were consumed.
   std::size_t Feed(std::string_view bytes);
-  /// The connection ended: completes an answer that has no length.
-  void FeedEnd();
+  /// Handles the end of the connection, which completes an answer without
+  /// length and makes any other incomplete answer fail.
+  void FeedEof();
 
   ReadState state() const;
   const std::string& detail() const;
   /// Valid from `kBody` on.
   const HttpAnswerHead& head() const;
-  /// Moves out the part of the body read since the last call.
+  /// Returns the part of the body read since the last call.
   std::string TakeBody();
 
  private:
--- a/net/include/egretladder/net/http_server.h
+++ b/net/include/egretladder/net/http_server.h
@@ -1,6 +1,5 @@
-// Callers' side of HTTP/1.1: connections accepted, requests read whole and
-// checked, answers written. Source: libevent, and Boost.Beast through
-// http_reader.h.
+// HTTP/1.1 server for callers, on libevent. It accepts connections, reads and
+// checks complete requests (http_reader.h) and writes answers.
 #pragma once
 
 #include <chrono>
@@ -19,53 +18,62 @@
 
 namespace egretladder::net {
 
-/// What callers may send, and how long they may take. May change at any time;
-/// it holds for requests that begin later.
+/// Limits for what callers may send and how long they may take. A change
+/// applies to requests that begin later.
 struct ServerLimits {
   ReadLimits size{std::size_t{16} << 10U, std::size_t{4} << 20U};
-  std::chrono::milliseconds head_timeout{3000};  ///< From its first byte.
+  std::chrono::milliseconds head_timeout{
+      3000};  ///< From the first byte of the head.
   std::chrono::milliseconds body_timeout{
-      kRequestBodyTime};                          ///< After its head.
+      kRequestBodyTimeout};                       ///< From the end of the head.
   std::chrono::milliseconds idle_timeout{15000};  ///< Between two requests.
-  /// A caller that takes nothing of its answer for this long is dropped.
+  /// The connection is closed if the caller receives nothing of its answer for
+  /// this long.
   std::chrono::milliseconds write_timeout{30000};
-  std::size_t connections = 2000;
+  std::size_t connections = 2000;  ///< Open at the same time.
 };
 
 class HttpConnection;
 
-/// One request of a caller and its answer. Begins when the request was read
-/// whole; ends with `Answer`, `End` or `Break`, or when the caller goes.
+/// One request of a caller and its answer. Begins with the complete request.
+/// Ends with `Answer`, `End` or `Break`, or when the caller disconnects.
 class HttpCall {
  public:
   HttpCall(std::shared_ptr<HttpConnection> connection, HttpRequest request);
 
   const HttpRequest& request() const { return request_; }
-  /// Lets the body go once it can't be sent again.
+  /// Frees the body of the request, once it won't be sent again.
   void DropBody() { request_.body = std::string(); }
 
-  /// Called once if the caller goes before its answer ended. Set it again to
-  /// replace it.
-  void OnGone(std::function<void()> action) { gone_ = std::move(action); }
+  /// Sets the action that is called once if the caller disconnects before the
+  /// end of its answer. Replaces an earlier one.
+  void OnGone(std::function<void()> action) {
+    on_disconnect_ = std::move(action);
+  }
 
-  /// Called each time the caller has taken all that was passed on.
-  void OnDrained(std::function<void()> action) { drained_ = std::move(action); }
+  /// Sets the action that is called each time the output buffer has become
+  /// empty.
+  void OnDrained(std::function<void()> action) {
+    on_drained_ = std::move(action);
+  }
 
-  /// Gives a whole answer.
+  /// Sends a complete answer.
   void Answer(int status, std::string_view reason, const HttpFields& fields,
               std::string_view body);
-  /// Begins an answer whose end is not known yet.
+  /// Sends the head of an answer whose length is not known yet.
   void Begin(int status, std::string_view reason, const HttpFields& fields);
-  /// Passes on a piece of it.
+  /// Sends a piece of its body.
   void Send(std::string_view piece);
-  /// Ends it as complete.
+  /// Ends the answer regularly.
   void End();
-  /// Closes the connection, so that half an answer can't look complete.
+  /// Closes the connection so that an incomplete answer doesn't look complete.
   void Break();
 
+  /// The head of an answer was sent by `Begin`.
   bool begun() const { return begun_; }
-  bool over() const { return connection_ == nullptr; }
-  /// Bytes that the caller has not taken yet.
+  /// The call has ended, or the caller has disconnected.
+  bool finished() const { return connection_ == nullptr; }
+  /// Bytes of the output buffer that were not sent yet.
   std::size_t UnsentBytes() const;
 
  private:
@@ -75,27 +83,27 @@
 
   std::shared_ptr<HttpConnection> connection_;
   HttpRequest request_;
-  std::function<void()> gone_;
-  std::function<void()> drained_;
+  std::function<void()> on_disconnect_;
+  std::function<void()> on_drained_;
   bool begun_ = false;
   bool chunked_ = false;
 };
-/// Shared by the connection and whoever works on the answer.
+/// Shared by the connection and the code that produces the answer.
 using HttpCallPtr = std::shared_ptr<HttpCall>;
 
-/// What a server does with what it reads.
+/// Handlers of a server.
 struct ServerHandlers {
   std::function<void(const HttpCallPtr&)> on_request;
-  /// A request that can't be read was refused with `status`.
+  /// Called when an invalid request was refused with `status`. Optional.
   std::function<void(int status, const std::string& why)> on_refused;
-  /// Body of such an answer, in the product's own form.
+  /// Returns the body of the answer to such a request. Not set: an empty body.
   std::function<std::string(int status, std::string_view why)> refusal_body;
-  /// Makes the buffer of an accepted socket, for instance with TLS; not set:
-  /// plain.
+  /// Creates the bufferevent of an accepted socket, for example with TLS. Not
+  /// set: plain TCP.
   std::function<Bufferevent(event_base* base, evutil_socket_t fd)> make_buffer;
 };
 
-/// Listens on one address.
+/// A server on one address.
 class HttpServer {
  public:
   HttpServer(kernel::Loop& loop, ServerHandlers handlers);
@@ -103,27 +111,30 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// `address`: `IP:port`, port 0 for any. Fails when it can't be bound.
+  /// `address` is `IP:port`, with port 0 for any free port. Fails with
+  /// `kUnavailable` if it can't be bound.
   kernel::Result<void> Listen(const std::string& address);
-  /// The address bound.
+  /// The address with the port that was bound.
   const std::string& address() const;
   void SetLimits(const ServerLimits& limits);
-  /// From now on each answer ends its connection.
+  /// From now on each answer closes its connection.
   void CloseAfterAnswers();
-  /// New connections are refused from now on.
+  /// Closes the listener, so that new connections are refused. Connections that
+  /// the kernel has already accepted are served.
   void StopListening();
-  /// Connections now open. At most as many as the limits say; more wait in the
-  /// backlog until one closes.
+  /// Number of open connections. Above the limit, new connections wait in the
+  /// listen backlog until another one closes.
   std::size_t connections() const;
-  /// Connections whose caller has sent a part of a request so far. A process
-  /// that ends before the rest leaves it with a connection that closes, which
-  /// doesn't say that nothing ran.
+  /// Number of connections with an incomplete request. If the process ended
+  /// now, their callers would only see a closed connection, which doesn't tell
+  /// them that the request did not run.
   std::size_t incomplete_requests() const;
-  /// Answers these as not run, and ends their connections.
+  /// Answers incomplete requests with 503 and closes their connections.
   void RefuseIncompleteRequests(const std::string& why);
-  /// Connections whose caller hasn't taken its answer yet: bytes wait to be
-  /// written, or the caller hasn't closed a connection that the answer ended.
-  /// A process that ends before cuts these answers.
+  /// Number of connections with an answer that is not delivered yet: there are
+  /// bytes that the caller has not acknowledged, or the caller has not closed a
+  /// connection that ends with the answer. If the process ended now, these
+  /// answers could be truncated.
   std::size_t undelivered() const;
 
  private:
--- a/net/include/egretladder/net/kj_loop.h
+++ b/net/include/egretladder/net/kj_loop.h
@@ -1,5 +1,5 @@
-// KJ, the runtime of Cap'n Proto RPC, on libevent's loop: no second loop, no
-// thread.
+// Runs KJ, the async runtime of Cap'n Proto RPC, on libevent's event loop,
+// without a second loop or thread.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -18,28 +18,30 @@
 
 class KjLoop;
 
-/// The KJ loop of this thread; made on first use, gone with its last holder.
-/// Fails with `kConflict` when this thread's KJ already runs on another base.
+/// Returns the KJ loop of this thread. It is created on first use and destroyed
+/// with the last reference. Fails with `kConflict` if the KJ loop of this
+/// thread runs on another event base.
 kernel::Result<std::shared_ptr<KjLoop>> AcquireKjLoop(kernel::Loop& loop);
 
-/// A KJ stream over a bufferevent, which may still be connecting. Callbacks
-/// only settle promises; continuations run when the KJ loop turns.
+/// A KJ stream over a bufferevent, which may still be connecting. The callbacks
+/// of libevent only resolve promises; continuations run in the KJ loop.
 class BuffereventStream final : public kj::AsyncIoStream {
  public:
   explicit BuffereventStream(Bufferevent buffer);
 
-  kj::Promise<std::size_t> tryRead(void* buffer, std::size_t least,
-                                   std::size_t most) override;
+  kj::Promise<std::size_t> tryRead(void* buffer, std::size_t min_bytes,
+                                   std::size_t max_bytes) override;
   kj::Promise<void> write(const void* buffer, std::size_t size) override;
   kj::Promise<void> write(
       kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces) override;
   kj::Promise<void> whenWriteDisconnected() override;
   void shutdownWrite() override;
 
-  /// Bytes that wait to be taken by the other side.
+  /// Bytes of the output buffer that were not sent yet.
   std::size_t PendingOutputBytes() const;
-  /// True when the other side has ended it, or it broke.
-  bool IsDisconnected() const { return ended_ || broken_; }
+  /// Returns true if the other side has ended the stream or the connection
+  /// failed.
+  bool IsDisconnected() const { return eof_ || broken_; }
 
  private:
   class ReadOperation;
@@ -48,15 +50,15 @@
   static void OnReadable(bufferevent* buffer, void* arg);
   static void OnWritable(bufferevent* buffer, void* arg);
   // NOLINTNEXTLINE(google-runtime-int)
-  static void OnEvent(bufferevent* buffer, short what, void* arg);
-  kj::Promise<void> Drained();
-  void Break();
+  static void OnEvent(bufferevent* buffer, short events, void* arg);
+  kj::Promise<void> WhenDrained();
+  void Disconnect();
 
   Bufferevent buffer_;
-  ReadOperation* reading_ = nullptr;
-  DrainOperation* draining_ = nullptr;
-  bool ended_ = false;   ///< The other side sends no more.
-  bool broken_ = false;  ///< Nothing more goes either way.
+  ReadOperation* read_operation_ = nullptr;
+  DrainOperation* drain_operation_ = nullptr;
+  bool eof_ = false;     ///< The other side has ended its output.
+  bool broken_ = false;  ///< The connection failed in both directions.
 };
 
 }  // namespace egretladder::net
--- a/net/include/egretladder/net/limits.h
+++ b/net/include/egretladder/net/limits.h
@@ -1,4 +1,4 @@
-// Limits of the wires that are not settings.
+// Limits and timeouts of network connections that are not configurable.
 #pragma once
 
 #include <chrono>
@@ -6,53 +6,54 @@
 
 namespace egretladder::net {
 
-/// Connections that may wait to be accepted; a burst of new callers comes
-/// faster than the loop turns.
-inline constexpr int kHttpBacklog = 1024;
-
-/// Input that may wait unread on one connection. A head has to fit, and a
-/// caller that pipelines is held back beyond it.
-inline constexpr std::size_t kHttpReadAhead = std::size_t{128} << 10U;
-
-/// Between two looks at connections whose time is up.
-inline constexpr std::chrono::milliseconds kHttpSweep{100};
-
-/// How long a connection is kept after an answer that ends it, so that the
-/// caller can read that answer: closing with unread input resets it.
-inline constexpr std::chrono::milliseconds kLingeringClose{1000};
-
-/// For the body of a request once its head is there. Three times what 4 MiB
-/// take on a link of 10 Mbit/s.
-inline constexpr std::chrono::milliseconds kRequestBodyTime{10000};
-
-/// Unacknowledged bytes are given up after this long: a machine without power
-/// answers nothing, and its connections would hang for minutes.
-inline constexpr std::chrono::milliseconds kUserTimeout{2500};
-/// Silence on a connection after which the other side is asked.
-inline constexpr std::chrono::seconds kKeepAliveIdle{1};
-/// Between two such questions.
-inline constexpr std::chrono::seconds kKeepAliveEvery{1};
-/// Unanswered questions before the connection is given up.
+/// Length of the listen backlog. In a burst of new callers, connections arrive
+/// faster than the event loop accepts them.
+inline constexpr int kHttpListenBacklog = 1024;
+
+/// Input that is buffered on one connection. It must hold a complete head; a
+/// caller that pipelines more requests than fit has to wait.
+inline constexpr std::size_t kMaxReadAheadBytes = std::size_t{128} << 10U;
+
+/// Interval of the check for connections that have timed out.
+inline constexpr std::chrono::milliseconds kHttpSweepInterval{100};
+
+/// How long a connection stays open after its last answer, so that the caller
+/// can read that answer. Closing a socket with unread input would reset it.
+inline constexpr std::chrono::milliseconds kLingeringCloseTimeout{1000};
+
+/// Timeout for the body of a request, from the end of its head. It is three
+/// times the time that 4 MiB take on a link of 10 Mbit/s.
+inline constexpr std::chrono::milliseconds kRequestBodyTimeout{10000};
+
+/// A connection is closed if sent bytes stay unacknowledged for this long. The
+/// connections to a machine that lost power would otherwise stay open for
+/// minutes.
+inline constexpr std::chrono::milliseconds kTcpUserTimeout{2500};
+/// Idle time of a connection after which TCP keep-alive probes are sent.
+inline constexpr std::chrono::seconds kKeepAliveIdleTime{1};
+/// Interval between two keep-alive probes.
+inline constexpr std::chrono::seconds kKeepAliveInterval{1};
+/// Unanswered keep-alive probes after which the connection is closed.
 inline constexpr int kKeepAliveProbes{2};
 
-/// A connection to an endpoint that is not there by then. One way between two
-/// machines takes a few milliseconds; the opening packet is sent again after a
-/// second, which is later than another endpoint answers.
-inline constexpr std::chrono::milliseconds kHttpConnectTime{400};
-
-/// Head of an endpoint's answer, in bytes.
-inline constexpr std::size_t kAnswerHead = std::size_t{32} << 10U;
-/// Largest answer that is read, in bytes.
-inline constexpr std::size_t kAnswerBody = std::size_t{64} << 20U;
-
-/// How long an idle connection to an endpoint is used again when the endpoint
-/// doesn't say how long it keeps it.
-inline constexpr std::chrono::milliseconds kIdleUnknown{2000};
-/// Part of the time that the endpoint says it keeps an idle connection, after
-/// which it isn't used any more: a request that meets the close on its way may
-/// have run.
-inline constexpr double kIdlePart = 0.6;
-/// The same for requests that ask for a young one.
-inline constexpr double kIdlePartYoung = 0.3;
+/// Timeout for opening a connection to an endpoint. One way between two
+/// machines takes a few milliseconds. TCP sends a lost SYN again after 1 s, and
+/// by then another endpoint can have answered.
+inline constexpr std::chrono::milliseconds kHttpConnectTimeout{400};
+
+/// Largest head of an endpoint's answer.
+inline constexpr std::size_t kMaxAnswerHeadBytes = std::size_t{32} << 10U;
+/// Largest body of an endpoint's answer.
+inline constexpr std::size_t kMaxAnswerBodyBytes = std::size_t{64} << 20U;
+
+/// Assumed keep-alive timeout of an endpoint that doesn't send one.
+inline constexpr std::chrono::milliseconds kDefaultIdleLifetime{2000};
+/// Fraction of the endpoint's keep-alive timeout during which an idle
+/// connection is reused. If a request and the close by the endpoint cross on
+/// the way, the outcome of the request is unknown.
+inline constexpr double kIdleReuseRatio = 0.6;
+/// Fraction of the keep-alive timeout during which an idle connection is reused
+/// for requests that need a recently used one.
+inline constexpr double kRecentIdleReuseRatio = 0.3;
 
 }  // namespace egretladder::net
--- a/net/include/egretladder/net/rpc_connection.h
+++ b/net/include/egretladder/net/rpc_connection.h
@@ -1,4 +1,4 @@
-// One end of a Cap'n Proto RPC connection over a bufferevent.
+// The two ends of a Cap'n Proto RPC connection over a bufferevent.
 #pragma once
 
 #include <capnp/rpc-twoparty.h>
@@ -9,16 +9,18 @@
 
 namespace egretladder::net {
 
-/// Nesting of structs in a message.
-inline constexpr int kRpcNesting = 16;
+/// Limit for the nesting depth of structs and lists in a message.
+inline constexpr int kMaxRpcNesting = 16;
 
-/// What a message may hold at most, in words of eight bytes.
-capnp::ReaderOptions RpcReaderOptions(std::uint64_t words);
+/// Returns the limits for received messages. `max_words` is the largest
+/// message, in words of eight bytes.
+capnp::ReaderOptions RpcReaderOptions(std::uint64_t max_words);
 
-/// A connection that a peer opened; `self` is what the peer may call.
+/// A connection that a peer opened. `self` is the interface that the peer
+/// calls.
 struct RpcServerConnection {
   RpcServerConnection(Bufferevent buffer, capnp::Capability::Client self,
-                      std::uint64_t words);
+                      std::uint64_t max_words);
 
   BuffereventStream stream;
   capnp::TwoPartyVatNetwork network;
@@ -27,12 +29,12 @@
   kj::Promise<void> ended;
 };
 
-/// A connection to a peer. Calls may be made at once; they wait for the
-/// connection.
+/// A connection that this node opens to a peer. Calls made before it is
+/// established wait for it.
 struct RpcClientConnection {
-  RpcClientConnection(Bufferevent buffer, std::uint64_t words);
+  RpcClientConnection(Bufferevent buffer, std::uint64_t max_words);
 
-  /// What the peer offers.
+  /// Returns the interface that the peer provides.
   capnp::Capability::Client Bootstrap();
 
   BuffereventStream stream;
--- a/net/include/egretladder/net/socket.h
+++ b/net/include/egretladder/net/socket.h
@@ -1,4 +1,4 @@
-// Options of TCP sockets, and libevent's owners.
+// Options of TCP sockets, and owners and helpers for libevent's objects.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -31,40 +31,45 @@
 /// Owns a listener.
 using Listener = std::unique_ptr<evconnlistener, ListenerFree>;
 
-/// Small writes leave at once, and a peer that fell silent without a reset is
-/// given up after `unacknowledged`, or the keep-alive times of limits.h.
+/// Disables Nagle's algorithm and enables the detection of peers that
+/// disappeared without a reset. The connection fails if sent bytes stay
+/// unacknowledged for `user_timeout`, or if the keep-alive probes of limits.h
+/// stay unanswered.
 ///
-/// A machine that lost its power or is cut off answers nothing, and a
-/// connection may fall silent for good while new ones work. Without this a
-/// request waits on it until its deadline.
+/// A machine that lost power or its network doesn't answer, and a connection
+/// can stay silent for good while new ones work. Without these options a
+/// request on such a connection would wait until its deadline.
 ///
-/// The kernel takes a peer that reads nothing for one that isn't there. Give
-/// those that may pause, as callers do, as long as they may.
+/// The kernel can't tell a peer that reads nothing from one that disappeared.
+/// For peers that may pause reading, such as callers, `user_timeout` must be as
+/// long as they may pause.
 void SetTcpOptions(evutil_socket_t fd,
-                   std::chrono::milliseconds unacknowledged = kUserTimeout);
+                   std::chrono::milliseconds user_timeout = kTcpUserTimeout);
 
-/// Listens on `address` (`IP:port`, port 0 for any); `accept` gets each
-/// connection and `arg`. Fails with `kUnavailable` when it can't be bound.
+/// Listens on `address`, `IP:port` with port 0 for any free port. `accept` is
+/// called with each connection and `arg`. Fails with `kUnavailable` if the
+/// address can't be bound.
 kernel::Result<Listener> ListenOn(event_base* base, const std::string& address,
                                   int backlog, evconnlistener_cb accept,
                                   void* arg);
 
-/// The bytes that wait to be read. Valid until the buffer changes.
+/// Returns the bytes of the input buffer. They are valid until it changes.
 std::string_view PendingInput(bufferevent* buffer);
-/// Takes `size` bytes off the input.
+/// Removes the first `size` bytes from the input buffer.
 void Consume(bufferevent* buffer, std::size_t size);
-/// Appends to the output.
+/// Appends bytes to the output buffer.
 void Write(bufferevent* buffer, std::string_view bytes);
-/// Bytes that wait to be sent.
+/// Returns the number of bytes in the output buffer.
 std::size_t PendingOutputBytes(bufferevent* buffer);
 
-/// Bytes, and the end after them, that the other side hasn't acknowledged.
-int HeldByKernel(evutil_socket_t fd);
-/// The other side reset the connection or ended its input; what it sent before
-/// may still be unread.
-bool HasLeft(evutil_socket_t fd);
-/// Lets the close of the connection be a reset: a regular end would make a half
-/// answer without chunks look whole.
-void ResetOnClose(evutil_socket_t fd);
+/// Returns the number of sent bytes that the other side has not acknowledged.
+/// The end of the output counts as one.
+int UnacknowledgedBytes(evutil_socket_t fd);
+/// Returns true if the other side has reset the connection or ended its output.
+/// Bytes that it sent before may still be unread.
+bool HasPeerClosed(evutil_socket_t fd);
+/// Makes the close of the socket reset the connection. After a regular end, a
+/// truncated answer without chunks would look complete.
+void SetResetOnClose(evutil_socket_t fd);
 
 }  // namespace egretladder::net
--- a/net/src/address.cc
+++ b/net/src/address.cc
@@ -22,17 +22,17 @@
 std::optional<SocketAddress> ParseAddress(const std::string& address) {
   const auto [host, port] = SplitAddress(address);
   SocketAddress parsed;
-  auto* narrow = reinterpret_cast<sockaddr_in*>(&parsed.storage);
-  auto* wide = reinterpret_cast<sockaddr_in6*>(&parsed.storage);
-  if (inet_pton(AF_INET, host.c_str(), &narrow->sin_addr) == 1) {
-    narrow->sin_family = AF_INET;
-    narrow->sin_port = htons(port);
+  auto* ipv4 = reinterpret_cast<sockaddr_in*>(&parsed.storage);
+  auto* ipv6 = reinterpret_cast<sockaddr_in6*>(&parsed.storage);
+  if (inet_pton(AF_INET, host.c_str(), &ipv4->sin_addr) == 1) {
+    ipv4->sin_family = AF_INET;
+    ipv4->sin_port = htons(port);
     parsed.size = sizeof(sockaddr_in);
     return parsed;
   }
-  if (inet_pton(AF_INET6, host.c_str(), &wide->sin6_addr) == 1) {
-    wide->sin6_family = AF_INET6;
-    wide->sin6_port = htons(port);
+  if (inet_pton(AF_INET6, host.c_str(), &ipv6->sin6_addr) == 1) {
+    ipv6->sin6_family = AF_INET6;
+    ipv6->sin6_port = htons(port);
     parsed.size = sizeof(sockaddr_in6);
     return parsed;
   }
--- a/net/src/compression_zstd.cc
+++ b/net/src/compression_zstd.cc
@@ -31,18 +31,20 @@
 }
 
 kernel::Result<std::string> Decompress(std::string_view packed,
-                                       std::size_t most) {
+                                       std::size_t max_bytes) {
   constexpr const char* kStep = "restore compressed bytes";
   const auto size = ZSTD_getFrameContentSize(packed.data(), packed.size());
   if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN) {
     return Failed(kStep, "no size is stated");
   }
-  if (size > most) return Failed(kStep, "larger than allowed");
+  if (size > max_bytes) return Failed(kStep, "larger than allowed");
   std::string bytes(static_cast<std::size_t>(size), '\0');
-  const std::size_t got =
+  const std::size_t restored =
       ZSTD_decompress(bytes.data(), bytes.size(), packed.data(), packed.size());
-  if (ZSTD_isError(got) != 0) return Failed(kStep, ZSTD_getErrorName(got));
-  if (got != bytes.size()) return Failed(kStep, "less than its stated size");
+  if (ZSTD_isError(restored) != 0)
+    return Failed(kStep, ZSTD_getErrorName(restored));
+  if (restored != bytes.size())
+    return Failed(kStep, "less than its stated size");
   return bytes;
 }
 
--- a/net/src/event_splitter.cc
+++ b/net/src/event_splitter.cc
@@ -8,7 +8,7 @@
   if (!line.starts_with(kId)) return;
   line.remove_prefix(kId.size());
   if (line.starts_with(' ')) line.remove_prefix(1);
-  splitter.id_in_rest = line;
+  splitter.pending_id = line;
 }
 
 }  // namespace
@@ -17,26 +17,26 @@
   splitter.rest.append(bytes);
   std::size_t whole = 0;
   while (true) {
-    const std::size_t end = splitter.rest.find('\n', splitter.scanned);
+    const std::size_t end = splitter.rest.find('\n', splitter.scanned_bytes);
     if (end == std::string::npos) break;
-    std::string_view line(splitter.rest.data() + splitter.scanned,
-                          end - splitter.scanned);
+    std::string_view line(splitter.rest.data() + splitter.scanned_bytes,
+                          end - splitter.scanned_bytes);
     if (line.ends_with('\r')) line.remove_suffix(1);
-    splitter.scanned = end + 1;
+    splitter.scanned_bytes = end + 1;
     if (!line.empty()) {
       ReadLine(splitter, line);
       continue;
     }
     whole = end + 1;
     ++splitter.events;
-    if (!splitter.id_in_rest.empty()) {
-      splitter.last_id = std::move(splitter.id_in_rest);
+    if (!splitter.pending_id.empty()) {
+      splitter.last_id = std::move(splitter.pending_id);
     }
-    splitter.id_in_rest.clear();
+    splitter.pending_id.clear();
   }
   std::string events = splitter.rest.substr(0, whole);
   splitter.rest.erase(0, whole);
-  splitter.scanned -= whole;
+  splitter.scanned_bytes -= whole;
   return events;
 }
 
--- a/net/src/http_call.cc
+++ b/net/src/http_call.cc
@@ -14,57 +14,59 @@
 }
 
 void HttpCall::Finish(bool close) {
-  gone_ = nullptr;
-  drained_ = nullptr;
+  on_disconnect_ = nullptr;
+  on_drained_ = nullptr;
   const auto connection = std::exchange(connection_, nullptr);
-  connection->CallOver(close);
+  connection->OnCallEnded(close);
 }
 
 void HttpCall::Answer(int status, std::string_view reason,
                       const HttpFields& fields, std::string_view body) {
-  if (over()) return;
+  if (finished()) return;
   const bool close = MustClose();
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
-  const bool bare = status == kNoContent || status == kNotModified;
-  connection_->Put(AnswerText(status, reason, fields,
-                              bare ? BodyFraming::kNone : BodyFraming::kLength,
-                              body.size(), close));
-  if (!bare && request_.method != "HEAD") connection_->Put(body);
+  const bool without_body = status == kNoContent || status == kNotModified;
+  connection_->WriteOutput(
+      FormatAnswerHead(status, reason, fields,
+                       without_body ? BodyFraming::kNone : BodyFraming::kLength,
+                       body.size(), close));
+  if (!without_body && request_.method != "HEAD")
+    connection_->WriteOutput(body);
   Finish(close);
 }
 
 void HttpCall::Begin(int status, std::string_view reason,
                      const HttpFields& fields) {
-  if (over()) return;
+  if (finished()) return;
   begun_ = true;
-  chunked_ = request_.chunks_understood;
-  connection_->Put(
-      AnswerText(status, reason, fields,
-                 chunked_ ? BodyFraming::kChunked : BodyFraming::kNone, 0,
-                 !chunked_ || MustClose()));
+  chunked_ = request_.supports_chunked;
+  connection_->WriteOutput(
+      FormatAnswerHead(status, reason, fields,
+                       chunked_ ? BodyFraming::kChunked : BodyFraming::kNone, 0,
+                       !chunked_ || MustClose()));
 }
 
 void HttpCall::Send(std::string_view piece) {
-  if (over() || piece.empty()) return;
-  connection_->Put(chunked_ ? FormatChunk(piece) : std::string(piece));
+  if (finished() || piece.empty()) return;
+  connection_->WriteOutput(chunked_ ? FormatChunk(piece) : std::string(piece));
 }
 
 void HttpCall::End() {
-  if (over()) return;
-  if (chunked_) connection_->Put("0\r\n\r\n");
+  if (finished()) return;
+  if (chunked_) connection_->WriteOutput("0\r\n\r\n");
   Finish(!chunked_ || MustClose());
 }
 
 void HttpCall::Break() {
-  if (over()) return;
+  if (finished()) return;
   if (begun_ && chunked_) {
-    // What was passed on still reaches the caller; the missing last chunk says
-    // that it isn't all.
+    // The pieces sent so far are still delivered. The missing last chunk shows
+    // the caller that the answer is incomplete.
     Finish(true);
     return;
   }
-  gone_ = nullptr;
+  on_disconnect_ = nullptr;
   const auto connection = connection_;
   connection->Close();
 }
--- a/net/src/http_client_libevent.cc
+++ b/net/src/http_client_libevent.cc
@@ -17,19 +17,21 @@
 
 constexpr int kFirstFinalStatus = 200;
 
-// One connection to an endpoint.
-struct Link {
-  HttpClient::State* pool = nullptr;  // While idle.
+// A connection to an endpoint.
+struct Connection {
+  HttpClient::State* owner = nullptr;  // Set while the connection is idle.
   Bufferevent buffer;
   std::string address;
   bool connected = false;
-  std::chrono::milliseconds keeps{};  // By its last answer; 0: unknown.
+  // From the last answer; 0: not stated.
+  std::chrono::milliseconds keep_alive_timeout{};
   kernel::Time idle_since{};
 };
-using LinkPtr = std::unique_ptr<Link>;
+using ConnectionPtr = std::unique_ptr<Connection>;
 
-// `Keep-Alive: timeout=5, max=100`
-std::chrono::milliseconds KeepsFor(const HttpFields& fields) {
+// Returns the timeout of a field such as `Keep-Alive: timeout=5, max=100`, or
+// 0.
+std::chrono::milliseconds ParseKeepAliveTimeout(const HttpFields& fields) {
   const std::string_view value = ValueOf(fields, "Keep-Alive");
   constexpr std::string_view kName = "timeout=";
   const std::size_t at = value.find(kName);
@@ -40,71 +42,78 @@
   return std::chrono::seconds(seconds);
 }
 
-bool IsFresh(const Link& link, ConnectionReuse reuse, kernel::Time now) {
-  const auto keeps = link.keeps.count() > 0 ? link.keeps : kIdleUnknown;
-  const auto allowed =
-      std::chrono::duration<double, std::milli>(keeps) *
-      (reuse == ConnectionReuse::kAny ? kIdlePart : kIdlePartYoung);
-  return now - link.idle_since < allowed;
+bool IsReusable(const Connection& connection, ConnectionReuse reuse,
+                kernel::Time now) {
+  const auto lifetime = connection.keep_alive_timeout.count() > 0
+                            ? connection.keep_alive_timeout
+                            : kDefaultIdleLifetime;
+  const auto allowed = std::chrono::duration<double, std::milli>(lifetime) *
+                       (reuse == ConnectionReuse::kAny ? kIdleReuseRatio
+                                                       : kRecentIdleReuseRatio);
+  return now - connection.idle_since < allowed;
 }
 
 }  // namespace
 
 struct HttpClient::State : std::enable_shared_from_this<State> {
   kernel::Loop* loop = nullptr;
-  std::unordered_map<std::string, std::vector<LinkPtr>> idle;
+  std::unordered_map<std::string, std::vector<ConnectionPtr>> idle;
   std::uint64_t opened = 0;
 
-  LinkPtr TakeIdle(const std::string& address, ConnectionReuse reuse);
-  void KeepIdle(LinkPtr link);
-  static void Drop(Link* link);
+  ConnectionPtr TakeIdle(const std::string& address, ConnectionReuse reuse);
+  void AddIdle(ConnectionPtr connection);
+  static void RemoveIdle(Connection* connection);
 };
 
-LinkPtr HttpClient::State::TakeIdle(const std::string& address,
-                                    ConnectionReuse reuse) {
+ConnectionPtr HttpClient::State::TakeIdle(const std::string& address,
+                                          ConnectionReuse reuse) {
   if (reuse == ConnectionReuse::kNone) return nullptr;
   const auto at = idle.find(address);
   if (at == idle.end()) return nullptr;
   const kernel::Time now = kernel::Now(loop->clock);
   while (!at->second.empty()) {
-    if (!IsFresh(*at->second.back(), reuse, now)) {
-      // The last used is the youngest; one that is too old for a request that
-      // asks for young ones may still serve others.
+    if (!IsReusable(*at->second.back(), reuse, now)) {
+      // The last connection is the most recently used one, so no other is
+      // reusable. Connections that are too old only for requests that need a
+      // recently used one are kept for the others.
       if (reuse == ConnectionReuse::kAny) at->second.clear();
       return nullptr;
     }
-    LinkPtr link = std::move(at->second.back());
+    ConnectionPtr connection = std::move(at->second.back());
     at->second.pop_back();
-    if (PendingInput(link->buffer.get()).empty()) return link;
+    if (PendingInput(connection->buffer.get()).empty()) return connection;
   }
   return nullptr;
 }
 
-void HttpClient::State::Drop(Link* link) {
-  auto& idle = link->pool->idle;
-  const auto at = idle.find(link->address);
+void HttpClient::State::RemoveIdle(Connection* connection) {
+  auto& idle = connection->owner->idle;
+  const auto at = idle.find(connection->address);
   if (at == idle.end()) return;
-  std::erase_if(at->second,
-                [link](const LinkPtr& one) { return one.get() == link; });
+  std::erase_if(at->second, [connection](const ConnectionPtr& idle_connection) {
+    return idle_connection.get() == connection;
+  });
   if (at->second.empty()) idle.erase(at);
 }
 
-void HttpClient::State::KeepIdle(LinkPtr link) {
-  link->idle_since = kernel::Now(loop->clock);
-  link->pool = this;
-  // An idle connection that speaks or ends is of no more use: what it says
-  // belongs to no request.
+void HttpClient::State::AddIdle(ConnectionPtr connection) {
+  connection->idle_since = kernel::Now(loop->clock);
+  connection->owner = this;
+  // An idle connection is dropped if it ends or receives input, which can't
+  // belong to any request.
   bufferevent_setcb(
-      link->buffer.get(),
-      [](bufferevent* /*b*/, void* arg) { Drop(static_cast<Link*>(arg)); },
+      connection->buffer.get(),
+      [](bufferevent* /*b*/, void* arg) {
+        RemoveIdle(static_cast<Connection*>(arg));
+      },
       nullptr,
       // NOLINTNEXTLINE(google-runtime-int)
       [](bufferevent* /*b*/, short /*what*/, void* arg) {
-        Drop(static_cast<Link*>(arg));
+        RemoveIdle(static_cast<Connection*>(arg));
       },
-      link.get());
-  bufferevent_enable(link->buffer.get(), EV_READ);
-  idle[link->address].push_back(std::move(link));
+      connection.get());
+  bufferevent_enable(connection->buffer.get(), EV_READ);
+  idle[connection->address].push_back(std::move(connection));
 }
 
 class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
@@ -118,11 +127,11 @@
 
   void Start() {
     self_ = shared_from_this();
-    link_ = client_->TakeIdle(request_.address, request_.reuse);
-    if (link_ != nullptr) {
+    connection_ = client_->TakeIdle(request_.address, request_.reuse);
+    if (connection_ != nullptr) {
       reused_ = true;
-      Attach();
-      Later([this] { SendRequest(); });
+      SetCallbacks();
+      Defer([this] { SendRequest(); });
       return;
     }
     Connect();
@@ -134,155 +143,160 @@
   }
 
   void SetReading(bool reading) {
-    if (link_ == nullptr) return;
+    if (connection_ == nullptr) return;
     if (reading) {
-      bufferevent_enable(link_->buffer.get(), EV_READ);
+      bufferevent_enable(connection_->buffer.get(), EV_READ);
     } else {
-      bufferevent_disable(link_->buffer.get(), EV_READ);
+      bufferevent_disable(connection_->buffer.get(), EV_READ);
     }
   }
 
  private:
   AnswerReader MakeReader() const {
-    return AnswerReader({kAnswerHead, kAnswerBody}, request_.is_head_request);
+    return AnswerReader({kMaxAnswerHeadBytes, kMaxAnswerBodyBytes},
+                        request_.is_head_request);
   }
 
-  void Later(std::function<void()> action) {
-    later_ = kernel::RunAfter(*client_->loop, std::chrono::milliseconds(0),
+  void Defer(std::function<void()> action) {
+    timer_ = kernel::RunAfter(*client_->loop, std::chrono::milliseconds(0),
                               std::move(action));
   }
 
   void Connect() {
     auto target = ParseAddress(request_.address);
     reused_ = false;
-    link_ = std::make_unique<Link>();
-    link_->address = request_.address;
-    link_->buffer.reset(bufferevent_socket_new(client_->loop->base.get(), -1,
-                                               BEV_OPT_CLOSE_ON_FREE));
-    Attach();
+    connection_ = std::make_unique<Connection>();
+    connection_->address = request_.address;
+    connection_->buffer.reset(bufferevent_socket_new(
+        client_->loop->base.get(), -1, BEV_OPT_CLOSE_ON_FREE));
+    SetCallbacks();
     ++client_->opened;
-    if (!target || bufferevent_socket_connect(
-                       link_->buffer.get(), target->get(), target->size) != 0) {
-      Later([this] { Fail(ExchangeError::kNotConnected, "no connection"); });
+    if (!target ||
+        bufferevent_socket_connect(connection_->buffer.get(), target->get(),
+                                   target->size) != 0) {
+      Defer([this] { Fail(ExchangeError::kNotConnected, "no connection"); });
       return;
     }
-    SetTcpOptions(bufferevent_getfd(link_->buffer.get()));
-    const auto time = request_.connect_time.count() > 0 ? request_.connect_time
-                                                        : kHttpConnectTime;
-    later_ = kernel::RunAfter(*client_->loop, time, [this] {
+    SetTcpOptions(bufferevent_getfd(connection_->buffer.get()));
+    const auto timeout = request_.connect_timeout.count() > 0
+                             ? request_.connect_timeout
+                             : kHttpConnectTimeout;
+    timer_ = kernel::RunAfter(*client_->loop, timeout, [this] {
       Fail(ExchangeError::kNotConnected, "connecting took too long");
     });
   }
 
-  void Attach() {
+  void SetCallbacks() {
     bufferevent_setcb(
-        link_->buffer.get(),
+        connection_->buffer.get(),
         [](bufferevent* /*b*/, void* arg) {
           static_cast<HttpExchange*>(arg)->shared_from_this()->Read();
         },
         nullptr,
         // NOLINTNEXTLINE(google-runtime-int)
-        [](bufferevent* /*b*/, short what, void* arg) {
-          static_cast<HttpExchange*>(arg)->shared_from_this()->OnEvent(what);
+        [](bufferevent* /*b*/, short events, void* arg) {
+          static_cast<HttpExchange*>(arg)->shared_from_this()->OnEvent(events);
         },
         this);
   }
 
   // NOLINTNEXTLINE(google-runtime-int)
-  void OnEvent(short what) {
-    if ((what & BEV_EVENT_CONNECTED) != 0) {
-      link_->connected = true;
-      later_ = {};
+  void OnEvent(short events) {
+    if ((events & BEV_EVENT_CONNECTED) != 0) {
+      connection_->connected = true;
+      timer_ = {};
       SendRequest();
       return;
     }
-    if (!link_->connected) {
+    if (!connection_->connected) {
       Fail(ExchangeError::kNotConnected, "the connection was refused");
       return;
     }
     if (!sent_) {
-      Connect();  // A kept one that ended before the request left.
+      Connect();  // A reused connection ended before the request was sent.
       return;
     }
-    if ((what & BEV_EVENT_EOF) != 0 && (what & BEV_EVENT_ERROR) == 0) {
-      OnEnded();
+    if ((events & BEV_EVENT_EOF) != 0 && (events & BEV_EVENT_ERROR) == 0) {
+      OnEndOfInput();
       return;
     }
-    // Another process stands behind the address by now: its other connections
-    // are of no use either, and each would cost a request an attempt.
-    if (reused_ && !head_given_) client_->idle.erase(request_.address);
-    // A reset is no end, also of an answer that has no length.
+    // The endpoint has probably restarted. Its other idle connections are
+    // broken as well, and each of them would cost a request an attempt.
+    if (reused_ && !head_delivered_) client_->idle.erase(request_.address);
+    // A reset doesn't complete an answer without length.
     Fail(ExchangeError::kBroken, "the connection was reset");
   }
 
   void SendRequest() {
     const auto self = shared_from_this();
-    if (!PendingInput(link_->buffer.get()).empty()) {
-      Connect();  // What is there belongs to no request.
+    if (!PendingInput(connection_->buffer.get()).empty()) {
+      Connect();  // Input before the request can't belong to it.
       return;
     }
     if (handlers_.may_send && !handlers_.may_send()) {
-      if (link_ != nullptr) Cancel();
+      if (connection_ != nullptr) Cancel();
       return;
     }
     sent_ = true;
-    bufferevent_setwatermark(link_->buffer.get(), EV_READ, 0, kHttpReadAhead);
-    Write(link_->buffer.get(), request_.head);
-    Write(link_->buffer.get(), request_.body);
+    bufferevent_setwatermark(connection_->buffer.get(), EV_READ, 0,
+                             kMaxReadAheadBytes);
+    Write(connection_->buffer.get(), request_.head);
+    Write(connection_->buffer.get(), request_.body);
     request_.body = std::string();
-    bufferevent_enable(link_->buffer.get(), EV_READ | EV_WRITE);
+    bufferevent_enable(connection_->buffer.get(), EV_READ | EV_WRITE);
   }
 
   void Read() {
-    while (link_ != nullptr && sent_) {
-      const std::string_view input = PendingInput(link_->buffer.get());
+    while (connection_ != nullptr && sent_) {
+      const std::string_view input = PendingInput(connection_->buffer.get());
       if (input.empty()) return;
       const std::size_t used = reader_.Feed(input);
-      Consume(link_->buffer.get(), used);
-      if (!Advance()) return;
+      Consume(connection_->buffer.get(), used);
+      if (!DeliverInput()) return;
       if (used == 0 && reader_.state() != ReadState::kDone) return;
     }
   }
 
-  // Hands on what was read. False when nothing more is to be read.
-  bool Advance() {
-    if (!head_given_ && reader_.state() != ReadState::kHead &&
+  // Passes parsed input to the handlers. Returns false if no more input is to
+  // be read.
+  bool DeliverInput() {
+    if (!head_delivered_ && reader_.state() != ReadState::kHead &&
         !(reader_.state() == ReadState::kFailed &&
           reader_.head().status == 0)) {
-      head_given_ = true;
+      head_delivered_ = true;
       const HttpAnswerHead& head = reader_.head();
-      link_->keeps = KeepsFor(head.fields);
-      skip_ = head.status < kFirstFinalStatus ||
-              handlers_.on_head(head) == HeadVerdict::kSkip;
-      if (link_ == nullptr) return false;
-      if (skip_ && head.status >= kFirstFinalStatus) tainted_ = true;
+      connection_->keep_alive_timeout = ParseKeepAliveTimeout(head.fields);
+      skipping_ = head.status < kFirstFinalStatus ||
+                  handlers_.on_head(head) == HeadVerdict::kSkip;
+      if (connection_ == nullptr) return false;
+      if (skipping_ && head.status >= kFirstFinalStatus) is_tainted_ = true;
     }
     const std::string piece = reader_.TakeBody();
-    if (!piece.empty() && !skip_) handlers_.on_body(piece);
-    if (link_ == nullptr) return false;  // Cancelled by a handler.
+    if (!piece.empty() && !skipping_) handlers_.on_body(piece);
+    if (connection_ == nullptr) return false;  // Cancelled by a handler.
     if (reader_.state() == ReadState::kFailed) {
       Fail(ExchangeError::kBadAnswer, reader_.detail());
       return false;
     }
     if (reader_.state() != ReadState::kDone) return true;
-    if (skip_) {
+    if (skipping_) {
       reader_ = MakeReader();
-      head_given_ = false;
-      skip_ = false;
+      head_delivered_ = false;
+      skipping_ = false;
       return true;
     }
     Complete();
     return false;
   }
 
-  void OnEnded() {
-    if (!head_given_) {
+  void OnEndOfInput() {
+    if (!head_delivered_) {
       Fail(ExchangeError::kBroken, "the connection ended without an answer");
       return;
     }
-    reader_.FeedEnd();
-    tainted_ = true;
-    if (reader_.state() == ReadState::kDone && !skip_) {
+    reader_.FeedEof();
+    is_tainted_ = true;
+    if (reader_.state() == ReadState::kDone && !skipping_) {
       Complete();
     } else {
       Fail(ExchangeError::kBroken, "the answer broke off");
@@ -290,27 +304,27 @@
   }
 
   void Complete() {
-    const bool reusable = !tainted_ && reader_.head().keep_alive &&
-                          PendingInput(link_->buffer.get()).empty() &&
-                          PendingOutputBytes(link_->buffer.get()) == 0;
-    const auto done = std::move(handlers_.on_end);
+    const bool reusable = !is_tainted_ && reader_.head().keep_alive &&
+                          PendingInput(connection_->buffer.get()).empty() &&
+                          PendingOutputBytes(connection_->buffer.get()) == 0;
+    const auto on_end = std::move(handlers_.on_end);
     handlers_ = {};
-    if (reusable) client_->KeepIdle(std::move(link_));
+    if (reusable) client_->AddIdle(std::move(connection_));
     Release();
-    if (done) done();
+    if (on_end) on_end();
   }
 
-  void Fail(ExchangeError fault, const std::string& detail) {
-    const auto fail = std::move(handlers_.on_error);
+  void Fail(ExchangeError error, const std::string& detail) {
+    const auto on_error = std::move(handlers_.on_error);
     handlers_ = {};
     const auto self = shared_from_this();
     Release();
-    if (fail) fail(fault, detail);
+    if (on_error) on_error(error, detail);
   }
 
   void Release() {
-    link_ = nullptr;
-    later_ = {};
+    connection_ = nullptr;
+    timer_ = {};
     self_ = nullptr;
   }
 
@@ -318,14 +332,14 @@
   ExchangeRequest request_;
   ExchangeHandlers handlers_;
   AnswerReader reader_;
-  LinkPtr link_;
-  kernel::EventWatcher later_;
-  HttpExchangePtr self_;  // Until it is over.
-  bool reused_ = false;   // The connection served another request before.
+  ConnectionPtr connection_;
+  kernel::EventWatcher timer_;  // A deferred action or the connect timeout.
+  HttpExchangePtr self_;        // Keeps the exchange alive until it ends.
+  bool reused_ = false;         // The connection served another request before.
   bool sent_ = false;
-  bool head_given_ = false;
-  bool skip_ = false;
-  bool tainted_ = false;  // The connection gave what belongs to no request.
+  bool head_delivered_ = false;
+  bool skipping_ = false;
+  bool is_tainted_ = false;  // Had input of no request, or has ended.
 };
 
 void Cancel(const HttpExchangePtr& exchange) {
--- a/net/src/http_connection_p.h
+++ b/net/src/http_connection_p.h
@@ -1,4 +1,4 @@
-// One connection of a caller at an HTTP server.
+// One connection of a caller to an HTTP server.
 #pragma once
 
 #include <event2/buffer.h>
@@ -27,42 +27,44 @@
   kernel::EventWatcher sweep;
 
   void Accept(evutil_socket_t fd);
-  // Takes what the kernel accepted already and would reset with the listener.
-  void AcceptWaiting();
+  // Accepts the connections in the listen backlog, which the kernel would reset
+  // when the listener is closed.
+  void AcceptBacklog();
+  // Handles timeouts and closes connections whose caller has left.
   void Sweep();
 
   std::unordered_set<std::shared_ptr<HttpConnection>> connections;
 };
 
-inline constexpr int kContinue = 100;
-inline constexpr int kRequestTimeout = 408;
-inline constexpr int kUnavailable = 503;
+inline constexpr int kStatusContinue = 100;
+inline constexpr int kStatusRequestTimeout = 408;
+inline constexpr int kStatusUnavailable = 503;
 
-/// Status of the answer to a request that can't be read.
-inline int StatusOf(ReadFault fault) {
-  switch (fault) {
-    case ReadFault::kHeadTooLarge:
+/// Returns the status of the answer to an invalid request.
+inline int StatusForError(ReadError error) {
+  switch (error) {
+    case ReadError::kHeadTooLarge:
       return 431;
-    case ReadFault::kBodyTooLarge:
+    case ReadError::kBodyTooLarge:
       return 413;
-    case ReadFault::kNone:
-    case ReadFault::kSyntax:
+    case ReadError::kNone:
+    case ReadError::kSyntax:
       break;
   }
   return 400;
 }
 
-/// What a connection waits for, and what follows when it takes too long.
-enum class Awaits : std::uint8_t {
-  kNothing,  // An answer is being made.
+/// What a connection waits for. Each state has its own timeout.
+enum class WaitState : std::uint8_t {
+  kNothing,  // A call is in progress, or an answer is being delivered.
   kRequest,
   kHead,
   kBody,
-  kClose,  // Lingers after an answer that ends it.
+  kClose,  // The close by the caller, after the last answer.
 };
 
-/// One connection of a caller. Lives while it is in the server's set or a call
-// refers to it.
+/// One connection of a caller. Owned by the server's set of connections and by
+/// its call.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
  public:
   HttpConnection(std::weak_ptr<HttpServer::State> server, kernel::Loop& loop,
@@ -71,52 +73,53 @@
 
   void Open() {
     bufferevent_setcb(buffer_.get(), OnReadable, OnWritten, OnEvent, this);
-    bufferevent_setwatermark(buffer_.get(), EV_READ, 0, kHttpReadAhead);
+    bufferevent_setwatermark(buffer_.get(), EV_READ, 0, kMaxReadAheadBytes);
     if (const auto server = server_.lock()) {
-      const timeval drain = kernel::ToTimeval(server->limits.write_timeout);
-      bufferevent_set_timeouts(buffer_.get(), nullptr, &drain);
+      const timeval write_timeout =
+          kernel::ToTimeval(server->limits.write_timeout);
+      bufferevent_set_timeouts(buffer_.get(), nullptr, &write_timeout);
     }
     bufferevent_enable(buffer_.get(), EV_READ | EV_WRITE);
     AwaitRequest();
   }
 
-  bool IsDue(kernel::Time now) const {
-    return awaits_ != Awaits::kNothing && now >= due_;
+  bool IsTimedOut(kernel::Time now) const {
+    return wait_state_ != WaitState::kNothing && now >= deadline_;
   }
 
-  // A connection that isn't read shows no end by itself, and the endpoint would
-  // work on for nobody.
-  bool LeftUnread() const {
-    return read_held_ && call_ != nullptr &&
-           HasLeft(bufferevent_getfd(buffer_.get()));
+  // While reading is paused, libevent doesn't report that the caller has left,
+  // and the endpoint would go on with work that nobody waits for.
+  bool IsCallerGoneWhilePaused() const {
+    return reading_paused_ && call_ != nullptr &&
+           HasPeerClosed(bufferevent_getfd(buffer_.get()));
   }
 
-  // What it waits for took too long.
-  void TimeOut() {
-    if (awaits_ == Awaits::kHead) {
-      Refuse(kRequestTimeout, "the request took too long");
-    } else if (awaits_ == Awaits::kBody) {
-      Refuse(kRequestTimeout, "the body took too long");
-    } else if (awaits_ == Awaits::kClose && IsBeingTaken()) {
+  // Called when the deadline of the current wait has passed.
+  void OnTimeout() {
+    if (wait_state_ == WaitState::kHead) {
+      Refuse(kStatusRequestTimeout, "the request took too long");
+    } else if (wait_state_ == WaitState::kBody) {
+      Refuse(kStatusRequestTimeout, "the body took too long");
+    } else if (wait_state_ == WaitState::kClose && IsAnswerProgressing()) {
       AwaitClose();
     } else {
       Close();
     }
   }
 
-  // Drops the socket at once. What the caller has not taken is lost.
+  // Closes the socket at once. Output that was not sent yet is lost.
   void Close() {
     if (closed_) return;
     closed_ = true;
     const auto self = shared_from_this();
-    awaits_ = Awaits::kNothing;
+    wait_state_ = WaitState::kNothing;
     if (call_ != nullptr && call_->begun_ && !call_->chunked_) {
-      ResetOnClose(bufferevent_getfd(buffer_.get()));
+      SetResetOnClose(bufferevent_getfd(buffer_.get()));
     }
     buffer_.reset();
     if (const auto call = std::exchange(call_, nullptr)) {
       call->connection_ = nullptr;
-      if (auto gone = std::exchange(call->gone_, nullptr)) gone();
+      if (auto action = std::exchange(call->on_disconnect_, nullptr)) action();
     }
     if (const auto server = server_.lock()) {
       server->connections.erase(self);
@@ -124,7 +127,7 @@
     }
   }
 
-  void Put(std::string_view bytes) {
+  void WriteOutput(std::string_view bytes) {
     if (!closed_) Write(buffer_.get(), bytes);
   }
 
@@ -132,20 +135,20 @@
     return closed_ ? 0 : PendingOutputBytes(buffer_.get());
   }
 
-  // A part of a request came, and not all of it.
-  bool IsHalfRead() const {
-    return awaits_ == Awaits::kHead || awaits_ == Awaits::kBody;
+  // Returns true if a part of a request was received, but not all of it.
+  bool HasIncompleteRequest() const {
+    return wait_state_ == WaitState::kHead || wait_state_ == WaitState::kBody;
   }
 
-  void RefuseIncompleteRequests(const std::string& why) {
-    if (IsHalfRead()) Refuse(kUnavailable, why);
+  void RefuseIncompleteRequest(const std::string& why) {
+    if (HasIncompleteRequest()) Refuse(kStatusUnavailable, why);
   }
 
-  // What was written may still be on its way to the caller.
-  bool IsUntaken() const {
+  // Returns true if the caller may not have received the whole answer yet.
+  bool IsUndelivered() const {
     if (closed_) return false;
     return lingering_ || UnsentBytes() > 0 ||
-           HeldByKernel(bufferevent_getfd(buffer_.get())) > 0;
+           UnacknowledgedBytes(bufferevent_getfd(buffer_.get())) > 0;
   }
 
   bool CloseAfterAnswers() const {
@@ -153,8 +156,8 @@
     return server == nullptr || server->close_after_answers;
   }
 
-  // The call's answer is written.
-  void CallOver(bool close) {
+  // Called when the whole answer of the call was written to the output buffer.
+  void OnCallEnded(bool close) {
     call_ = nullptr;
     if (closed_) return;
     if (close) {
@@ -163,8 +166,8 @@
     }
     AwaitRequest();
     SetReading(true);
-    // From the loop, so that a pipelined request doesn't nest in the answer to
-    // the one before.
+    // Reads a pipelined request from the event loop, so that it is not handled
+    // inside the call that answers the previous one.
     bufferevent_trigger(buffer_.get(), EV_READ, BEV_OPT_DEFER_CALLBACKS);
   }
 
@@ -173,22 +176,23 @@
     static_cast<HttpConnection*>(arg)->shared_from_this()->Read();
   }
   static void OnWritten(bufferevent* /*buffer*/, void* arg) {
-    static_cast<HttpConnection*>(arg)->shared_from_this()->Written();
+    static_cast<HttpConnection*>(arg)->shared_from_this()->OnOutputDrained();
   }
   // NOLINTNEXTLINE(google-runtime-int)
-  static void OnEvent(bufferevent* /*buffer*/, short what, void* arg) {
+  static void OnEvent(bufferevent* /*buffer*/, short events, void* arg) {
     const auto self = static_cast<HttpConnection*>(arg)->shared_from_this();
-    constexpr int kNoEnd = BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT;
-    if ((what & BEV_EVENT_EOF) != 0 && (what & kNoEnd) == 0) {
-      self->InputEnded();
+    constexpr int kErrorEvents = BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT;
+    if ((events & BEV_EVENT_EOF) != 0 && (events & kErrorEvents) == 0) {
+      self->OnInputEnded();
     } else {
       self->Close();
     }
   }
 
-  // A caller that sends no more may still take the answer that is on its way.
-  // One that waits for its answer can't be told from one that left.
-  void InputEnded() {
+  // A caller that has ended its output may still receive an answer that is
+  // being delivered. While a call is in progress, it can't be distinguished
+  // from a caller that has left, so that the connection is closed.
+  void OnInputEnded() {
     if (closed_) return;
     input_ended_ = true;
     if (call_ != nullptr || UnsentBytes() == 0) {
@@ -202,13 +206,13 @@
     const auto server = server_.lock();
     if (server == nullptr) return;
     reader_ = std::make_unique<RequestReader>(server->limits.size);
-    began_ = false;
-    continued_ = false;
-    Await(Awaits::kRequest, server->limits.idle_timeout);
+    request_started_ = false;
+    continue_sent_ = false;
+    StartWait(WaitState::kRequest, server->limits.idle_timeout);
   }
 
   void SetReading(bool reading) {
-    read_held_ = !reading;
+    reading_paused_ = !reading;
     if (reading) {
       bufferevent_enable(buffer_.get(), EV_READ);
     } else {
@@ -216,9 +220,9 @@
     }
   }
 
-  void Await(Awaits what, std::chrono::milliseconds most) {
-    awaits_ = what;
-    due_ = kernel::Now(loop_.clock) + most;
+  void StartWait(WaitState state, std::chrono::milliseconds timeout) {
+    wait_state_ = state;
+    deadline_ = kernel::Now(loop_.clock) + timeout;
   }
 
   void Read() {
@@ -228,32 +232,33 @@
     }
     if (closed_) return;
     const std::string_view input = PendingInput(buffer_.get());
-    if (call_ != nullptr) {  // Read when its answer is out.
-      // Called back at once and for ever while it is full.
-      if (input.size() >= kHttpReadAhead) SetReading(false);
+    if (call_ != nullptr) {  // Pipelined input is read after the answer.
+      // If the input buffer is full, libevent would call back again and again.
+      if (input.size() >= kMaxReadAheadBytes) SetReading(false);
       return;
     }
     if (input.empty()) return;
     const auto server = server_.lock();
     if (server == nullptr) return;
-    if (!began_) {
-      began_ = true;
-      Await(Awaits::kHead, server->limits.head_timeout);
+    if (!request_started_) {
+      request_started_ = true;
+      StartWait(WaitState::kHead, server->limits.head_timeout);
     }
     const ReadState before = reader_->state();
     Consume(buffer_.get(), reader_->Feed(input));
     if (reader_->state() == ReadState::kFailed) {
-      Refuse(StatusOf(reader_->fault()), reader_->detail());
+      Refuse(StatusForError(reader_->error()), reader_->detail());
     } else if (reader_->state() == ReadState::kDone) {
-      awaits_ = Awaits::kNothing;
+      wait_state_ = WaitState::kNothing;
       StartCall(*server);
     } else if (reader_->state() == ReadState::kBody) {
       if (before == ReadState::kHead) {
-        Await(Awaits::kBody, server->limits.body_timeout);
+        StartWait(WaitState::kBody, server->limits.body_timeout);
       }
-      if (reader_->WantsContinue() && !std::exchange(continued_, true)) {
-        Put(AnswerText(kContinue, ReasonPhrase(kContinue), {},
-                       BodyFraming::kNone, 0, false));
+      if (reader_->WantsContinue() && !std::exchange(continue_sent_, true)) {
+        WriteOutput(FormatAnswerHead(kStatusContinue,
+                                     ReasonPhrase(kStatusContinue), {},
+                                     BodyFraming::kNone, 0, false));
       }
     }
   }
@@ -261,7 +266,7 @@
   void StartCall(HttpServer::State& server) {
     call_ = std::make_shared<HttpCall>(shared_from_this(),
                                        std::move(reader_->request()));
-    // A copy: the handler may end the call and with it this connection.
+    // The handler may end the call and with it this connection.
     const HttpCallPtr call = call_;
     server.handlers.on_request(call);
   }
@@ -275,51 +280,54 @@
       body = server->handlers.refusal_body(status, why);
     }
     const HttpFields fields = {{"Content-Type", "application/json"}};
-    Put(AnswerText(status, ReasonPhrase(status), fields, BodyFraming::kLength,
-                   body.size(), true));
-    Put(body);
+    WriteOutput(FormatAnswerHead(status, ReasonPhrase(status), fields,
+                                 BodyFraming::kLength, body.size(), true));
+    WriteOutput(body);
     LingerThenClose();
   }
 
-  // Closes once the caller has taken the answer. While it takes, nothing is
-  // awaited: a caller on a slow link would lose the rest of an answer that
-  // takes it longer than the lingering. One that takes nothing is ended by the
-  // buffer's own time-out.
+  // Closes the connection after the caller has received the answer. There is no
+  // timeout for that while the caller makes progress, since a caller on a slow
+  // link may need longer than the lingering close. If it makes none, the write
+  // timeout of the bufferevent closes the connection.
   void LingerThenClose() {
     lingering_ = true;
-    awaits_ = Awaits::kNothing;
+    wait_state_ = WaitState::kNothing;
     Consume(buffer_.get(), PendingInput(buffer_.get()).size());
     SetReading(true);
-    if (PendingOutputBytes(buffer_.get()) == 0) Written();
+    if (PendingOutputBytes(buffer_.get()) == 0) OnOutputDrained();
   }
 
-  void Written() {
+  void OnOutputDrained() {
     if (closed_) return;
-    if (call_ != nullptr && call_->drained_) {
-      const auto drained = call_->drained_;
+    if (call_ != nullptr && call_->on_drained_) {
+      const auto drained = call_->on_drained_;
       drained();
     }
     if (!lingering_ || closed_) return;
     shutdown(bufferevent_getfd(buffer_.get()), SHUT_WR);
-    held_since_ = kernel::Now(loop_.clock);
+    last_progress_ = kernel::Now(loop_.clock);
     AwaitClose();
   }
 
   void AwaitClose() {
-    // Nothing can be left unread once the caller ended its input.
-    Await(Awaits::kClose,
-          input_ended_ ? std::chrono::milliseconds(0) : kLingeringClose);
+    // After the end of the caller's output no unread input can cause a reset,
+    // so there is no need to linger.
+    StartWait(WaitState::kClose, input_ended_ ? std::chrono::milliseconds(0)
+                                              : kLingeringCloseTimeout);
   }
 
-  // The kernel holds a part of the answer, and the caller took some of it
-  // within the time for that.
-  bool IsBeingTaken() {
+  // Returns true if a part of the answer is not acknowledged yet and the caller
+  // has acknowledged some of it within the write timeout.
+  bool IsAnswerProgressing() {
     const auto server = server_.lock();
-    const int held = HeldByKernel(bufferevent_getfd(buffer_.get()));
-    if (server == nullptr || held == 0) return false;
+    const int unacknowledged =
+        UnacknowledgedBytes(bufferevent_getfd(buffer_.get()));
+    if (server == nullptr || unacknowledged == 0) return false;
     const kernel::Time now = kernel::Now(loop_.clock);
-    if (std::exchange(held_, held) != held) held_since_ = now;
-    return now - held_since_ < server->limits.write_timeout;
+    if (std::exchange(unacknowledged_bytes_, unacknowledged) != unacknowledged)
+      last_progress_ = now;
+    return now - last_progress_ < server->limits.write_timeout;
   }
 
   std::weak_ptr<HttpServer::State> server_;
@@ -327,15 +335,16 @@
   Bufferevent buffer_;
   std::unique_ptr<RequestReader> reader_;
   HttpCallPtr call_;
-  Awaits awaits_ = Awaits::kNothing;
-  kernel::Time due_{};
-  int held_ = 0;  // By the kernel, when it was looked at last.
-  kernel::Time held_since_{};
-  bool began_ = false;      // The first byte of a request is there.
-  bool continued_ = false;  // `100 Continue` was sent.
+  WaitState wait_state_ = WaitState::kNothing;
+  kernel::Time deadline_{};
+  int unacknowledged_bytes_ = 0;  // At the last check.
+  // The last time at which the unacknowledged bytes had changed.
+  kernel::Time last_progress_{};
+  bool request_started_ = false;  // Its first byte was received.
+  bool continue_sent_ = false;    // `100 Continue` was sent.
   bool lingering_ = false;
   bool input_ended_ = false;
-  bool read_held_ = false;  // Too much waits behind the call.
+  bool reading_paused_ = false;  // Too much pipelined input.
   bool closed_ = false;
 };
 
--- a/net/src/http_message.cc
+++ b/net/src/http_message.cc
@@ -6,18 +6,18 @@
 #include <array>
 #include <boost/beast/http/status.hpp>
 #include <cstdio>
-#include <ostream>  // Beast needs it and does not say so.
+#include <ostream>  // Needed by the Beast header, which doesn't include it.
 
 namespace egretladder::net {
 namespace {
 
-constexpr std::array<std::string_view, 11> kOfOneConnection = {
+constexpr std::array<std::string_view, 11> kHopByHopFields = {
     "Connection", "Keep-Alive",        "Proxy-Authenticate",
     "TE",         "Trailer",           "Proxy-Authorization",
     "Upgrade",    "Transfer-Encoding", "Content-Length",
     "Expect",     "Proxy-Connection"};
 
-void Append(std::string& text, const HttpFields& fields) {
+void AppendFields(std::string& text, const HttpFields& fields) {
   for (const HttpField& field : fields) {
     text += field.name;
     text += ": ";
@@ -57,8 +57,8 @@
 
 bool IsHopByHopField(std::string_view name) {
   return std::any_of(
-      kOfOneConnection.begin(), kOfOneConnection.end(),
-      [name](std::string_view one) { return IsSameFieldName(one, name); });
+      kHopByHopFields.begin(), kHopByHopFields.end(),
+      [name](std::string_view field) { return IsSameFieldName(field, name); });
 }
 
 std::string FormatRequestHead(std::string_view method, std::string_view target,
@@ -66,18 +66,18 @@
                               std::size_t body_size) {
   std::string text;
   text.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
-  Append(text, fields);
+  AppendFields(text, fields);
   AppendFraming(text, framing, body_size);
   text += "\r\n";
   return text;
 }
 
-std::string AnswerText(int status, std::string_view reason,
-                       const HttpFields& fields, BodyFraming framing,
-                       std::size_t body_size, bool close) {
+std::string FormatAnswerHead(int status, std::string_view reason,
+                             const HttpFields& fields, BodyFraming framing,
+                             std::size_t body_size, bool close) {
   std::string text = "HTTP/1.1 " + std::to_string(status) + " ";
   text.append(reason).append("\r\n");
-  Append(text, fields);
+  AppendFields(text, fields);
   AppendFraming(text, framing, body_size);
   if (close) text += "Connection: close\r\n";
   text += "\r\n";
--- a/net/src/http_reader_beast.cc
+++ b/net/src/http_reader_beast.cc
@@ -10,9 +10,9 @@
 using boost::beast::error_code;
 using boost::beast::string_view;
 
-std::string Copy(string_view text) { return {text.data(), text.size()}; }
+std::string ToString(string_view text) { return {text.data(), text.size()}; }
 
-// Takes fields and body off Beast's parser.
+// Collects what Beast's parser finds in a message.
 template <bool isRequest>
 class Parser : public http::basic_parser<isRequest> {
  public:
@@ -22,24 +22,24 @@
   std::string target;
   std::string reason;
   int status = 0;
-  int version = 0;  // 11: HTTP/1.1.
+  int version = 0;  // Major version times ten plus minor version.
 
  protected:
-  void on_request_impl(http::verb /*verb*/, string_view name, string_view where,
+  void on_request_impl(http::verb /*verb*/, string_view name, string_view path,
                        int number, error_code& /*ec*/) override {
     version = number;
-    method = Copy(name);
-    target = Copy(where);
+    method = ToString(name);
+    target = ToString(path);
   }
-  void on_response_impl(int code, string_view words, int /*version*/,
+  void on_response_impl(int code, string_view phrase, int /*version*/,
                         error_code& /*ec*/) override {
     status = code;
-    reason = Copy(words);
+    reason = ToString(phrase);
   }
   void on_field_impl(http::field /*field*/, string_view name, string_view value,
                      error_code& /*ec*/) override {
-    // Fields after a chunked body are dropped, as RFC 9110 allows.
-    if (!head_done_) fields.push_back({Copy(name), Copy(value)});
+    // Trailer fields after a chunked body are dropped, as RFC 9110 allows.
+    if (!head_done_) fields.push_back({ToString(name), ToString(value)});
   }
   void on_header_impl(error_code& /*ec*/) override { head_done_ = true; }
   void on_body_init_impl(const boost::optional<std::uint64_t>& /*length*/,
@@ -63,38 +63,41 @@
 
 template <bool isRequest>
 void SetLimits(Parser<isRequest>& parser, const ReadLimits& limits) {
-  constexpr std::size_t kMost = std::numeric_limits<std::uint32_t>::max();
-  parser.header_limit(static_cast<std::uint32_t>(std::min(limits.head, kMost)));
-  parser.body_limit(limits.body);
+  constexpr std::size_t kMaxHeaderLimit =
+      std::numeric_limits<std::uint32_t>::max();
+  parser.header_limit(static_cast<std::uint32_t>(
+      std::min(limits.max_head_bytes, kMaxHeaderLimit)));
+  parser.body_limit(limits.max_body_bytes);
 }
 
-// Feeds until Beast wants bytes that are not there.
+// Parses until the message is complete or Beast needs more bytes. Returns how
+// many bytes were consumed.
 template <bool isRequest>
 std::size_t FeedParser(Parser<isRequest>& parser, std::string_view bytes,
                        error_code& ec) {
   std::size_t used = 0;
   while (used < bytes.size() && !parser.is_done()) {
-    const std::size_t step = parser.put(
+    const std::size_t consumed = parser.put(
         boost::asio::const_buffer(bytes.data() + used, bytes.size() - used),
         ec);
-    used += step;
+    used += consumed;
     if (ec == http::error::need_more) {
       ec = {};
       break;
     }
-    if (ec || step == 0) break;
+    if (ec || consumed == 0) break;
   }
   return used;
 }
 
-// A line that goes on in the next one is read in two ways by two programs.
+// Obsolete line folding is interpreted in different ways by different programs.
 bool HasFoldedLine(std::string_view head) {
   return head.find("\r\n ") != std::string_view::npos ||
          head.find("\r\n\t") != std::string_view::npos;
 }
 
-// A line that ends without its carriage return ends the head for some readers
-// only.
+// A line feed without a carriage return ends a line for some parsers only, so
+// that they may find the end of the head at different positions.
 bool HasBareLineFeed(std::string_view head) {
   for (std::size_t at = head.find('\n'); at != std::string_view::npos;
        at = head.find('\n', at + 1)) {
@@ -108,8 +111,9 @@
          text.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-// What Beast lets pass and RFC 9112 sections 3.2 and 6.1 do not.
-const char* FaultOfHead(const HttpFields& fields, std::string_view target) {
+// Checks what RFC 9112, sections 3.2 and 6.1, forbids and Beast accepts.
+// Returns the violation, or null.
+const char* FindHeadError(const HttpFields& fields, std::string_view target) {
   if (CountOf(fields, "Host") != 1) return "not exactly one Host";
   const std::size_t lengths = CountOf(fields, "Content-Length");
   if (lengths > 1) return "two Content-Length";
@@ -134,7 +138,7 @@
   std::size_t head_limit = 0;
   Parser<true> parser;
   ReadState state = ReadState::kHead;
-  ReadFault fault = ReadFault::kNone;
+  ReadError error = ReadError::kNone;
   std::string detail;
   HttpRequest request;
 };
@@ -145,31 +149,32 @@
 
 RequestReader::RequestReader(const ReadLimits& limits)
     : state_(new RequestReaderState) {
-  state_->head_limit = limits.head;
+  state_->head_limit = limits.max_head_bytes;
   SetLimits(state_->parser, limits);
   state_->parser.eager(true);
 }
 
 std::size_t RequestReader::Feed(std::string_view bytes) {
   RequestReaderState& state = *state_;
-  const auto fail = [&state](ReadFault fault, std::string detail) {
+  const auto fail = [&state](ReadError error, std::string detail) {
     state.state = ReadState::kFailed;
-    state.fault = fault;
+    state.error = error;
     state.detail = std::move(detail);
   };
   const bool had_head = state.parser.is_header_done();
   std::string_view head;
   if (!had_head) {
-    // Beast takes a head line by line. Given whole, it starts where the bytes
-    // start, and can be looked at as it was sent.
+    // Beast consumes a head line by line. It is passed on only when complete,
+    // so that all of it is at the start of `bytes` and can be checked as it was
+    // sent.
     const std::size_t end = bytes.find("\r\n\r\n");
     head = bytes.substr(0, end);
     if (HasBareLineFeed(head)) {
-      fail(ReadFault::kSyntax, "a line feed by itself");
+      fail(ReadError::kSyntax, "a line feed by itself");
       return 0;
     }
     if (head.size() > state.head_limit) {
-      fail(ReadFault::kHeadTooLarge, "the head is too large");
+      fail(ReadError::kHeadTooLarge, "the head is too large");
       return 0;
     }
     if (end == std::string_view::npos) return 0;
@@ -177,21 +182,21 @@
   error_code ec;
   const std::size_t used = FeedParser(state.parser, bytes, ec);
   if (ec == http::error::header_limit) {
-    fail(ReadFault::kHeadTooLarge, ec.message());
+    fail(ReadError::kHeadTooLarge, ec.message());
   } else if (ec == http::error::body_limit) {
-    fail(ReadFault::kBodyTooLarge, ec.message());
+    fail(ReadError::kBodyTooLarge, ec.message());
   } else if (ec) {
-    fail(ReadFault::kSyntax, ec.message());
+    fail(ReadError::kSyntax, ec.message());
   }
   if (state.state == ReadState::kFailed) return used;
   if (!state.parser.is_header_done()) return used;
   if (!had_head) {
-    const char* fault = HasFoldedLine(head) ? "a folded line" : nullptr;
-    if (fault == nullptr) {
-      fault = FaultOfHead(state.parser.fields, state.parser.target);
+    const char* error = HasFoldedLine(head) ? "a folded line" : nullptr;
+    if (error == nullptr) {
+      error = FindHeadError(state.parser.fields, state.parser.target);
     }
-    if (fault != nullptr) {
-      fail(ReadFault::kSyntax, fault);
+    if (error != nullptr) {
+      fail(ReadError::kSyntax, error);
       return used;
     }
     state.state = ReadState::kBody;
@@ -203,14 +208,14 @@
     state.request.fields = std::move(state.parser.fields);
     state.request.body = std::move(state.parser.body);
     state.request.keep_alive = state.parser.keep_alive();
-    constexpr int kFirstWithChunks = 11;
-    state.request.chunks_understood = state.parser.version >= kFirstWithChunks;
+    constexpr int kHttp11 = 11;
+    state.request.supports_chunked = state.parser.version >= kHttp11;
   }
   return used;
 }
 
 ReadState RequestReader::state() const { return state_->state; }
-ReadFault RequestReader::fault() const { return state_->fault; }
+ReadError RequestReader::error() const { return state_->error; }
 const std::string& RequestReader::detail() const { return state_->detail; }
 bool RequestReader::WantsContinue() const {
   return state_->state == ReadState::kBody &&
@@ -258,7 +263,7 @@
   return used;
 }
 
-void AnswerReader::FeedEnd() {
+void AnswerReader::FeedEof() {
   AnswerReaderState& state = *state_;
   if (state.state != ReadState::kBody) {
     if (state.state == ReadState::kHead) state.state = ReadState::kFailed;
--- a/net/src/http_server_libevent.cc
+++ b/net/src/http_server_libevent.cc
@@ -26,18 +26,19 @@
   const auto accept = [](evconnlistener* /*listener*/, evutil_socket_t fd,
                          sockaddr* /*peer*/, int /*size*/,
                          void* arg) { static_cast<State*>(arg)->Accept(fd); };
-  // No descriptor is left for another connection. The socket stays readable, so
-  // libevent would try again at once and for ever.
-  const auto refuse = [](evconnlistener* listener, void* /*arg*/) {
-    evconnlistener_disable(listener);  // Until the next sweep.
+  // Accepting fails if the process has no free file descriptor. The socket
+  // stays readable, so that libevent would try again in a busy loop.
+  const auto pause = [](evconnlistener* listener, void* /*arg*/) {
+    evconnlistener_disable(listener);  // `Sweep` enables it again.
   };
-  BOOST_OUTCOME_TRY(listener, ListenOn(state_->loop->base.get(), address,
-                                       kHttpBacklog, accept, state_.get()));
+  BOOST_OUTCOME_TRY(
+      listener, ListenOn(state_->loop->base.get(), address, kHttpListenBacklog,
+                         accept, state_.get()));
   state_->listener = std::move(listener);
-  evconnlistener_set_error_cb(state_->listener.get(), refuse);
+  evconnlistener_set_error_cb(state_->listener.get(), pause);
   state_->address =
       WithBoundPort(address, evconnlistener_get_fd(state_->listener.get()));
-  state_->sweep = kernel::RunEvery(*state_->loop, kHttpSweep,
+  state_->sweep = kernel::RunEvery(*state_->loop, kHttpSweepInterval,
                                    [state = state_.get()] { state->Sweep(); });
   return kernel::Result<void>(boost::outcome_v2::success());
 }
@@ -61,7 +62,7 @@
   connection->Open();
 }
 
-void HttpServer::State::AcceptWaiting() {
+void HttpServer::State::AcceptBacklog() {
   while (listener && connections.size() < limits.connections) {
     const int fd = accept4(evconnlistener_get_fd(listener.get()), nullptr,
                            nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -75,14 +76,14 @@
 
 void HttpServer::State::Sweep() {
   const kernel::Time now = kernel::Now(loop->clock);
-  std::vector<std::shared_ptr<HttpConnection>> due;
-  std::vector<std::shared_ptr<HttpConnection>> left;
+  std::vector<std::shared_ptr<HttpConnection>> timed_out;
+  std::vector<std::shared_ptr<HttpConnection>> abandoned;
   for (const auto& connection : connections) {
-    if (connection->IsDue(now)) due.push_back(connection);
-    if (connection->LeftUnread()) left.push_back(connection);
+    if (connection->IsTimedOut(now)) timed_out.push_back(connection);
+    if (connection->IsCallerGoneWhilePaused()) abandoned.push_back(connection);
   }
-  for (const auto& connection : due) connection->TimeOut();
-  for (const auto& connection : left) connection->Close();
+  for (const auto& connection : timed_out) connection->OnTimeout();
+  for (const auto& connection : abandoned) connection->Close();
   if (listener && connections.size() < limits.connections) {
     evconnlistener_enable(listener.get());
   }
@@ -94,25 +95,27 @@
 }
 void HttpServer::CloseAfterAnswers() { state_->close_after_answers = true; }
 void HttpServer::StopListening() {
-  state_->AcceptWaiting();
+  state_->AcceptBacklog();
   state_->listener.reset();
 }
 std::size_t HttpServer::incomplete_requests() const {
-  return static_cast<std::size_t>(std::count_if(
-      state_->connections.begin(), state_->connections.end(),
-      [](const auto& connection) { return connection->IsHalfRead(); }));
+  return static_cast<std::size_t>(
+      std::count_if(state_->connections.begin(), state_->connections.end(),
+                    [](const auto& connection) {
+                      return connection->HasIncompleteRequest();
+                    }));
 }
 
 void HttpServer::RefuseIncompleteRequests(const std::string& why) {
   const auto connections = state_->connections;
   for (const auto& connection : connections)
-    connection->RefuseIncompleteRequests(why);
+    connection->RefuseIncompleteRequest(why);
 }
 
 std::size_t HttpServer::undelivered() const {
   return static_cast<std::size_t>(std::count_if(
       state_->connections.begin(), state_->connections.end(),
-      [](const auto& connection) { return connection->IsUntaken(); }));
+      [](const auto& connection) { return connection->IsUndelivered(); }));
 }
 
 std::size_t HttpServer::connections() const {
--- a/net/src/kj_loop.cc
+++ b/net/src/kj_loop.cc
@@ -9,28 +9,28 @@
 namespace egretladder::net {
 namespace {
 
-// Turns of KJ before libevent gets its turn, so that busy peers can't starve
-// callers.
-constexpr kj::uint kTurns = 200;
+// KJ events that are handled before the event loop continues, so that busy
+// peers can't starve callers.
+constexpr kj::uint kMaxKjTurns = 200;
 
-// Output that may wait in one connection before its writer is held back, and
+// Output that is buffered on one connection before its writer has to wait, and
 // input that is read ahead.
-constexpr std::size_t kStreamBuffer = std::size_t{64} << 10U;
+constexpr std::size_t kMaxStreamBufferBytes = std::size_t{64} << 10U;
 
 class LibeventPort final : public kj::EventPort {
  public:
-  explicit LibeventPort(event* turn) : turn_(turn) {}
+  explicit LibeventPort(event* turn_event) : turn_event_(turn_event) {}
 
   bool wait() override {
-    KJ_FAIL_REQUIRE("nothing may wait for a promise on the event loop");
+    KJ_FAIL_REQUIRE("promises can't be waited for on the event loop");
   }
   bool poll() override { return false; }
   void setRunnable(bool runnable) override {
-    if (runnable) event_active(turn_, 0, 0);
+    if (runnable) event_active(turn_event_, 0, 0);
   }
 
  private:
-  event* turn_;
+  event* turn_event_;
 };
 
 }  // namespace
@@ -39,130 +39,135 @@
  public:
   explicit KjLoop(event_base* base)
       : base_(base),
-        turn_(event_new(base, -1, 0, Turn, this)),
-        port_(turn_.get()),
+        turn_event_(event_new(base, -1, 0, Turn, this)),
+        port_(turn_event_.get()),
         loop_(port_),
         scope_(loop_) {}
 
   event_base* base() const { return base_; }
 
  private:
-  // The signature is libevent's.
+  // libevent's callback type has a parameter of type short.
   // NOLINTNEXTLINE(google-runtime-int)
   static void Turn(evutil_socket_t /*fd*/, short /*what*/, void* arg) {
     auto& self = *static_cast<KjLoop*>(arg);
-    self.loop_.run(kTurns);
-    if (self.loop_.isRunnable()) event_active(self.turn_.get(), 0, 0);
+    self.loop_.run(kMaxKjTurns);
+    if (self.loop_.isRunnable()) event_active(self.turn_event_.get(), 0, 0);
   }
 
   event_base* base_;
-  kernel::Event turn_;
+  kernel::Event turn_event_;
   LibeventPort port_;
   kj::EventLoop loop_;
   kj::WaitScope scope_;
 };
 
 kernel::Result<std::shared_ptr<KjLoop>> AcquireKjLoop(kernel::Loop& loop) {
-  // KJ keeps one loop per thread; gateways of one thread share it.
-  thread_local std::weak_ptr<KjLoop> present;
-  std::shared_ptr<KjLoop> held = present.lock();
-  if (!held) {
-    held = std::make_shared<KjLoop>(loop.base.get());
-    present = held;
-  }
-  if (held->base() != loop.base.get()) {
+  // KJ supports one loop per thread. All users on a thread share it.
+  thread_local std::weak_ptr<KjLoop> current;
+  std::shared_ptr<KjLoop> kj_loop = current.lock();
+  if (!kj_loop) {
+    kj_loop = std::make_shared<KjLoop>(loop.base.get());
+    current = kj_loop;
+  }
+  if (kj_loop->base() != loop.base.get()) {
     return kernel::MakeError(kernel::ErrorCode::kConflict, "start peers", "",
                              "another loop of this thread has peers already");
   }
-  return held;
+  return kj_loop;
 }
 
 class BuffereventStream::ReadOperation {
  public:
-  ReadOperation(kj::PromiseFulfiller<std::size_t>& done,
-                BuffereventStream& stream, void* buffer, std::size_t least,
-                std::size_t most)
-      : done_(done),
+  ReadOperation(kj::PromiseFulfiller<std::size_t>& fulfiller,
+                BuffereventStream& stream, void* buffer, std::size_t min_bytes,
+                std::size_t max_bytes)
+      : fulfiller_(fulfiller),
         stream_(stream),
         buffer_(static_cast<kj::byte*>(buffer)),
-        least_(least),
-        most_(most) {
-    stream_.reading_ = this;
-    Step();
+        min_bytes_(min_bytes),
+        max_bytes_(max_bytes) {
+    stream_.read_operation_ = this;
+    ReadAvailable();
   }
   ~ReadOperation() { Detach(); }
   KJ_DISALLOW_COPY(ReadOperation);
 
-  // Takes what has come; settles the promise when that is enough or all.
-  void Step() {
+  // Copies the input that is available. Resolves the promise if it has the
+  // minimum size or the stream has ended.
+  void ReadAvailable() {
     evbuffer* input = bufferevent_get_input(stream_.buffer_.get());
-    const int got = evbuffer_remove(input, buffer_ + got_, most_ - got_);
-    if (got > 0) got_ += static_cast<std::size_t>(got);
-    if (got_ >= least_ || stream_.ended_) {
+    const int received =
+        evbuffer_remove(input, buffer_ + bytes_read_, max_bytes_ - bytes_read_);
+    if (received > 0) bytes_read_ += static_cast<std::size_t>(received);
+    if (bytes_read_ >= min_bytes_ || stream_.eof_) {
       Detach();
-      done_.fulfill(kj::cp(got_));
+      fulfiller_.fulfill(kj::cp(bytes_read_));
     }
   }
   void Fail() {
     Detach();
-    done_.reject(KJ_EXCEPTION(DISCONNECTED, "connection to the peer broke"));
+    fulfiller_.reject(
+        KJ_EXCEPTION(DISCONNECTED, "connection to the peer broke"));
   }
 
  private:
   void Detach() {
-    if (stream_.reading_ == this) stream_.reading_ = nullptr;
+    if (stream_.read_operation_ == this) stream_.read_operation_ = nullptr;
   }
 
-  kj::PromiseFulfiller<std::size_t>& done_;
+  kj::PromiseFulfiller<std::size_t>& fulfiller_;
   BuffereventStream& stream_;
   kj::byte* buffer_;
-  std::size_t least_;
-  std::size_t most_;
-  std::size_t got_ = 0;
+  std::size_t min_bytes_;
+  std::size_t max_bytes_;
+  std::size_t bytes_read_ = 0;
 };
 
 class BuffereventStream::DrainOperation {
  public:
-  DrainOperation(kj::PromiseFulfiller<void>& done, BuffereventStream& stream)
-      : done_(done), stream_(stream) {
-    stream_.draining_ = this;
+  DrainOperation(kj::PromiseFulfiller<void>& fulfiller,
+                 BuffereventStream& stream)
+      : fulfiller_(fulfiller), stream_(stream) {
+    stream_.drain_operation_ = this;
   }
   ~DrainOperation() { Detach(); }
   KJ_DISALLOW_COPY(DrainOperation);
 
   void Finish() {
     Detach();
-    done_.fulfill();
+    fulfiller_.fulfill();
   }
   void Fail() {
     Detach();
-    done_.reject(KJ_EXCEPTION(DISCONNECTED, "connection to the peer broke"));
+    fulfiller_.reject(
+        KJ_EXCEPTION(DISCONNECTED, "connection to the peer broke"));
   }
 
  private:
   void Detach() {
-    if (stream_.draining_ == this) stream_.draining_ = nullptr;
+    if (stream_.drain_operation_ == this) stream_.drain_operation_ = nullptr;
   }
 
-  kj::PromiseFulfiller<void>& done_;
+  kj::PromiseFulfiller<void>& fulfiller_;
   BuffereventStream& stream_;
 };
 
 BuffereventStream::BuffereventStream(Bufferevent buffer)
     : buffer_(std::move(buffer)) {
-  bufferevent_setwatermark(buffer_.get(), EV_READ, 0, kStreamBuffer);
+  bufferevent_setwatermark(buffer_.get(), EV_READ, 0, kMaxStreamBufferBytes);
   bufferevent_setcb(buffer_.get(), OnReadable, OnWritable, OnEvent, this);
   bufferevent_enable(buffer_.get(), EV_READ | EV_WRITE);
 }
 
 kj::Promise<std::size_t> BuffereventStream::tryRead(void* buffer,
-                                                    std::size_t least,
-                                                    std::size_t most) {
+                                                    std::size_t min_bytes,
+                                                    std::size_t max_bytes) {
   if (broken_) {
     return KJ_EXCEPTION(DISCONNECTED, "connection to the peer broke");
   }
-  return kj::newAdaptedPromise<std::size_t, ReadOperation>(*this, buffer, least,
-                                                           most);
+  return kj::newAdaptedPromise<std::size_t, ReadOperation>(
+      *this, buffer, min_bytes, max_bytes);
 }
 
 kj::Promise<void> BuffereventStream::write(const void* buffer,
@@ -171,7 +176,7 @@
     return KJ_EXCEPTION(DISCONNECTED, "connection to the peer broke");
   }
   bufferevent_write(buffer_.get(), buffer, size);
-  return Drained();
+  return WhenDrained();
 }
 
 kj::Promise<void> BuffereventStream::write(
@@ -182,11 +187,11 @@
   for (const auto piece : pieces) {
     bufferevent_write(buffer_.get(), piece.begin(), piece.size());
   }
-  return Drained();
+  return WhenDrained();
 }
 
-kj::Promise<void> BuffereventStream::Drained() {
-  if (PendingOutputBytes() <= kStreamBuffer) return kj::READY_NOW;
+kj::Promise<void> BuffereventStream::WhenDrained() {
+  if (PendingOutputBytes() <= kMaxStreamBufferBytes) return kj::READY_NOW;
   return kj::newAdaptedPromise<void, DrainOperation>(*this);
 }
 
@@ -205,32 +210,32 @@
 
 void BuffereventStream::OnReadable(bufferevent* /*buffer*/, void* arg) {
   auto& self = *static_cast<BuffereventStream*>(arg);
-  if (self.reading_ != nullptr) self.reading_->Step();
+  if (self.read_operation_ != nullptr) self.read_operation_->ReadAvailable();
 }
 
 void BuffereventStream::OnWritable(bufferevent* /*buffer*/, void* arg) {
   auto& self = *static_cast<BuffereventStream*>(arg);
-  if (self.draining_ != nullptr) self.draining_->Finish();
+  if (self.drain_operation_ != nullptr) self.drain_operation_->Finish();
 }
 
-// The signature is libevent's.
+// libevent's callback type has a parameter of type short.
 // NOLINTNEXTLINE(google-runtime-int)
-void BuffereventStream::OnEvent(bufferevent* /*buffer*/, short what,
+void BuffereventStream::OnEvent(bufferevent* /*buffer*/, short events,
                                 void* arg) {
   auto& self = *static_cast<BuffereventStream*>(arg);
-  if ((what & BEV_EVENT_CONNECTED) != 0) return;
-  if ((what & BEV_EVENT_EOF) != 0) {
-    self.ended_ = true;
-    if (self.reading_ != nullptr) self.reading_->Step();
+  if ((events & BEV_EVENT_CONNECTED) != 0) return;
+  if ((events & BEV_EVENT_EOF) != 0) {
+    self.eof_ = true;
+    if (self.read_operation_ != nullptr) self.read_operation_->ReadAvailable();
     return;
   }
-  self.Break();
+  self.Disconnect();
 }
 
-void BuffereventStream::Break() {
+void BuffereventStream::Disconnect() {
   broken_ = true;
-  if (reading_ != nullptr) reading_->Fail();
-  if (draining_ != nullptr) draining_->Fail();
+  if (read_operation_ != nullptr) read_operation_->Fail();
+  if (drain_operation_ != nullptr) drain_operation_->Fail();
 }
 
 }  // namespace egretladder::net
--- a/net/src/rpc_connection.cc
+++ b/net/src/rpc_connection.cc
@@ -9,18 +9,18 @@
 using capnp::rpc::twoparty::Side;
 using capnp::rpc::twoparty::VatId;
 
-capnp::ReaderOptions RpcReaderOptions(std::uint64_t words) {
+capnp::ReaderOptions RpcReaderOptions(std::uint64_t max_words) {
   capnp::ReaderOptions options;
-  options.traversalLimitInWords = words;
-  options.nestingLimit = kRpcNesting;
+  options.traversalLimitInWords = max_words;
+  options.nestingLimit = kMaxRpcNesting;
   return options;
 }
 
 RpcServerConnection::RpcServerConnection(Bufferevent buffer,
                                          capnp::Capability::Client self,
-                                         std::uint64_t words)
+                                         std::uint64_t max_words)
     : stream(std::move(buffer)),
-      network(stream, Side::SERVER, RpcReaderOptions(words)),
+      network(stream, Side::SERVER, RpcReaderOptions(max_words)),
       system(capnp::makeRpcServer(network, std::move(self))),
       ended(network.onDisconnect()
                 .then([this] { broken = true; },
@@ -28,9 +28,9 @@
                 .eagerlyEvaluate(nullptr)) {}
 
 RpcClientConnection::RpcClientConnection(Bufferevent buffer,
-                                         std::uint64_t words)
+                                         std::uint64_t max_words)
     : stream(std::move(buffer)),
-      network(stream, Side::CLIENT, RpcReaderOptions(words)),
+      network(stream, Side::CLIENT, RpcReaderOptions(max_words)),
       system(capnp::makeRpcClient(network)) {}
 
 capnp::Capability::Client RpcClientConnection::Bootstrap() {
--- a/net/src/socket.cc
+++ b/net/src/socket.cc
@@ -14,17 +14,16 @@
 
 namespace egretladder::net {
 
-void SetTcpOptions(evutil_socket_t fd,
-                   std::chrono::milliseconds unacknowledged) {
+void SetTcpOptions(evutil_socket_t fd, std::chrono::milliseconds user_timeout) {
   SetNoDelay(fd);
   const int on = 1;
-  const int idle = static_cast<int>(kKeepAliveIdle.count());
-  const int every = static_cast<int>(kKeepAliveEvery.count());
+  const int idle = static_cast<int>(kKeepAliveIdleTime.count());
+  const int interval = static_cast<int>(kKeepAliveInterval.count());
   const int probes = kKeepAliveProbes;
-  const int timeout = static_cast<int>(unacknowledged.count());
+  const int timeout = static_cast<int>(user_timeout.count());
   setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
   setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof(idle));
-  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &every, sizeof(every));
+  setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval, sizeof(interval));
   setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
   setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof(timeout));
 }
@@ -64,19 +63,19 @@
   return evbuffer_get_length(bufferevent_get_output(buffer));
 }
 
-int HeldByKernel(evutil_socket_t fd) {
+int UnacknowledgedBytes(evutil_socket_t fd) {
   int held = 0;
   return ioctl(fd, TIOCOUTQ, &held) == 0 ? held : 0;
 }
 
-bool HasLeft(evutil_socket_t fd) {
-  pollfd look{fd, POLLRDHUP, 0};
-  return poll(&look, 1, 0) > 0;
+bool HasPeerClosed(evutil_socket_t fd) {
+  pollfd poll_fd{fd, POLLRDHUP, 0};
+  return poll(&poll_fd, 1, 0) > 0;
 }
 
-void ResetOnClose(evutil_socket_t fd) {
-  const linger now{1, 0};
-  setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+void SetResetOnClose(evutil_socket_t fd) {
+  const linger zero_linger{1, 0};
+  setsockopt(fd, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof(zero_linger));
 }
 
 }  // namespace egretladder::net
--- a/net/tests/compression_test.cc
+++ b/net/tests/compression_test.cc
@@ -1,4 +1,4 @@
-// Compressed bytes between nodes.
+// Compression of data that nodes send each other.
 #include "egretladder/net/compression.h"
 
 #include <CppUTest/TestHarness.h>
@@ -9,43 +9,46 @@
 
 namespace {
 
-constexpr std::size_t kMost = std::size_t{1} << 20U;
+constexpr std::size_t kMaxBytes = std::size_t{1} << 20U;
+
+std::string MakeCompressed(const std::string& bytes) {
+  auto compressed = en::Compress(bytes);
+  CHECK(compressed.has_value());
+  return compressed.value();
+}
 
 }  // namespace
 
-TEST_GROUP(Compress){std::string Packed(const std::string& bytes){
-    auto packed = en::Compress(bytes);
-CHECK(packed.has_value());
-return packed.value();
-}
-}
-;
+TEST_GROUP(Compress){};
 
-TEST(Compress, WhatIsUnpackedIsWhatWasPacked) {
+TEST(Compress, DecompressRestoresTheBytes) {
   std::string text;
   for (int i = 0; i < 5000; ++i) text += "route " + std::to_string(i) + "; ";
-  const std::string packed = Packed(text);
-  CHECK(packed.size() < text.size() / 4);
-  CHECK(en::Decompress(packed, kMost).value() == text);
-  CHECK(en::Decompress(Packed(""), kMost).value().empty());
+  const std::string compressed = MakeCompressed(text);
+  CHECK(compressed.size() < text.size() / 4);
+  CHECK(en::Decompress(compressed, kMaxBytes).value() == text);
+  CHECK(en::Decompress(MakeCompressed(""), kMaxBytes).value().empty());
 }
 
-// Guards against a few bytes of a peer that take all memory.
-TEST(Compress, MoreThanAllowedIsRefused) {
-  const std::string packed = Packed(std::string(2 * kMost, 'x'));
-  CHECK(packed.size() < 10'000);
-  CHECK_FALSE(en::Decompress(packed, kMost).has_value());
+// Guards against a small message of a peer that would use up all memory when
+// decompressed.
+TEST(Compress, OversizedContentIsRefused) {
+  const std::string compressed =
+      MakeCompressed(std::string(2 * kMaxBytes, 'x'));
+  CHECK(compressed.size() < 10'000);
+  CHECK_FALSE(en::Decompress(compressed, kMaxBytes).has_value());
 }
 
-// Guards against rules that were damaged on their way.
-TEST(Compress, WhatDoesntMatchItsChecksumIsRefused) {
-  const std::string packed = Packed(std::string(100, 'x') + "abcdefgh");
-  for (std::size_t i = 0; i < packed.size(); ++i) {
-    std::string damaged = packed;
-    damaged[i] = static_cast<char>(damaged[i] ^ 0x10);
-    auto got = en::Decompress(damaged, kMost);
-    CHECK(!got || got.value() == std::string(100, 'x') + "abcdefgh");
-    CHECK_FALSE(en::Decompress(packed.substr(0, i), kMost).has_value());
+// Guards against rules that were corrupted in transit.
+TEST(Compress, CorruptedDataIsRefused) {
+  const std::string compressed =
+      MakeCompressed(std::string(100, 'x') + "abcdefgh");
+  for (std::size_t i = 0; i < compressed.size(); ++i) {
+    std::string corrupted = compressed;
+    corrupted[i] = static_cast<char>(corrupted[i] ^ 0x10);
+    auto restored = en::Decompress(corrupted, kMaxBytes);
+    CHECK(!restored || restored.value() == std::string(100, 'x') + "abcdefgh");
+    CHECK_FALSE(en::Decompress(compressed.substr(0, i), kMaxBytes).has_value());
   }
-  CHECK_FALSE(en::Decompress("no frame at all", kMost).has_value());
+  CHECK_FALSE(en::Decompress("no frame at all", kMaxBytes).has_value());
 }
--- a/net/tests/event_splitter_test.cc
+++ b/net/tests/event_splitter_test.cc
@@ -6,9 +6,9 @@
 
 TEST_GROUP(EventSplitter){};
 
-// An endpoint dies in the middle of an event. If the caller had the half
-// already, nobody could give it the rest, and the stream would be lost.
-TEST(EventSplitter, HoldsBackHalfAnEvent) {
+// An endpoint crashes in the middle of an event. If the caller had received a
+// part of the event, no other endpoint could resume the stream.
+TEST(EventSplitter, HoldsBackAnIncompleteEvent) {
   en::EventSplitter splitter;
   STRCMP_EQUAL(
       "id: 1\ndata: a\n\n",
@@ -21,7 +21,7 @@
   LONGS_EQUAL(0, splitter.rest.size());
 }
 
-TEST(EventSplitter, TakesAnyCutOfTheBytesAndEitherLineEnd) {
+TEST(EventSplitter, AcceptsBytesInAnyPiecesAndBothLineEnds) {
   const std::string text = "id:7\r\ndata: x\r\n\r\nid:8\r\ndata: y\r\n\r\n";
   en::EventSplitter splitter;
   std::string passed;
--- a/net/tests/harness.cc
+++ b/net/tests/harness.cc
@@ -18,9 +18,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kLongestWait = 10s;
+constexpr auto kMaxWait = 10s;
 constexpr auto kSettleTime = 30ms;
-constexpr auto kLongestTurn = 500ms;
+constexpr auto kMaxBusyTime = 500ms;
 constexpr int kFirstFinalStatus = 200;
 
 int OpenSocket(int receive_buffer) {
@@ -35,95 +35,95 @@
 
 }  // namespace
 
-Stage::Stage() : loop(kernel::CreateLoop()) {
+TestLoop::TestLoop() : loop(kernel::CreateLoop()) {
   loop.clock = kernel::ClockOf(clock);
-  // As the programs do: a write to a closed connection is an error, no end.
+  // Like the programs, so that a write to a closed connection fails with an
+  // error instead of ending the process.
   std::signal(SIGPIPE, SIG_IGN);
 }
 
-void Stage::Until(const std::function<bool()>& done) {
-  const auto limit = std::chrono::steady_clock::now() + kLongestWait;
+void TestLoop::WaitUntil(const std::function<bool()>& done) {
+  const auto limit = std::chrono::steady_clock::now() + kMaxWait;
   while (!done()) {
     if (std::chrono::steady_clock::now() > limit) {
-      FAIL("what the test waits for never came");
+      FAIL("timed out waiting for a condition of the test");
     }
-    // The break ends a turn also when callbacks ask for each other for ever.
+    // Breaks the loop even if callbacks activate each other again and again.
     const kernel::EventWatcher wake =
         kernel::RunAfter(loop, 1ms, [this] { kernel::StopLoop(loop); });
     event_base_loop(loop.base.get(), EVLOOP_ONCE);
   }
 }
 
-void Stage::Settle() {
-  bool over = false;
+void TestLoop::Settle() {
+  bool elapsed = false;
   const kernel::EventWatcher end =
-      kernel::RunAfter(loop, kSettleTime, [&over] { over = true; });
-  Until([&over] { return over; });
+      kernel::RunAfter(loop, kSettleTime, [&elapsed] { elapsed = true; });
+  WaitUntil([&elapsed] { return elapsed; });
 }
 
-bool Stage::Rests() {
+bool TestLoop::IsIdle() {
   const kernel::EventWatcher end =
-      kernel::RunAfter(loop, kLongestTurn, [this] { kernel::StopLoop(loop); });
+      kernel::RunAfter(loop, kMaxBusyTime, [this] { kernel::StopLoop(loop); });
   event_base_loop(loop.base.get(), EVLOOP_NONBLOCK);
   return event_base_got_break(loop.base.get()) == 0;
 }
 
-Peer::Peer(const std::string& address, int receive_buffer)
+RawSocket::RawSocket(const std::string& address, int receive_buffer)
     : fd_(OpenSocket(receive_buffer)) {
   auto target = ParseAddress(address);
   if (connect(fd_, target->get(), static_cast<socklen_t>(target->size)) != 0) {
-    end_ = PeerEnd::kReset;
+    end_ = ConnectionEnd::kReset;
   }
 }
 
-Peer::Peer(int fd) : fd_(fd) {}
+RawSocket::RawSocket(int fd) : fd_(fd) {}
 
-Peer::~Peer() { Close(); }
+RawSocket::~RawSocket() { Close(); }
 
-std::size_t Peer::SendSome(std::string_view bytes) {
+std::size_t RawSocket::SendSome(std::string_view bytes) {
   const ssize_t sent =
       send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-  if (sent < 0 && errno != EAGAIN) end_ = PeerEnd::kReset;
+  if (sent < 0 && errno != EAGAIN) end_ = ConnectionEnd::kReset;
   return sent < 0 ? 0 : static_cast<std::size_t>(sent);
 }
 
-void Peer::Send(std::string_view bytes) {
+void RawSocket::Send(std::string_view bytes) {
   LONGS_EQUAL(bytes.size(), SendSome(bytes));
 }
 
-void Peer::Take(std::size_t most) {
-  std::array<char, 65'536> piece{};
-  while (end_ == PeerEnd::kOpen && most > 0) {
-    const ssize_t got =
-        recv(fd_, piece.data(), std::min(most, piece.size()), MSG_DONTWAIT);
-    if (got > 0) {
-      taken_.append(piece.data(), static_cast<std::size_t>(got));
-      most -= static_cast<std::size_t>(got);
-    } else if (got == 0) {
-      end_ = PeerEnd::kEnded;
+void RawSocket::Receive(std::size_t max_bytes) {
+  std::array<char, 65'536> chunk{};
+  while (end_ == ConnectionEnd::kOpen && max_bytes > 0) {
+    const ssize_t bytes_received = recv(
+        fd_, chunk.data(), std::min(max_bytes, chunk.size()), MSG_DONTWAIT);
+    if (bytes_received > 0) {
+      received_.append(chunk.data(), static_cast<std::size_t>(bytes_received));
+      max_bytes -= static_cast<std::size_t>(bytes_received);
+    } else if (bytes_received == 0) {
+      end_ = ConnectionEnd::kEnded;
     } else if (errno == EAGAIN) {
       return;
     } else {
-      end_ = PeerEnd::kReset;
+      end_ = ConnectionEnd::kReset;
     }
   }
 }
 
-void Peer::HalfClose() const { shutdown(fd_, SHUT_WR); }
+void RawSocket::HalfClose() const { shutdown(fd_, SHUT_WR); }
 
-void Peer::Close() {
+void RawSocket::Close() {
   if (fd_ >= 0) close(fd_);
   fd_ = -1;
 }
 
-void Peer::Reset() {
-  const linger off{1, 0};
-  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &off, sizeof(off));
+void RawSocket::Reset() {
+  const linger no_linger{1, 0};
+  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &no_linger, sizeof(no_linger));
   Close();
 }
 
-PeerListener::PeerListener(int receive_buffer)
-    : fd_(OpenSocket(receive_buffer)) {
+RawListener::RawListener(int receive_buffer) : fd_(OpenSocket(receive_buffer)) {
   auto target = ParseAddress("127.0.0.1:0");
   if (bind(fd_, target->get(), static_cast<socklen_t>(target->size)) != 0 ||
       listen(fd_, SOMAXCONN) != 0) {
@@ -133,14 +133,14 @@
   evutil_make_socket_nonblocking(fd_);
 }
 
-PeerListener::~PeerListener() { close(fd_); }
+RawListener::~RawListener() { close(fd_); }
 
-PeerPtr PeerListener::Accept() const {
+RawSocketPtr RawListener::Accept() const {
   const int fd = accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC);
-  return fd < 0 ? nullptr : std::make_unique<Peer>(fd);
+  return fd < 0 ? nullptr : std::make_unique<RawSocket>(fd);
 }
 
-std::vector<Answer> AnswersIn(std::string_view bytes, std::string* rest) {
+std::vector<Answer> ParseAnswers(std::string_view bytes, std::string* rest) {
   std::vector<Answer> answers;
   while (!bytes.empty()) {
     AnswerReader reader({65'536, std::size_t{1} << 24U}, false);
--- a/net/tests/harness.h
+++ b/net/tests/harness.h
@@ -1,5 +1,5 @@
-// A loop with a clock that stands still, and raw sockets as the other side of
-// a connection, so that a test decides on each byte that is sent and taken.
+// An event loop with a manual clock, and raw sockets for the other end of a
+// connection, with which a test controls each byte that is sent and received.
 #pragma once
 
 #include <chrono>
@@ -16,84 +16,88 @@
 
 namespace egretladder::net::test {
 
-/// A loop whose clock moves by the test's hand only.
-struct Stage {
-  Stage();
-  /// Turns the loop until `done` holds; fails the test when it never does.
-  void Until(const std::function<bool()>& done);
-  /// Turns the loop for a few milliseconds, so that what must not come could.
+/// An event loop whose clock is only advanced by the test.
+struct TestLoop {
+  TestLoop();
+  /// Runs the loop until `done` returns true; fails the test after 10 s.
+  void WaitUntil(const std::function<bool()>& done);
+  /// Runs the loop for 30 ms, in which an event that must not occur would
+  /// occur.
   void Settle();
-  /// True when the loop has nothing to do but to wait, soon.
-  bool Rests();
+  /// Returns true if the loop runs out of active events within 500 ms.
+  bool IsIdle();
 
   kernel::ManualClock clock;
   kernel::Loop loop;
 };
 
-/// How the other side ended a connection.
-enum class PeerEnd : std::uint8_t { kOpen, kEnded, kReset };
+/// Whether and how the other side has ended a connection.
+enum class ConnectionEnd : std::uint8_t { kOpen, kEnded, kReset };
 
-/// One end of a connection, without a loop of its own.
-class Peer {
+/// One end of a connection, without an event loop.
+class RawSocket {
  public:
-  /// Connects. `receive_buffer`: of the socket, 0 for the standard.
-  explicit Peer(const std::string& address, int receive_buffer = 0);
-  /// Takes over a connected socket.
-  explicit Peer(int fd);
-  ~Peer();
-  Peer(const Peer&) = delete;
-  Peer& operator=(const Peer&) = delete;
-
-  /// Sends what the kernel takes now and returns how much that was.
+  /// Connects to `address`. `receive_buffer` is the size of the socket's
+  /// receive buffer in bytes, 0 for the default.
+  explicit RawSocket(const std::string& address, int receive_buffer = 0);
+  /// Takes ownership of a connected socket.
+  explicit RawSocket(int fd);
+  ~RawSocket();
+  RawSocket(const RawSocket&) = delete;
+  RawSocket& operator=(const RawSocket&) = delete;
+
+  /// Sends as many bytes as the kernel accepts now. Returns their number.
   std::size_t SendSome(std::string_view bytes);
-  /// Fails the test when the kernel doesn't take all of it.
+  /// Sends all bytes; fails the test if the kernel doesn't accept them now.
   void Send(std::string_view bytes);
-  /// Takes at most `most` bytes that are there.
-  void Take(std::size_t most = kAll);
-  /// All bytes taken so far, and how the connection stood after them.
-  const std::string& taken() const { return taken_; }
-  PeerEnd end() const { return end_; }
+  /// Receives at most `max_bytes` of the bytes that are available now.
+  void Receive(std::size_t max_bytes = kAll);
+  /// All bytes received so far, and the state of the connection after them.
+  const std::string& received() const { return received_; }
+  ConnectionEnd end() const { return end_; }
 
-  /// Nothing more comes from here; the other side may still send.
+  /// Ends the output of this side; the other side may still send.
   void HalfClose() const;
   void Close();
-  /// Closes so that the other side sees a reset.
+  /// Closes the connection with a reset.
   void Reset();
 
   static constexpr std::size_t kAll = ~std::size_t{0};
 
  private:
   int fd_ = -1;
-  std::string taken_;
-  PeerEnd end_ = PeerEnd::kOpen;
+  std::string received_;
+  ConnectionEnd end_ = ConnectionEnd::kOpen;
 };
-using PeerPtr = std::unique_ptr<Peer>;
+using RawSocketPtr = std::unique_ptr<RawSocket>;
 
 /// A listening socket.
-class PeerListener {
+class RawListener {
  public:
-  /// `receive_buffer`: of the sockets accepted, 0 for the standard.
-  explicit PeerListener(int receive_buffer = 0);
-  ~PeerListener();
-  PeerListener(const PeerListener&) = delete;
-  PeerListener& operator=(const PeerListener&) = delete;
+  /// `receive_buffer` is the size of the accepted sockets' receive buffers in
+  /// bytes, 0 for the default.
+  explicit RawListener(int receive_buffer = 0);
+  ~RawListener();
+  RawListener(const RawListener&) = delete;
+  RawListener& operator=(const RawListener&) = delete;
 
   const std::string& address() const { return address_; }
-  /// A connection that waits, or nothing.
-  PeerPtr Accept() const;
+  /// Accepts a pending connection. Returns null if there is none.
+  RawSocketPtr Accept() const;
 
  private:
   int fd_ = -1;
   std::string address_;
 };
 
-/// An answer that was read whole.
+/// A complete answer.
 struct Answer {
   HttpAnswerHead head;
   std::string body;
 };
-/// Whole answers at the start of `bytes`; `rest` gets what follows them.
-std::vector<Answer> AnswersIn(std::string_view bytes,
-                              std::string* rest = nullptr);
+/// Returns the complete answers at the start of `bytes`. `rest` is set to the
+/// bytes after them.
+std::vector<Answer> ParseAnswers(std::string_view bytes,
+                                 std::string* rest = nullptr);
 
 }  // namespace egretladder::net::test
--- a/net/tests/http_client_test.cc
+++ b/net/tests/http_client_test.cc
@@ -16,36 +16,37 @@
 namespace {
 
 constexpr int kSmallBuffer = 16'384;
-// More than the buffers of both sockets hold.
+// More than the buffers of both sockets can hold.
 constexpr std::size_t kLongBody = std::size_t{16} << 20U;
 
-std::string AnswerOf(const std::string& body, const std::string& more = "") {
-  return "HTTP/1.1 200 OK\r\n" + more +
+std::string MakeAnswer(const std::string& body,
+                       const std::string& extra_fields = "") {
+  return "HTTP/1.1 200 OK\r\n" + extra_fields +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// What came of an exchange.
+// What the handlers of an exchange were called with.
 struct Outcome {
-  int sendings = 0;
+  int sends = 0;
   int heads = 0;
   int status = 0;
   std::string body;
   int ends = 0;
-  int faults = 0;
-  en::ExchangeError fault{};
-  bool over() const { return ends + faults > 0; }
+  int errors = 0;
+  en::ExchangeError error{};
+  bool finished() const { return ends + errors > 0; }
 };
 
 }  // namespace
 
 TEST_GROUP(HttpClient) {
-  et::Stage stage;
-  std::unique_ptr<et::PeerListener> endpoint;
+  et::TestLoop test_loop;
+  std::unique_ptr<et::RawListener> endpoint;
   std::unique_ptr<en::HttpClient> client;
 
   void setup() override {
-    endpoint = std::make_unique<et::PeerListener>(kSmallBuffer);
-    client = std::make_unique<en::HttpClient>(stage.loop);
+    endpoint = std::make_unique<et::RawListener>(kSmallBuffer);
+    client = std::make_unique<en::HttpClient>(test_loop.loop);
   }
 
   en::HttpExchangePtr Start(Outcome & outcome, const std::string& path,
@@ -57,7 +58,7 @@
     request.body = body;
     en::ExchangeHandlers handlers;
     handlers.may_send = [&outcome] {
-      ++outcome.sendings;
+      ++outcome.sends;
       return true;
     };
     handlers.on_head = [&outcome](const en::HttpAnswerHead& head) {
@@ -69,214 +70,214 @@
       outcome.body += piece;
     };
     handlers.on_end = [&outcome] { ++outcome.ends; };
-    handlers.on_error = [&outcome](en::ExchangeError fault,
+    handlers.on_error = [&outcome](en::ExchangeError error,
                                    const std::string& /*detail*/) {
-      ++outcome.faults;
-      outcome.fault = fault;
+      ++outcome.errors;
+      outcome.error = error;
     };
     return client->Start(std::move(request), std::move(handlers));
   }
 
-  et::PeerPtr Accept() {
-    et::PeerPtr peer;
-    stage.Until([&] {
+  et::RawSocketPtr Accept() {
+    et::RawSocketPtr peer;
+    test_loop.WaitUntil([&] {
       peer = endpoint->Accept();
       return peer != nullptr;
     });
     return peer;
   }
 
-  // Reads until a head is there.
-  void TakeHead(et::Peer & peer) {
-    const std::size_t from = peer.taken().size();
-    stage.Until([&peer, from] {
-      peer.Take(1000);
-      return peer.taken().find("\r\n\r\n", from) != std::string::npos;
+  // Receives until a complete head has arrived.
+  void ReceiveHead(et::RawSocket & peer) {
+    const std::size_t from = peer.received().size();
+    test_loop.WaitUntil([&peer, from] {
+      peer.Receive(1000);
+      return peer.received().find("\r\n\r\n", from) != std::string::npos;
     });
   }
 
-  void TakeToTheEnd(et::Peer & peer) {
-    stage.Until([&peer] {
-      peer.Take();
-      return peer.end() != et::PeerEnd::kOpen;
+  void ReceiveUntilEnd(et::RawSocket & peer) {
+    test_loop.WaitUntil([&peer] {
+      peer.Receive();
+      return peer.end() != et::ConnectionEnd::kOpen;
     });
   }
 
-  void UntilOver(const Outcome& outcome) {
-    stage.Until([&outcome] { return outcome.over(); });
+  void WaitUntilFinished(const Outcome& outcome) {
+    test_loop.WaitUntil([&outcome] { return outcome.finished(); });
   }
 
-  // One exchange that ends well and leaves its connection idle.
-  et::PeerPtr LeaveIdle() {
+  // Completes one exchange. Returns its connection, which is idle then.
+  et::RawSocketPtr MakeIdleConnection() {
     Outcome first;
     Start(first, "/first");
     auto peer = Accept();
-    TakeHead(*peer);
-    peer->Send(AnswerOf("first"));
-    UntilOver(first);
+    ReceiveHead(*peer);
+    peer->Send(MakeAnswer("first"));
+    WaitUntilFinished(first);
     LONGS_EQUAL(1, first.ends);
     return peer;
   }
 };
 
-// Most requests go over a connection that is open already: opening one costs
-// the endpoint and a round trip.
-TEST(HttpClient, UsesAConnectionAgain) {
-  auto peer = LeaveIdle();
+// Guards against a new connection for each request, which costs the endpoint
+// work and the request a round trip.
+TEST(HttpClient, ReusesAnIdleConnection) {
+  auto peer = MakeIdleConnection();
   Outcome second;
   Start(second, "/second");
-  TakeHead(*peer);
-  peer->Send(AnswerOf("second"));
-  UntilOver(second);
+  ReceiveHead(*peer);
+  peer->Send(MakeAnswer("second"));
+  WaitUntilFinished(second);
   LONGS_EQUAL(1, second.ends);
   STRCMP_EQUAL("second", second.body.c_str());
   LONGS_EQUAL(1, client->opened());
 }
 
-// A caller leaves while the body of its request is half sent. The endpoint sees
-// the connection end and stops; another request on it would be read as the rest
-// of that body.
+// A caller leaves while the body of its request is being sent. The connection
+// must be closed: the endpoint can stop then, and another request on the
+// connection would be read as the rest of that body.
 TEST(HttpClient, ClosesTheConnectionOfACancelledBody) {
   Outcome first;
   const auto exchange = Start(first, "/first", std::string(kLongBody, 'b'));
-  auto half = Accept();
-  TakeHead(*half);
+  auto cancelled = Accept();
+  ReceiveHead(*cancelled);
   en::Cancel(exchange);
   Outcome second;
   Start(second, "/second");
-  TakeToTheEnd(*half);
-  CHECK(half->taken().size() < kLongBody);
-  CHECK(half->taken().find("/second") == std::string::npos);
+  ReceiveUntilEnd(*cancelled);
+  CHECK(cancelled->received().size() < kLongBody);
+  CHECK(cancelled->received().find("/second") == std::string::npos);
   auto other = Accept();
-  TakeHead(*other);
-  LONGS_EQUAL(0, other->taken().find("POST /second "));
-  other->Send(AnswerOf("second"));
-  UntilOver(second);
+  ReceiveHead(*other);
+  LONGS_EQUAL(0, other->received().find("POST /second "));
+  other->Send(MakeAnswer("second"));
+  WaitUntilFinished(second);
   LONGS_EQUAL(1, second.ends);
   LONGS_EQUAL(2, client->opened());
-  CHECK_FALSE(first.over());
+  CHECK_FALSE(first.finished());
 }
 
-// A caller leaves while it waits for an answer. That answer may still come, and
-// would be given to the next caller.
+// A caller leaves while it waits for an answer. The answer may still arrive,
+// and on a reused connection the next caller would get it.
 TEST(HttpClient, ClosesTheConnectionOfACancelledAnswer) {
   Outcome first;
   const auto exchange = Start(first, "/first");
   auto peer = Accept();
-  TakeHead(*peer);
+  ReceiveHead(*peer);
   en::Cancel(exchange);
-  peer->SendSome(AnswerOf("first"));
+  peer->SendSome(MakeAnswer("first"));
   Outcome second;
   Start(second, "/second");
   auto other = Accept();
-  TakeHead(*other);
-  other->Send(AnswerOf("second"));
-  UntilOver(second);
+  ReceiveHead(*other);
+  other->Send(MakeAnswer("second"));
+  WaitUntilFinished(second);
   STRCMP_EQUAL("second", second.body.c_str());
-  CHECK_FALSE(first.over());
+  CHECK_FALSE(first.finished());
 }
 
-// An endpoint refuses a request by its head and doesn't wait for the body. The
-// caller gets that answer. The rest of the body is still on its way, and must
-// not come before another request.
-TEST(HttpClient, DropsAConnectionWhoseBodyIsNotOutWhenTheAnswerCame) {
+// An endpoint refuses a request after its head and doesn't wait for the body.
+// The caller gets that answer. The rest of the body is still being sent, so
+// that another request must not use the connection.
+TEST(HttpClient, DropsAConnectionIfTheAnswerArrivesBeforeTheBodyIsSent) {
   Outcome first;
   Start(first, "/first", std::string(kLongBody, 'b'));
   auto peer = Accept();
-  TakeHead(*peer);
-  peer->Send(AnswerOf("too large"));
-  UntilOver(first);
+  ReceiveHead(*peer);
+  peer->Send(MakeAnswer("too large"));
+  WaitUntilFinished(first);
   LONGS_EQUAL(1, first.ends);
   STRCMP_EQUAL("too large", first.body.c_str());
   Outcome second;
   Start(second, "/second");
   auto other = Accept();
-  TakeHead(*other);
-  LONGS_EQUAL(0, other->taken().find("POST /second "));
-  TakeToTheEnd(*peer);
-  CHECK(peer->taken().find("/second") == std::string::npos);
-  other->Send(AnswerOf("second"));
-  UntilOver(second);
+  ReceiveHead(*other);
+  LONGS_EQUAL(0, other->received().find("POST /second "));
+  ReceiveUntilEnd(*peer);
+  CHECK(peer->received().find("/second") == std::string::npos);
+  other->Send(MakeAnswer("second"));
+  WaitUntilFinished(second);
   LONGS_EQUAL(1, second.ends);
   LONGS_EQUAL(2, client->opened());
 }
 
-// An endpoint refuses a request by its head and closes at once, so that the
-// body that still comes is answered with a reset. The refusal arrived before
-// it; a caller that isn't given it believes that its request may have run.
-TEST(HttpClient, TakesAnAnswerThatCameBeforeAReset) {
+// An endpoint refuses a request after its head and closes at once, so that the
+// rest of the body is answered with a reset. The refusal arrived before the
+// reset. If it were dropped, the outcome of the request would count as unknown.
+TEST(HttpClient, DeliversAnAnswerThatArrivedBeforeAReset) {
   Outcome first;
   Start(first, "/first", std::string(kLongBody, 'b'));
   auto peer = Accept();
-  TakeHead(*peer);
-  peer->Send(AnswerOf("too large"));
+  ReceiveHead(*peer);
+  peer->Send(MakeAnswer("too large"));
   peer->Close();
-  UntilOver(first);
+  WaitUntilFinished(first);
   LONGS_EQUAL(1, first.ends);
   STRCMP_EQUAL("too large", first.body.c_str());
 }
 
-// An endpoint closes a connection that is idle. The next request takes a new
-// one and nobody notices.
-TEST(HttpClient, DoesNotUseAnIdleConnectionThatTheEndpointClosed) {
-  auto peer = LeaveIdle();
+// An endpoint closes an idle connection. The next request must use a new one.
+TEST(HttpClient, DoesNotReuseAConnectionThatTheEndpointClosed) {
+  auto peer = MakeIdleConnection();
   peer->Close();
-  stage.Settle();
+  test_loop.Settle();
   Outcome second;
   Start(second, "/second");
   auto other = Accept();
-  TakeHead(*other);
-  other->Send(AnswerOf("second"));
-  UntilOver(second);
+  ReceiveHead(*other);
+  other->Send(MakeAnswer("second"));
+  WaitUntilFinished(second);
   LONGS_EQUAL(1, second.ends);
   LONGS_EQUAL(2, client->opened());
 }
 
-// The close of an idle connection is in the node's kernel, unread, when a
-// request takes that connection. Nothing of the request has left, so it can
-// still go anywhere. Told as broken, its outcome counts as unknown, and a
-// request that may run only once fails for its caller.
-TEST(HttpClient, DoesNotBreakARequestThatNeverLeft) {
-  auto peer = LeaveIdle();
+// The node's kernel has received the close of an idle connection, but the node
+// has not read it yet when a request takes the connection. Nothing of the
+// request was sent, so that it can still be sent elsewhere. Reported as broken,
+// its outcome would count as unknown, and a non-idempotent request would fail.
+TEST(HttpClient, DoesNotReportBrokenForARequestThatWasNotSent) {
+  auto peer = MakeIdleConnection();
   peer->Close();
   Outcome second;
   Start(second, "/second");
-  et::PeerPtr other;
-  stage.Until([&] {
+  et::RawSocketPtr other;
+  test_loop.WaitUntil([&] {
     other = endpoint->Accept();
-    return other != nullptr || second.over();
+    return other != nullptr || second.finished();
   });
   if (other == nullptr) {
-    LONGS_EQUAL(0, second.sendings);
-    CHECK(second.fault == en::ExchangeError::kNotConnected);
+    LONGS_EQUAL(0, second.sends);
+    CHECK(second.error == en::ExchangeError::kNotConnected);
     return;
   }
-  TakeHead(*other);
-  other->Send(AnswerOf("second"));
-  UntilOver(second);
+  ReceiveHead(*other);
+  other->Send(MakeAnswer("second"));
+  WaitUntilFinished(second);
   LONGS_EQUAL(1, second.ends);
-  LONGS_EQUAL(1, second.sendings);
+  LONGS_EQUAL(1, second.sends);
 }
 
-// An endpoint takes a request and closes without a word. It may have run, so
-// the outcome is unknown, told once, and the request isn't sent again here.
-TEST(HttpClient, TellsThatASentRequestBroke) {
-  auto peer = LeaveIdle();
+// An endpoint receives a request and closes without an answer. The request may
+// have run. That is reported once, and the client doesn't send the request
+// again.
+TEST(HttpClient, ReportsBrokenForARequestWithoutAnAnswer) {
+  auto peer = MakeIdleConnection();
   Outcome second;
   Start(second, "/second");
-  TakeHead(*peer);
+  ReceiveHead(*peer);
   peer->Close();
-  UntilOver(second);
-  stage.Settle();
-  LONGS_EQUAL(1, second.sendings);
-  LONGS_EQUAL(1, second.faults);
-  CHECK(second.fault == en::ExchangeError::kBroken);
+  WaitUntilFinished(second);
+  test_loop.Settle();
+  LONGS_EQUAL(1, second.sends);
+  LONGS_EQUAL(1, second.errors);
+  CHECK(second.error == en::ExchangeError::kBroken);
   CHECK(endpoint->Accept() == nullptr);
 }
 
-// Nobody listens at the endpoint's address. Nothing left, and the request can
-// go elsewhere.
-TEST(HttpClient, TellsThatNothingWasConnected) {
+// Nothing listens at the endpoint's address. Nothing of the request was sent,
+// so that it can be sent elsewhere.
+TEST(HttpClient, ReportsNotConnectedForARefusedConnection) {
   Outcome first;
   const std::string address = endpoint->address();
   endpoint.reset();
@@ -284,161 +285,162 @@
   request.address = address;
   en::ExchangeHandlers handlers;
   handlers.may_send = [&first] {
-    ++first.sendings;
+    ++first.sends;
     return true;
   };
-  handlers.on_error = [&first](en::ExchangeError fault,
+  handlers.on_error = [&first](en::ExchangeError error,
                                const std::string& /*detail*/) {
-    ++first.faults;
-    first.fault = fault;
+    ++first.errors;
+    first.error = error;
   };
   client->Start(std::move(request), std::move(handlers));
-  UntilOver(first);
-  stage.Settle();
-  LONGS_EQUAL(1, first.faults);
-  LONGS_EQUAL(0, first.sendings);
-  CHECK(first.fault == en::ExchangeError::kNotConnected);
+  WaitUntilFinished(first);
+  test_loop.Settle();
+  LONGS_EQUAL(1, first.errors);
+  LONGS_EQUAL(0, first.sends);
+  CHECK(first.error == en::ExchangeError::kNotConnected);
 }
 
-// An endpoint's process dies in the middle of an answer. The part that came is
-// given on, then the break, once.
-TEST(HttpClient, TellsOnceThatAnAnswerWasReset) {
+// An endpoint crashes in the middle of an answer. The part that arrived is
+// delivered, and then the error is reported once.
+TEST(HttpClient, ReportsAResetWithinAnAnswerOnce) {
   Outcome first;
   Start(first, "/first");
   auto peer = Accept();
-  TakeHead(*peer);
+  ReceiveHead(*peer);
   peer->Send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-  stage.Until([&first] { return first.body == "half"; });
+  test_loop.WaitUntil([&first] { return first.body == "half"; });
   peer->Reset();
-  UntilOver(first);
-  stage.Settle();
+  WaitUntilFinished(first);
+  test_loop.Settle();
   LONGS_EQUAL(1, first.heads);
-  LONGS_EQUAL(1, first.faults);
+  LONGS_EQUAL(1, first.errors);
   LONGS_EQUAL(0, first.ends);
-  CHECK(first.fault == en::ExchangeError::kBroken);
+  CHECK(first.error == en::ExchangeError::kBroken);
 }
 
-// The same for an answer that ends with its connection: a reset is no such end,
-// and half an answer must not pass for a whole one.
-TEST(HttpClient, TakesNoResetForTheEndOfAnAnswer) {
+// An answer without a length ends with its connection. A reset is not a regular
+// end, so that the answer must not count as complete.
+TEST(HttpClient, AResetDoesNotCompleteAnAnswerWithoutLength) {
   Outcome first;
   Start(first, "/first");
   auto peer = Accept();
-  TakeHead(*peer);
+  ReceiveHead(*peer);
   peer->Send("HTTP/1.1 200 OK\r\n\r\nhalf");
-  stage.Until([&first] { return first.body == "half"; });
+  test_loop.WaitUntil([&first] { return first.body == "half"; });
   peer->Reset();
-  UntilOver(first);
-  LONGS_EQUAL(1, first.faults);
+  WaitUntilFinished(first);
+  LONGS_EQUAL(1, first.errors);
   LONGS_EQUAL(0, first.ends);
-  CHECK(first.fault == en::ExchangeError::kBroken);
+  CHECK(first.error == en::ExchangeError::kBroken);
 }
 
-// An endpoint closes in the middle of an answer with a length, or of one in
-// chunks.
-TEST(HttpClient, TellsThatAnAnswerBrokeOff) {
+// An endpoint closes the connection in the middle of an answer with a length,
+// or of a chunked answer.
+TEST(HttpClient, ReportsBrokenForATruncatedAnswer) {
   for (const std::string head : {"Content-Length: 10\r\n\r\n",
                                  "Transfer-Encoding: chunked\r\n\r\n4\r\n"}) {
     Outcome first;
     Start(first, "/first");
     auto peer = Accept();
-    TakeHead(*peer);
+    ReceiveHead(*peer);
     peer->Send("HTTP/1.1 200 OK\r\n" + head + "half");
     peer->Close();
-    UntilOver(first);
-    LONGS_EQUAL(1, first.faults);
+    WaitUntilFinished(first);
+    LONGS_EQUAL(1, first.errors);
     LONGS_EQUAL(0, first.ends);
-    CHECK(first.fault == en::ExchangeError::kBroken);
+    CHECK(first.error == en::ExchangeError::kBroken);
   }
 }
 
-// An endpoint sends more than its answer. Nobody asked for those bytes; kept,
-// they would be given to the next request as its answer.
+// An endpoint sends extra bytes after its answer. If the connection were
+// reused, the next request would get them as its answer.
 TEST(HttpClient, DropsAConnectionWithBytesAfterTheAnswer) {
   Outcome first;
   Start(first, "/first");
   auto peer = Accept();
-  TakeHead(*peer);
-  peer->Send(AnswerOf("first") + AnswerOf("stale"));
-  UntilOver(first);
+  ReceiveHead(*peer);
+  peer->Send(MakeAnswer("first") + MakeAnswer("stale"));
+  WaitUntilFinished(first);
   LONGS_EQUAL(1, first.ends);
   STRCMP_EQUAL("first", first.body.c_str());
   Outcome second;
   Start(second, "/second");
   auto other = Accept();
-  TakeHead(*other);
-  other->Send(AnswerOf("second"));
-  UntilOver(second);
+  ReceiveHead(*other);
+  other->Send(MakeAnswer("second"));
+  WaitUntilFinished(second);
   STRCMP_EQUAL("second", second.body.c_str());
 }
 
-// Such bytes come later, while the connection is idle.
-TEST(HttpClient, DropsAnIdleConnectionThatSpeaks) {
-  auto peer = LeaveIdle();
-  peer->Send(AnswerOf("stale"));
-  stage.Settle();
+// An endpoint sends extra bytes while the connection is idle. If it were
+// reused, the next request would get them as its answer.
+TEST(HttpClient, DropsAnIdleConnectionThatReceivesBytes) {
+  auto peer = MakeIdleConnection();
+  peer->Send(MakeAnswer("stale"));
+  test_loop.Settle();
   Outcome second;
   Start(second, "/second");
   auto other = Accept();
-  TakeHead(*other);
-  other->Send(AnswerOf("second"));
-  UntilOver(second);
+  ReceiveHead(*other);
+  other->Send(MakeAnswer("second"));
+  WaitUntilFinished(second);
   STRCMP_EQUAL("second", second.body.c_str());
   LONGS_EQUAL(2, client->opened());
 }
 
-// Such bytes are in the node's kernel, unread, when the next request takes the
-// connection. They came before it left and can't be its answer; the caller
-// would get another one's, or an endpoint's word on an idle connection.
-TEST(HttpClient, TakesNoBytesFromBeforeTheRequestForItsAnswer) {
-  auto peer = LeaveIdle();
-  peer->Send(AnswerOf("stale"));
+// The node's kernel has received extra bytes on an idle connection, but the
+// node has not read them yet when a request takes the connection. They arrived
+// before the request was sent, so that they can't be its answer.
+TEST(HttpClient, IgnoresBytesThatArrivedBeforeTheRequest) {
+  auto peer = MakeIdleConnection();
+  peer->Send(MakeAnswer("stale"));
   Outcome second;
   Start(second, "/second");
-  et::PeerPtr other;
-  stage.Until([&] {
+  et::RawSocketPtr other;
+  test_loop.WaitUntil([&] {
     other = endpoint->Accept();
-    if (peer->end() == et::PeerEnd::kOpen) peer->Take();
-    return other != nullptr || second.over() ||
-           peer->taken().find("/second") != std::string::npos;
+    if (peer->end() == et::ConnectionEnd::kOpen) peer->Receive();
+    return other != nullptr || second.finished() ||
+           peer->received().find("/second") != std::string::npos;
   });
-  if (other != nullptr) TakeHead(*other);
-  (other != nullptr ? other : peer)->SendSome(AnswerOf("second"));
-  UntilOver(second);
+  if (other != nullptr) ReceiveHead(*other);
+  (other != nullptr ? other : peer)->SendSome(MakeAnswer("second"));
+  WaitUntilFinished(second);
   CHECK(second.body != "stale");
   LONGS_EQUAL(1, second.ends);
   STRCMP_EQUAL("second", second.body.c_str());
 }
 
-// An endpoint says that it closes with this answer, or how long it keeps the
-// connection. It isn't used beyond that.
-TEST(HttpClient, KeepsAConnectionNoLongerThanTheEndpoint) {
+// An endpoint announces that it closes the connection after an answer, or how
+// long it keeps the connection open. The client must not reuse it after that.
+TEST(HttpClient, DoesNotReuseAConnectionBeyondItsKeepAlive) {
   Outcome first;
   Start(first, "/first");
   auto peer = Accept();
-  TakeHead(*peer);
-  peer->Send(AnswerOf("first", "Connection: close\r\n"));
-  UntilOver(first);
+  ReceiveHead(*peer);
+  peer->Send(MakeAnswer("first", "Connection: close\r\n"));
+  WaitUntilFinished(first);
   Outcome second;
   Start(second, "/second");
   auto other = Accept();
-  TakeHead(*other);
-  other->Send(AnswerOf("second", "Keep-Alive: timeout=5\r\n"));
-  UntilOver(second);
-  ek::Advance(stage.clock, 2900ms);
+  ReceiveHead(*other);
+  other->Send(MakeAnswer("second", "Keep-Alive: timeout=5\r\n"));
+  WaitUntilFinished(second);
+  ek::Advance(test_loop.clock, 2900ms);
   Outcome third;
   Start(third, "/third");
-  TakeHead(*other);
-  other->Send(AnswerOf("third", "Keep-Alive: timeout=5\r\n"));
-  UntilOver(third);
+  ReceiveHead(*other);
+  other->Send(MakeAnswer("third", "Keep-Alive: timeout=5\r\n"));
+  WaitUntilFinished(third);
   LONGS_EQUAL(2, client->opened());
-  ek::Advance(stage.clock, 3100ms);
+  ek::Advance(test_loop.clock, 3100ms);
   Outcome fourth;
   Start(fourth, "/fourth");
   auto last = Accept();
-  TakeHead(*last);
-  last->Send(AnswerOf("fourth"));
-  UntilOver(fourth);
+  ReceiveHead(*last);
+  last->Send(MakeAnswer("fourth"));
+  WaitUntilFinished(fourth);
   LONGS_EQUAL(1, fourth.ends);
   LONGS_EQUAL(3, client->opened());
 }
--- a/net/tests/http_reader_test.cc
+++ b/net/tests/http_reader_test.cc
@@ -10,42 +10,42 @@
 
 constexpr en::ReadLimits kLimits{4096, 64};
 
-// Feeds byte by byte, as a slow caller would, and returns what was not used.
-struct Fed {
+// A reader that is fed byte by byte, and the bytes that it has not consumed.
+struct SlowReader {
   en::RequestReader reader{kLimits};
   std::string rest;
 };
 
-void FeedSlowly(Fed& fed, const std::string& text) {
+void FeedSlowly(SlowReader& slow, const std::string& text) {
   for (const char c : text) {
-    fed.rest += c;
-    if (fed.reader.state() == en::ReadState::kFailed ||
-        fed.reader.state() == en::ReadState::kDone) {
+    slow.rest += c;
+    if (slow.reader.state() == en::ReadState::kFailed ||
+        slow.reader.state() == en::ReadState::kDone) {
       continue;
     }
-    fed.rest.erase(0, fed.reader.Feed(fed.rest));
+    slow.rest.erase(0, slow.reader.Feed(slow.rest));
   }
 }
 
-en::ReadFault FaultOf(const std::string& text) {
-  Fed slow;
+en::ReadError GetReadError(const std::string& text) {
+  SlowReader slow;
   FeedSlowly(slow, text);
   en::RequestReader whole(kLimits);
   whole.Feed(text);
-  // The cut of the bytes must not matter.
-  CHECK(slow.reader.fault() == whole.fault());
-  return whole.fault();
+  // The result must not depend on the pieces in which the bytes arrive.
+  CHECK(slow.reader.error() == whole.error());
+  return whole.error();
 }
 
 bool IsRefused(const std::string& text) {
-  return FaultOf(text) == en::ReadFault::kSyntax;
+  return GetReadError(text) == en::ReadError::kSyntax;
 }
 
 }  // namespace
 
 TEST_GROUP(RequestReader){};
 
-TEST(RequestReader, ReadsAWholeRequestAndLeavesTheNext) {
+TEST(RequestReader, ReadsOneRequestAndLeavesTheNext) {
   const std::string text =
       "POST /a/b?c=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET /";
   en::RequestReader reader(kLimits);
@@ -58,19 +58,19 @@
 }
 
 TEST(RequestReader, ReadsChunks) {
-  Fed fed;
-  FeedSlowly(fed,
+  SlowReader slow;
+  FeedSlowly(slow,
              "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
              "2\r\nab\r\n1;x=y\r\nc\r\n0\r\nTrailer: dropped\r\n\r\nG");
-  CHECK(fed.reader.state() == en::ReadState::kDone);
-  STRCMP_EQUAL("abc", fed.reader.request().body.c_str());
-  STRCMP_EQUAL("G", fed.rest.c_str());
-  LONGS_EQUAL(0, en::CountOf(fed.reader.request().fields, "Trailer"));
+  CHECK(slow.reader.state() == en::ReadState::kDone);
+  STRCMP_EQUAL("abc", slow.reader.request().body.c_str());
+  STRCMP_EQUAL("G", slow.rest.c_str());
+  LONGS_EQUAL(0, en::CountOf(slow.reader.request().fields, "Trailer"));
 }
 
-// A caller sends two lengths. This node would take one, the endpoint the other,
-// and the bytes between them would run at the endpoint as a request that nobody
-// sent, under another client account's key.
+// Request smuggling: a caller sends two lengths. If this node used one and the
+// endpoint the other, the endpoint would run the bytes between them as a
+// separate request, possibly with the key of another client account.
 TEST(RequestReader, RefusesTwoLengths) {
   CHECK(
       IsRefused("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
@@ -83,16 +83,16 @@
                 "abc"));
 }
 
-// A field name with a space before its colon is skipped by one reader and
-// believed by the next: the body then stands as a request of its own.
+// Some parsers ignore a field whose name has a space before the colon, others
+// accept it. For the first, the body would be a separate request.
 TEST(RequestReader, RefusesASpaceBeforeTheColon) {
   CHECK(
       IsRefused("POST / HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\n"
                 "abc"));
 }
 
-// Numbers that one reader takes and another does not end the body elsewhere.
-TEST(RequestReader, RefusesNumbersThatAreNotPlain) {
+// Lengths that only some parsers accept make the end of the body ambiguous.
+TEST(RequestReader, RefusesLengthsThatAreNotPlainNumbers) {
   for (const char* length : {"+3", "0x3", "-1", "3 4", "", "three"}) {
     CHECK(IsRefused("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: " +
                     std::string(length) + "\r\n\r\nabc"));
@@ -105,8 +105,8 @@
   }
 }
 
-// Both framings at once, or one that only some readers know.
-TEST(RequestReader, RefusesAFramingThatIsOpenToDoubt) {
+// Two framings at once, or a transfer coding that only some parsers support.
+TEST(RequestReader, RefusesAnAmbiguousFraming) {
   CHECK(
       IsRefused("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
                 "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
@@ -132,7 +132,7 @@
   CHECK(IsRefused("GET / HTTP/1.1\nHost: h\n\n"));
 }
 
-TEST(RequestReader, RefusesMissingAndDoubleHostsAndOddTargets) {
+TEST(RequestReader, RefusesInvalidHostsTargetsAndVersions) {
   CHECK(IsRefused("GET / HTTP/1.1\r\n\r\n"));
   CHECK(IsRefused("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"));
   CHECK(IsRefused("GET http://h/ HTTP/1.1\r\nHost: h\r\n\r\n"));
@@ -141,20 +141,23 @@
   CHECK(IsRefused("\x16\x03\x01 hello\r\n\r\n"));
 }
 
-TEST(RequestReader, BoundsHeadAndBody) {
-  CHECK(FaultOf("GET / HTTP/1.1\r\nHost: h\r\nA: " + std::string(5000, 'a') +
-                "\r\n\r\n") == en::ReadFault::kHeadTooLarge);
-  CHECK(FaultOf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n") ==
-        en::ReadFault::kBodyTooLarge);
-  CHECK(FaultOf("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
-                "\r\n60\r\n" +
-                std::string(96, 'a')) == en::ReadFault::kBodyTooLarge);
-}
-
-// A caller's head and body come in pieces, cut anywhere, and the body holds
-// line feeds and blanks. Taken for a part of the head, they would have a sound
-// request refused.
-TEST(RequestReader, ReadsTheSameHoweverTheBytesAreCut) {
+TEST(RequestReader, LimitsTheSizeOfHeadAndBody) {
+  CHECK(
+      GetReadError("GET / HTTP/1.1\r\nHost: h\r\nA: " + std::string(5000, 'a') +
+                   "\r\n\r\n") == en::ReadError::kHeadTooLarge);
+  CHECK(GetReadError(
+            "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n") ==
+        en::ReadError::kBodyTooLarge);
+  CHECK(GetReadError(
+            "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
+            "\r\n60\r\n" +
+            std::string(96, 'a')) == en::ReadError::kBodyTooLarge);
+}
+
+// Head and body arrive in pieces, split at any position, and the body contains
+// line feeds and spaces. If these were checked as a part of the head, a valid
+// request would be refused.
+TEST(RequestReader, TheResultDoesNotDependOnTheSplitOfTheBytes) {
   const std::string text =
       "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 12\r\n\r\n"
       " a\n\n b\r\n c\r\n";
@@ -169,7 +172,7 @@
   }
 }
 
-TEST(RequestReader, SaysWhenACallerWaitsToSendItsBody) {
+TEST(RequestReader, RecognizesExpectContinue) {
   en::RequestReader reader(kLimits);
   reader.Feed(
       "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
@@ -179,7 +182,7 @@
 
 TEST_GROUP(AnswerReader){};
 
-TEST(AnswerReader, ReadsWhatHasALength) {
+TEST(AnswerReader, ReadsAnAnswerWithALength) {
   en::AnswerReader reader(kLimits, false);
   const std::string text =
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nA: b\r\n\r\nokHTTP";
@@ -189,34 +192,33 @@
   STRCMP_EQUAL("ok", reader.TakeBody().c_str());
 }
 
-// An endpoint's answer has no length and ends with its connection. If the
-// connection is reset instead, the reader is never told of an end, so that the
-// answer stays incomplete.
-TEST(AnswerReader, CompletesAnAnswerWithoutLengthAtItsEndOnly) {
+// An answer without a length ends with its connection. If the connection is
+// reset instead, `FeedEof` is not called, so that the answer stays incomplete.
+TEST(AnswerReader, CompletesAnAnswerWithoutLengthOnlyAtItsEnd) {
   en::AnswerReader reader(kLimits, false);
   reader.Feed("HTTP/1.1 200 OK\r\n\r\npart");
   CHECK(reader.state() == en::ReadState::kBody);
-  reader.FeedEnd();
+  reader.FeedEof();
   CHECK(reader.state() == en::ReadState::kDone);
   STRCMP_EQUAL("part", reader.TakeBody().c_str());
 }
 
-// An endpoint crashes in the middle of its answer: the caller must not get the
-// half as a whole.
+// An endpoint crashes in the middle of its answer. The part must not count as a
+// complete answer.
 TEST(AnswerReader, FailsWhenTheConnectionEndsBeforeTheLength) {
   en::AnswerReader reader(kLimits, false);
   reader.Feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
-  reader.FeedEnd();
+  reader.FeedEof();
   CHECK(reader.state() == en::ReadState::kFailed);
   en::AnswerReader chunked(kLimits, false);
   chunked.Feed(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
       "4\r\npart\r\n");
-  chunked.FeedEnd();
+  chunked.FeedEof();
   CHECK(chunked.state() == en::ReadState::kFailed);
 }
 
-TEST(AnswerReader, RefusesBytesThatAreNoAnswer) {
+TEST(AnswerReader, RefusesBytesThatAreNotHttp) {
   en::AnswerReader reader(kLimits, false);
   reader.Feed("\x01\x02garbage\r\n\r\n");
   CHECK(reader.state() == en::ReadState::kFailed);
--- a/net/tests/http_server_test.cc
+++ b/net/tests/http_server_test.cc
@@ -17,20 +17,21 @@
 namespace {
 
 constexpr int kSmallBuffer = 16'384;
-// Many times what the buffers of both sockets hold.
+// Many times the size of the buffers of both sockets.
 constexpr std::size_t kLongAnswer = std::size_t{2} << 20U;
 constexpr std::size_t kManyBytes = std::size_t{8} << 20U;
 
-std::string Get(const std::string& path, const std::string& more = "") {
-  return "GET " + path + " HTTP/1.1\r\nHost: h\r\n" + more + "\r\n";
+std::string MakeGet(const std::string& path,
+                    const std::string& extra_fields = "") {
+  return "GET " + path + " HTTP/1.1\r\nHost: h\r\n" + extra_fields + "\r\n";
 }
 
-std::string PostHead(const std::string& path, std::size_t body_size) {
+std::string MakePostHead(const std::string& path, std::size_t body_size) {
   return "POST " + path + " HTTP/1.1\r\nHost: h\r\nContent-Length: " +
          std::to_string(body_size) + "\r\n\r\n";
 }
 
-bool SaysClose(const et::Answer& answer) {
+bool HasConnectionClose(const et::Answer& answer) {
   return en::IsSameFieldName(en::ValueOf(answer.head.fields, "Connection"),
                              "close");
 }
@@ -38,12 +39,12 @@
 }  // namespace
 
 TEST_GROUP(HttpServer) {
-  et::Stage stage;
+  et::TestLoop test_loop;
   std::unique_ptr<en::HttpServer> server;
   std::vector<en::HttpCallPtr> calls;
   std::vector<int> refused;
-  int gone = 0;
-  // What the kernel may hold of an answer, 0 for the standard.
+  int disconnects = 0;
+  // Size of the send buffer of accepted sockets in bytes, 0 for the default.
   int send_buffer = 0;
 
   void setup() override { Start({}); }
@@ -51,7 +52,7 @@
   void Start(const en::ServerLimits& limits) {
     en::ServerHandlers handlers;
     handlers.on_request = [this](const en::HttpCallPtr& call) {
-      call->OnGone([this] { ++gone; });
+      call->OnGone([this] { ++disconnects; });
       calls.push_back(call);
     };
     handlers.on_refused = [this](int status, const std::string& /*why*/) {
@@ -68,477 +69,493 @@
       return en::Bufferevent(
           bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE));
     };
-    server = std::make_unique<en::HttpServer>(stage.loop, handlers);
+    server = std::make_unique<en::HttpServer>(test_loop.loop, handlers);
     server->SetLimits(limits);
     CHECK(server->Listen("127.0.0.1:0").has_value());
   }
 
-  et::PeerPtr Connect(int receive_buffer = 0) {
-    return std::make_unique<et::Peer>(server->address(), receive_buffer);
+  et::RawSocketPtr Connect(int receive_buffer = 0) {
+    return std::make_unique<et::RawSocket>(server->address(), receive_buffer);
   }
 
-  // A connection whose request is with the test now.
-  et::PeerPtr Ask(const std::string& request, int receive_buffer = 0) {
+  // Sends a request and waits until it is in `calls`. Returns the connection.
+  et::RawSocketPtr SendRequest(const std::string& request,
+                               int receive_buffer = 0) {
     auto caller = Connect(receive_buffer);
     const std::size_t before = calls.size();
     caller->Send(request);
-    stage.Until([this, before] { return calls.size() > before; });
+    test_loop.WaitUntil([this, before] { return calls.size() > before; });
     return caller;
   }
 
-  // Reads until the connection ends.
-  void TakeToTheEnd(et::Peer & caller) {
-    stage.Until([&caller] {
-      caller.Take();
-      return caller.end() != et::PeerEnd::kOpen;
+  // Receives until the connection ends.
+  void ReceiveUntilEnd(et::RawSocket & caller) {
+    test_loop.WaitUntil([&caller] {
+      caller.Receive();
+      return caller.end() != et::ConnectionEnd::kOpen;
     });
   }
 
-  // Reads until `count` answers are whole.
-  std::vector<et::Answer> TakeAnswers(et::Peer & caller, std::size_t count) {
-    stage.Until([&caller, count] {
-      caller.Take();
-      return et::AnswersIn(caller.taken()).size() >= count ||
-             caller.end() != et::PeerEnd::kOpen;
+  // Receives until `count` answers are complete.
+  std::vector<et::Answer> ReceiveAnswers(et::RawSocket & caller,
+                                         std::size_t count) {
+    test_loop.WaitUntil([&caller, count] {
+      caller.Receive();
+      return et::ParseAnswers(caller.received()).size() >= count ||
+             caller.end() != et::ConnectionEnd::kOpen;
     });
-    return et::AnswersIn(caller.taken());
+    return et::ParseAnswers(caller.received());
   }
 
-  // One whole answer and a regular end, nothing else.
-  et::Answer OnlyAnswer(et::Peer & caller) {
-    TakeToTheEnd(caller);
+  // Receives until the end of the connection. Checks that there is exactly one
+  // answer and a regular end.
+  et::Answer ReceiveOnlyAnswer(et::RawSocket & caller) {
+    ReceiveUntilEnd(caller);
     std::string rest;
-    const auto answers = et::AnswersIn(caller.taken(), &rest);
-    CHECK(caller.end() == et::PeerEnd::kEnded);
+    const auto answers = et::ParseAnswers(caller.received(), &rest);
+    CHECK(caller.end() == et::ConnectionEnd::kEnded);
     LONGS_EQUAL(1, answers.size());
     LONGS_EQUAL(0, rest.size());
     return answers.empty() ? et::Answer{} : answers.front();
   }
 
-  // Sends `size` bytes and takes nothing meanwhile.
-  void SendMuch(et::Peer & caller, std::size_t size) {
+  // Sends `size` bytes without receiving meanwhile.
+  void SendBytes(et::RawSocket & caller, std::size_t size) {
     const std::string piece(65'536, 'x');
-    stage.Until([&] {
+    test_loop.WaitUntil([&] {
       const std::string_view next(piece.data(), std::min(size, piece.size()));
       size -= caller.SendSome(next);
-      return size == 0 || caller.end() != et::PeerEnd::kOpen;
+      return size == 0 || caller.end() != et::ConnectionEnd::kOpen;
     });
   }
 
-  // Longer than the server takes between two looks at times that are over.
-  void Sweep() {
-    for (int turn = 0; turn < 5; ++turn) stage.Settle();
+  // Runs the loop for longer than the interval of the server's timeout check.
+  void RunTimeoutCheck() {
+    for (int i = 0; i < 5; ++i) test_loop.Settle();
   }
 
-  void Move(std::chrono::milliseconds step) { ek::Advance(stage.clock, step); }
+  void AdvanceClock(std::chrono::milliseconds step) {
+    ek::Advance(test_loop.clock, step);
+  }
 };
 
-// A node that is about to end waits until its callers have their answers. A
-// caller on a slow link takes its answer in small pieces. If the node thought
-// too early that it had it, the caller would lose the rest.
-TEST(HttpServer, CountsAnAnswerUntilTheCallerTookItAndClosed) {
+// A stopping node waits until its answers are delivered. A caller on a slow
+// link receives its answer in small pieces. If the answer counted as delivered
+// too early, the node would end and the caller would lose the rest.
+TEST(HttpServer, AnAnswerIsUndeliveredUntilTheCallerCloses) {
   send_buffer = kSmallBuffer;
-  auto caller = Ask(Get("/", "Connection: close\r\n"), kSmallBuffer);
+  auto caller =
+      SendRequest(MakeGet("/", "Connection: close\r\n"), kSmallBuffer);
   calls[0]->Answer(200, "OK", {}, std::string(kLongAnswer, 'a'));
   LONGS_EQUAL(1, server->undelivered());
   bool counted = true;
-  stage.Until([&] {
-    caller->Take(10'000);
+  test_loop.WaitUntil([&] {
+    caller->Receive(10'000);
     if (server->undelivered() != 1) counted = false;
-    return caller->end() != et::PeerEnd::kOpen;
+    return caller->end() != et::ConnectionEnd::kOpen;
   });
   CHECK(counted);
-  const et::Answer answer = OnlyAnswer(*caller);
+  const et::Answer answer = ReceiveOnlyAnswer(*caller);
   LONGS_EQUAL(kLongAnswer, answer.body.size());
   LONGS_EQUAL(1, server->undelivered());
   caller->Close();
-  stage.Until([this] { return server->connections() == 0; });
+  test_loop.WaitUntil([this] { return server->connections() == 0; });
   LONGS_EQUAL(0, server->undelivered());
 }
 
-// A caller stops reading for some seconds while the rest of its answer is with
-// the node's kernel, then goes on. The node must not think that it has it all:
-// it would end, its VM would stop, and the rest would be lost.
-TEST(HttpServer, CountsAnAnswerThatWaitsInTheKernel) {
-  constexpr std::size_t kFitsTheKernel = 200'000;
+// A caller stops reading for some seconds while the rest of its answer is
+// buffered by the node's kernel, and then continues. If the answer counted as
+// delivered, the node would end, its VM would stop, and the rest would be lost.
+TEST(HttpServer, AnAnswerInTheKernelsBufferIsUndelivered) {
+  constexpr std::size_t kFitsSendBuffer = 200'000;
   send_buffer = 400'000;
-  auto caller = Ask(Get("/", "Connection: close\r\n"), kSmallBuffer);
-  calls[0]->Answer(200, "OK", {}, std::string(kFitsTheKernel, 'a'));
-  stage.Settle();
-  Move(3s);
-  Sweep();
+  auto caller =
+      SendRequest(MakeGet("/", "Connection: close\r\n"), kSmallBuffer);
+  calls[0]->Answer(200, "OK", {}, std::string(kFitsSendBuffer, 'a'));
+  test_loop.Settle();
+  AdvanceClock(3s);
+  RunTimeoutCheck();
   LONGS_EQUAL(1, server->undelivered());
-  const et::Answer answer = OnlyAnswer(*caller);
-  LONGS_EQUAL(kFitsTheKernel, answer.body.size());
+  const et::Answer answer = ReceiveOnlyAnswer(*caller);
+  LONGS_EQUAL(kFitsSendBuffer, answer.body.size());
   caller->Close();
-  stage.Until([this] { return server->undelivered() == 0; });
+  test_loop.WaitUntil([this] { return server->undelivered() == 0; });
 }
 
-// The caller never goes on. Its connection is given up after the time for
-// taking, so that it can't hold up a node that leaves.
-TEST(HttpServer, DropsACallerThatLeavesItsAnswerInTheKernel) {
+// A caller never reads the rest of its answer, which the node's kernel buffers.
+// Its connection is closed after the write timeout, so that it can't delay a
+// stopping node.
+TEST(HttpServer, DropsACallerThatNeverReadsTheKernelsBuffer) {
   send_buffer = 400'000;
-  auto caller = Ask(Get("/", "Connection: close\r\n"), kSmallBuffer);
+  auto caller =
+      SendRequest(MakeGet("/", "Connection: close\r\n"), kSmallBuffer);
   calls[0]->Answer(200, "OK", {}, std::string(200'000, 'a'));
-  stage.Settle();
-  Move(2s);
-  Sweep();
+  test_loop.Settle();
+  AdvanceClock(2s);
+  RunTimeoutCheck();
   LONGS_EQUAL(1, server->undelivered());
-  Move(31s);
-  stage.Until([this] { return server->connections() == 0; });
+  AdvanceClock(31s);
+  test_loop.WaitUntil([this] { return server->connections() == 0; });
   LONGS_EQUAL(0, server->undelivered());
 }
 
-// A node that leaves ends each connection with its answer. A caller with a
-// small receive buffer still has most of it to come at that moment and would
-// see a body that is too short.
-TEST(HttpServer, GivesTheWholeAnswerToASmallBufferWhileLeaving) {
-  auto caller = Ask(Get("/"), kSmallBuffer);
+// A stopping node closes each connection after its answer. With a small receive
+// buffer, most of the answer is not delivered at that moment. If the connection
+// were closed at once, the caller would get a truncated body.
+TEST(HttpServer, DeliversTheWholeAnswerBeforeClosing) {
+  auto caller = SendRequest(MakeGet("/"), kSmallBuffer);
   server->CloseAfterAnswers();
   calls[0]->Answer(200, "OK", {}, std::string(kManyBytes, 'a'));
-  const et::Answer answer = OnlyAnswer(*caller);
-  CHECK(SaysClose(answer));
+  const et::Answer answer = ReceiveOnlyAnswer(*caller);
+  CHECK(HasConnectionClose(answer));
   LONGS_EQUAL(kManyBytes, answer.body.size());
 }
 
-// A caller says that it will send no more (`nc -N`, some scripts do) and waits.
-// Its answer is written by then but a part of it still waits in the node. Taken
-// for a caller that left, it would get half of its answer.
-TEST(HttpServer, KeepsAnAnswerThatIsUnderWayWhenTheCallerEndsItsInput) {
+// A caller ends its output after the request (`nc -N` and some scripts do) and
+// waits. The answer is complete at that time, but a part of it is still
+// buffered in the node. If the caller were treated as gone, it would get a
+// truncated answer.
+TEST(HttpServer, DeliversAnAnswerInProgressAfterTheCallersEof) {
   send_buffer = kSmallBuffer;
-  auto caller = Ask(Get("/"), kSmallBuffer);
+  auto caller = SendRequest(MakeGet("/"), kSmallBuffer);
   calls[0]->Answer(200, "OK", {}, std::string(kLongAnswer, 'a'));
   caller->HalfClose();
-  stage.Settle();
-  const et::Answer answer = OnlyAnswer(*caller);
+  test_loop.Settle();
+  const et::Answer answer = ReceiveOnlyAnswer(*caller);
   LONGS_EQUAL(kLongAnswer, answer.body.size());
   caller->Close();
-  stage.Until([this] { return server->connections() == 0; });
+  test_loop.WaitUntil([this] { return server->connections() == 0; });
 }
 
-// The same with an answer that ends the connection.
-TEST(HttpServer, KeepsALastAnswerWhenTheCallerEndsItsInput) {
+// A caller ends its output while an answer is being delivered that closes the
+// connection. It must still get all of it.
+TEST(HttpServer, DeliversALastAnswerAfterTheCallersEof) {
   send_buffer = kSmallBuffer;
-  auto caller = Ask(Get("/", "Connection: close\r\n"), kSmallBuffer);
+  auto caller =
+      SendRequest(MakeGet("/", "Connection: close\r\n"), kSmallBuffer);
   calls[0]->Answer(200, "OK", {}, std::string(kLongAnswer, 'a'));
   caller->HalfClose();
-  stage.Settle();
-  const et::Answer answer = OnlyAnswer(*caller);
+  test_loop.Settle();
+  const et::Answer answer = ReceiveOnlyAnswer(*caller);
   LONGS_EQUAL(kLongAnswer, answer.body.size());
-  LONGS_EQUAL(0, gone);
+  LONGS_EQUAL(0, disconnects);
   caller->Close();
-  stage.Until([this] { return server->connections() == 0; });
+  test_loop.WaitUntil([this] { return server->connections() == 0; });
 }
 
-// A caller sends its request and ends its input before its answer is made. It
-// can't be told from one that left, and an endpoint must not go on working for
-// nobody: the request is given up once, and the connection closed at once, so
-// that a caller which did wait isn't left hanging.
-TEST(HttpServer, GivesUpACallerThatEndedItsInputBefore) {
-  auto caller = Ask(Get("/"));
+// A caller sends its request and ends its output before there is an answer. It
+// can't be distinguished from a caller that has left, for which an endpoint
+// must not go on working. The call is cancelled once, and the connection is
+// closed at once, so that a caller that does wait gets no timeout.
+TEST(HttpServer, CancelsACallIfTheCallerEndsItsOutputBeforeTheAnswer) {
+  auto caller = SendRequest(MakeGet("/"));
   caller->HalfClose();
-  stage.Until([this] { return gone == 1; });
-  CHECK(calls[0]->over());
-  TakeToTheEnd(*caller);
+  test_loop.WaitUntil([this] { return disconnects == 1; });
+  CHECK(calls[0]->finished());
+  ReceiveUntilEnd(*caller);
   calls[0]->Answer(200, "OK", {}, "late");
-  stage.Settle();
-  LONGS_EQUAL(1, gone);
+  test_loop.Settle();
+  LONGS_EQUAL(1, disconnects);
   LONGS_EQUAL(0, server->connections());
-  STRCMP_EQUAL("", caller->taken().c_str());
+  STRCMP_EQUAL("", caller->received().c_str());
 }
 
-// A caller that closes leaves. Its request is given up, so that no endpoint
-// works for nobody.
-TEST(HttpServer, TellsOnceThatACallerClosed) {
-  auto caller = Ask(Get("/"));
+// A caller closes its connection. Its call is cancelled, so that no endpoint
+// goes on working for it.
+TEST(HttpServer, ReportsACloseByTheCallerOnce) {
+  auto caller = SendRequest(MakeGet("/"));
   caller->Close();
-  stage.Until([this] { return gone == 1; });
-  CHECK(calls[0]->over());
+  test_loop.WaitUntil([this] { return disconnects == 1; });
+  CHECK(calls[0]->finished());
   calls[0]->Answer(200, "OK", {}, "late");
-  stage.Settle();
-  LONGS_EQUAL(1, gone);
+  test_loop.Settle();
+  LONGS_EQUAL(1, disconnects);
   LONGS_EQUAL(0, server->connections());
 }
 
-// A caller pipelines a second request after one whose answer ends the
-// connection. Closing with that request unread resets the connection, and the
-// caller loses the last bytes of the first answer.
-TEST(HttpServer, GivesTheLastAnswerWholeBeforeAPipelinedRequest) {
+// A caller pipelines a second request after one whose answer closes the
+// connection. A close while that request is unread would reset the connection,
+// and the caller would lose the last bytes of the first answer.
+TEST(HttpServer, DeliversTheLastAnswerInSpiteOfAPipelinedRequest) {
   send_buffer = kSmallBuffer;
-  auto caller =
-      Ask(Get("/1", "Connection: close\r\n") + Get("/2"), kSmallBuffer);
+  auto caller = SendRequest(
+      MakeGet("/1", "Connection: close\r\n") + MakeGet("/2"), kSmallBuffer);
   calls[0]->Answer(200, "OK", {}, std::string(kLongAnswer, 'a'));
-  const et::Answer answer = OnlyAnswer(*caller);
+  const et::Answer answer = ReceiveOnlyAnswer(*caller);
   LONGS_EQUAL(kLongAnswer, answer.body.size());
   LONGS_EQUAL(1, calls.size());
   caller->Close();
-  stage.Until([this] { return server->connections() == 0; });
+  test_loop.WaitUntil([this] { return server->connections() == 0; });
 }
 
-// A caller writes much more than its request and reads only when all is
-// written, as programs with one thread do. What it sends while its answer is
-// made waits in the node. If that stayed unread after the answer, the caller
-// could never finish writing, would be reset a second later and never see the
+// A caller writes much more than its request and reads only after it has
+// written everything, as single-threaded programs do. The node buffers what
+// arrives before the answer. If it did not read on after the answer, the caller
+// could not finish writing, would be reset a second later and never see the
 // answer.
-TEST(HttpServer, ReadsOnAfterALastAnswerWhateverWaits) {
-  auto caller = Ask(Get("/1", "Connection: close\r\n"));
+TEST(HttpServer, ReadsAndDiscardsInputAfterALastAnswer) {
+  auto caller = SendRequest(MakeGet("/1", "Connection: close\r\n"));
   const std::string piece(65'536, 'x');
-  for (int turn = 0; turn < 8; ++turn) {
+  for (int i = 0; i < 8; ++i) {
     caller->SendSome(piece);
-    stage.Settle();
+    test_loop.Settle();
   }
   calls[0]->Answer(200, "OK", {}, "done");
-  SendMuch(*caller, kManyBytes);
-  STRCMP_EQUAL("done", OnlyAnswer(*caller).body.c_str());
+  SendBytes(*caller, kManyBytes);
+  STRCMP_EQUAL("done", ReceiveOnlyAnswer(*caller).body.c_str());
 }
 
-// A caller writes more than a node reads ahead while its answer is made. The
-// rest has to wait; a node that tried again at once and for ever would use a
-// whole processor as long as the answer takes.
-TEST(HttpServer, RestsWhileTooMuchWaitsBehindARequest) {
-  auto caller = Ask(Get("/1") + Get("/2"));
+// A caller writes more than the node reads ahead before there is an answer. The
+// rest has to wait. A node that tried to read again and again would use a whole
+// processor core for as long as the answer takes.
+TEST(HttpServer, IsIdleWhileTheInputBufferIsFull) {
+  auto caller = SendRequest(MakeGet("/1") + MakeGet("/2"));
   const std::string piece(65'536, 'x');
-  for (int turn = 0; turn < 8; ++turn) {
+  for (int i = 0; i < 8; ++i) {
     caller->SendSome(piece);
-    stage.Settle();
+    test_loop.Settle();
   }
-  CHECK(stage.Rests());
+  CHECK(test_loop.IsIdle());
   calls[0]->Answer(200, "OK", {}, "first");
-  stage.Until([this] { return calls.size() == 2; });
-  CHECK(stage.Rests());
+  test_loop.WaitUntil([this] { return calls.size() == 2; });
+  CHECK(test_loop.IsIdle());
 }
 
-// A body is refused as too large while most of it is still being sent. The
-// caller reads when it has sent it all, and must see the refusal then, no
-// reset.
-TEST(HttpServer, GivesARefusalWholeBeforeTheRestOfTheBody) {
+// A body is refused as too large while most of it is still being sent. A caller
+// that reads only after it has sent the whole body must get the refusal and not
+// a reset.
+TEST(HttpServer, DeliversARefusalBeforeTheEndOfTheBody) {
   auto caller = Connect();
-  caller->Send(PostHead("/", kManyBytes));
-  SendMuch(*caller, kManyBytes);
-  const et::Answer answer = OnlyAnswer(*caller);
+  caller->Send(MakePostHead("/", kManyBytes));
+  SendBytes(*caller, kManyBytes);
+  const et::Answer answer = ReceiveOnlyAnswer(*caller);
   LONGS_EQUAL(413, answer.head.status);
-  CHECK(SaysClose(answer));
+  CHECK(HasConnectionClose(answer));
   LONGS_EQUAL(0, calls.size());
   LONGS_EQUAL(1, refused.size());
 }
 
-// A refused caller goes on sending and never closes. It may not keep the
-// connection for ever.
-TEST(HttpServer, EndsARefusedConnectionThatNeverCloses) {
+// A refused caller never closes its connection. It must not keep the connection
+// open forever.
+TEST(HttpServer, ClosesARefusedConnectionAfterATimeout) {
   auto caller = Connect();
-  caller->Send(PostHead("/", kManyBytes));
-  OnlyAnswer(*caller);
+  caller->Send(MakePostHead("/", kManyBytes));
+  ReceiveOnlyAnswer(*caller);
   LONGS_EQUAL(1, server->undelivered());
-  Move(1001ms);
-  stage.Until([this] { return server->connections() == 0; });
+  AdvanceClock(1001ms);
+  test_loop.WaitUntil([this] { return server->connections() == 0; });
   LONGS_EQUAL(0, server->undelivered());
 }
 
-// A node ends while a caller is in the middle of its head, its body, or waits
-// for its answer. All see the connection end and no answer; the request that
-// was being worked on is given up once.
-TEST(HttpServer, EndsAllConnectionsWithTheServer) {
+// The server is destroyed while callers are sending a head or a body or wait
+// for an answer. All of them see the end of the connection and no answer, and
+// the call in progress is cancelled once.
+TEST(HttpServer, DestructionClosesAllConnections) {
   auto in_head = Connect();
   in_head->Send("GET / HT");
   auto in_body = Connect();
-  in_body->Send(PostHead("/", 10) + "half");
-  auto waiting = Ask(Get("/"));
-  stage.Until([this] { return server->connections() == 3; });
-  stage.Settle();
+  in_body->Send(MakePostHead("/", 10) + "half");
+  auto waiting = SendRequest(MakeGet("/"));
+  test_loop.WaitUntil([this] { return server->connections() == 3; });
+  test_loop.Settle();
   server.reset();
-  for (et::Peer* caller : {in_head.get(), in_body.get(), waiting.get()}) {
-    TakeToTheEnd(*caller);
-    STRCMP_EQUAL("", caller->taken().c_str());
+  for (et::RawSocket* caller : {in_head.get(), in_body.get(), waiting.get()}) {
+    ReceiveUntilEnd(*caller);
+    STRCMP_EQUAL("", caller->received().c_str());
   }
-  LONGS_EQUAL(1, gone);
-  CHECK(calls[0]->over());
+  LONGS_EQUAL(1, disconnects);
+  CHECK(calls[0]->finished());
   calls[0]->Answer(200, "OK", {}, "late");
-  stage.Settle();
-  LONGS_EQUAL(1, gone);
+  test_loop.Settle();
+  LONGS_EQUAL(1, disconnects);
 }
 
-// A node begins to leave while a request is half sent. The caller sends the
-// rest, gets its answer, and learns with it that the connection ends.
-TEST(HttpServer, AnswersARequestThatWasHalfReadWhenItBeganToLeave) {
+// A node begins to stop while a caller is sending a request. The caller sends
+// the rest, and gets its answer with `Connection: close`.
+TEST(HttpServer, AnswersARequestThatWasIncompleteWhenTheStopBegan) {
   auto in_head = Connect();
   in_head->Send("GET /head HT");
   auto in_body = Connect();
-  in_body->Send(PostHead("/body", 8) + "half");
-  stage.Until([this] { return server->connections() == 2; });
-  stage.Settle();
+  in_body->Send(MakePostHead("/body", 8) + "half");
+  test_loop.WaitUntil([this] { return server->connections() == 2; });
+  test_loop.Settle();
   server->CloseAfterAnswers();
-  stage.Settle();
+  test_loop.Settle();
   LONGS_EQUAL(2, server->connections());
   in_head->Send("TP/1.1\r\nHost: h\r\n\r\n");
   in_body->Send("full");
-  stage.Until([this] { return calls.size() == 2; });
+  test_loop.WaitUntil([this] { return calls.size() == 2; });
   for (const auto& call : calls) {
     call->Answer(200, "OK", {}, call->request().target);
   }
-  const et::Answer head = OnlyAnswer(*in_head);
+  const et::Answer head = ReceiveOnlyAnswer(*in_head);
   STRCMP_EQUAL("/head", head.body.c_str());
-  CHECK(SaysClose(head));
-  const et::Answer body = OnlyAnswer(*in_body);
+  CHECK(HasConnectionClose(head));
+  const et::Answer body = ReceiveOnlyAnswer(*in_body);
   STRCMP_EQUAL("/body", body.body.c_str());
-  CHECK(SaysClose(body));
+  CHECK(HasConnectionClose(body));
 }
 
-// A caller keeps a connection open and idle while its node begins to leave. Its
-// next request is answered there, and the answer tells it to go elsewhere.
-TEST(HttpServer, AnswersOnAKeptConnectionWhileLeavingAndEndsIt) {
-  auto caller = Ask(Get("/1"));
+// A caller has an idle connection when its node begins to stop. Its next
+// request on that connection is answered with `Connection: close`.
+TEST(HttpServer, AnswersOnAnIdleConnectionWhileStoppingAndClosesIt) {
+  auto caller = SendRequest(MakeGet("/1"));
   calls[0]->Answer(200, "OK", {}, "first");
-  const auto first = TakeAnswers(*caller, 1);
+  const auto first = ReceiveAnswers(*caller, 1);
   LONGS_EQUAL(1, first.size());
-  CHECK_FALSE(SaysClose(first[0]));
+  CHECK_FALSE(HasConnectionClose(first[0]));
   server->CloseAfterAnswers();
-  stage.Settle();
+  test_loop.Settle();
   LONGS_EQUAL(1, server->connections());
-  caller->Send(Get("/2"));
-  stage.Until([this] { return calls.size() == 2; });
+  caller->Send(MakeGet("/2"));
+  test_loop.WaitUntil([this] { return calls.size() == 2; });
   calls[1]->Answer(200, "OK", {}, "second");
-  TakeToTheEnd(*caller);
-  CHECK(caller->end() == et::PeerEnd::kEnded);
-  const auto both = et::AnswersIn(caller->taken());
+  ReceiveUntilEnd(*caller);
+  CHECK(caller->end() == et::ConnectionEnd::kEnded);
+  const auto both = et::ParseAnswers(caller->received());
   LONGS_EQUAL(2, both.size());
   STRCMP_EQUAL("second", both[1].body.c_str());
-  CHECK(SaysClose(both[1]));
+  CHECK(HasConnectionClose(both[1]));
 }
 
-// An endpoint fails in the middle of a stream. The caller gets what was passed
-// on; the missing last chunk tells it that this isn't all.
-TEST(HttpServer, PassesOnWhatWasSentBeforeABreak) {
+// An endpoint fails in the middle of a stream. The caller gets all pieces sent
+// so far, and the missing last chunk shows that the answer is incomplete.
+TEST(HttpServer, DeliversWhatWasSentBeforeAnAbort) {
   send_buffer = kSmallBuffer;
-  auto caller = Ask(Get("/"), kSmallBuffer);
+  auto caller = SendRequest(MakeGet("/"), kSmallBuffer);
   calls[0]->Begin(200, "OK", {});
   const std::string piece(kLongAnswer, 'p');
   calls[0]->Send(piece);
   calls[0]->Break();
-  CHECK(calls[0]->over());
-  TakeToTheEnd(*caller);
-  CHECK(caller->end() == et::PeerEnd::kEnded);
+  CHECK(calls[0]->finished());
+  ReceiveUntilEnd(*caller);
+  CHECK(caller->end() == et::ConnectionEnd::kEnded);
   const std::string chunk = en::FormatChunk(piece);
-  const std::string& taken = caller->taken();
-  CHECK(taken.size() > chunk.size());
-  CHECK(taken.substr(taken.size() - chunk.size()) == chunk);
-  LONGS_EQUAL(0, et::AnswersIn(taken).size());
-  LONGS_EQUAL(0, gone);
+  const std::string& received = caller->received();
+  CHECK(received.size() > chunk.size());
+  CHECK(received.substr(received.size() - chunk.size()) == chunk);
+  LONGS_EQUAL(0, et::ParseAnswers(received).size());
+  LONGS_EQUAL(0, disconnects);
 }
 
-// The same for a caller of HTTP/1.0, for whom the end of the connection is the
-// end of the answer. A regular end would make half an answer look whole, so it
-// must see a reset.
-TEST(HttpServer, ResetsABrokenAnswerThatHasNoChunks) {
-  auto caller = Ask("GET / HTTP/1.0\r\nHost: h\r\n\r\n");
+// An endpoint fails in the middle of an answer to a caller of HTTP/1.0, for
+// whom the end of the connection is the end of the answer. After a regular end
+// the truncated answer would look complete, so that the connection must be
+// reset.
+TEST(HttpServer, ResetsTheConnectionOfAnAbortedAnswerWithoutChunks) {
+  auto caller = SendRequest("GET / HTTP/1.0\r\nHost: h\r\n\r\n");
   calls[0]->Begin(200, "OK", {});
   calls[0]->Send("half");
-  stage.Until([&caller] {
-    caller->Take();
-    return caller->taken().find("half") != std::string::npos;
+  test_loop.WaitUntil([&caller] {
+    caller->Receive();
+    return caller->received().find("half") != std::string::npos;
   });
   calls[0]->Break();
-  TakeToTheEnd(*caller);
-  CHECK(caller->end() == et::PeerEnd::kReset);
+  ReceiveUntilEnd(*caller);
+  CHECK(caller->end() == et::ConnectionEnd::kReset);
   LONGS_EQUAL(0, server->connections());
 }
 
-// The node itself ends in the middle of such an answer.
-TEST(HttpServer, ResetsAnAnswerWithoutChunksWhenTheServerEnds) {
-  auto caller = Ask("GET / HTTP/1.0\r\nHost: h\r\n\r\n");
+// The server is destroyed in the middle of an answer to a caller of HTTP/1.0.
+// The truncated answer must not look complete.
+TEST(HttpServer, ResetsTheConnectionOfAnAnswerWithoutChunksOnDestruction) {
+  auto caller = SendRequest("GET / HTTP/1.0\r\nHost: h\r\n\r\n");
   calls[0]->Begin(200, "OK", {});
   calls[0]->Send("half");
-  stage.Until([&caller] {
-    caller->Take();
-    return caller->taken().find("half") != std::string::npos;
+  test_loop.WaitUntil([&caller] {
+    caller->Receive();
+    return caller->received().find("half") != std::string::npos;
   });
   server.reset();
-  TakeToTheEnd(*caller);
-  CHECK(caller->end() == et::PeerEnd::kReset);
+  ReceiveUntilEnd(*caller);
+  CHECK(caller->end() == et::ConnectionEnd::kReset);
 }
 
-// A node that leaves stops taking connections. The callers it has are served
-// on; new ones are refused at once and go to another node.
-TEST(HttpServer, ServesConnectionsItHasAfterItStoppedListening) {
-  auto waiting = Ask(Get("/1"));
+// A stopping node accepts no more connections. Its open connections are still
+// served, and new ones are refused at once, so that their callers can use
+// another node.
+TEST(HttpServer, ServesOpenConnectionsAfterItStoppedListening) {
+  auto waiting = SendRequest(MakeGet("/1"));
   auto idle = Connect();
-  stage.Until([this] { return server->connections() == 2; });
+  test_loop.WaitUntil([this] { return server->connections() == 2; });
   server->StopListening();
   auto late = Connect();
-  CHECK(late->end() == et::PeerEnd::kReset);
+  CHECK(late->end() == et::ConnectionEnd::kReset);
   calls[0]->Answer(200, "OK", {}, "first");
-  LONGS_EQUAL(1, TakeAnswers(*waiting, 1).size());
-  idle->Send(Get("/2"));
-  stage.Until([this] { return calls.size() == 2; });
+  LONGS_EQUAL(1, ReceiveAnswers(*waiting, 1).size());
+  idle->Send(MakeGet("/2"));
+  test_loop.WaitUntil([this] { return calls.size() == 2; });
   calls[1]->Answer(200, "OK", {}, "second");
-  LONGS_EQUAL(1, TakeAnswers(*idle, 1).size());
+  LONGS_EQUAL(1, ReceiveAnswers(*idle, 1).size());
 }
 
-// A caller connected and sent its request while the node was busy for a moment,
-// so that its connection isn't accepted yet when the node stops listening. The
-// kernel took the request; dropped there, it is reset and the caller can't know
-// whether it ran.
-TEST(HttpServer, ServesAConnectionThatWaitedWhenItStoppedListening) {
+// A caller connects and sends its request while the node is busy, so that the
+// connection is still in the listen backlog when the node stops listening. If
+// it were dropped, the caller would see a reset after its request and couldn't
+// know whether it ran.
+TEST(HttpServer, ServesAConnectionInTheBacklogWhenItStopsListening) {
   auto caller = Connect();
-  caller->Send(Get("/"));
+  caller->Send(MakeGet("/"));
   server->StopListening();
-  stage.Until([this, &caller] {
-    caller->Take();
-    return calls.size() == 1 || caller->end() != et::PeerEnd::kOpen;
+  test_loop.WaitUntil([this, &caller] {
+    caller->Receive();
+    return calls.size() == 1 || caller->end() != et::ConnectionEnd::kOpen;
   });
   LONGS_EQUAL(1, calls.size());
   calls[0]->Answer(200, "OK", {}, "first");
-  LONGS_EQUAL(1, TakeAnswers(*caller, 1).size());
+  LONGS_EQUAL(1, ReceiveAnswers(*caller, 1).size());
 }
 
-// A caller's machine resets the connection in the middle of an answer. Whoever
-// makes the answer is told once, and nothing of the connection stays.
-TEST(HttpServer, TellsOnceThatACallerResetInAnAnswer) {
+// A caller resets the connection in the middle of an answer. The producer of
+// the answer is notified once, and the connection is freed.
+TEST(HttpServer, ReportsAResetWithinAnAnswerOnce) {
   send_buffer = kSmallBuffer;
-  auto caller = Ask(Get("/"), kSmallBuffer);
+  auto caller = SendRequest(MakeGet("/"), kSmallBuffer);
   calls[0]->Begin(200, "OK", {});
   calls[0]->Send(std::string(kLongAnswer, 'a'));
-  stage.Settle();
-  caller->Take(1000);
+  test_loop.Settle();
+  caller->Receive(1000);
   caller->Reset();
-  stage.Until([this] { return gone > 0; });
-  CHECK(calls[0]->over());
+  test_loop.WaitUntil([this] { return disconnects > 0; });
+  CHECK(calls[0]->finished());
   LONGS_EQUAL(0, calls[0]->UnsentBytes());
   calls[0]->Send("more");
   calls[0]->End();
-  stage.Settle();
-  LONGS_EQUAL(1, gone);
+  test_loop.Settle();
+  LONGS_EQUAL(1, disconnects);
   LONGS_EQUAL(0, server->connections());
   LONGS_EQUAL(0, server->undelivered());
   LONGS_EQUAL(1, calls[0].use_count());
 }
 
-// A caller falls silent in the middle of its answer. Its connection is given up
-// after the time for taking, and whoever makes the answer is told once.
-TEST(HttpServer, DropsACallerThatTakesNothing) {
+// A caller stops reading in the middle of its answer. Its connection is closed
+// after the write timeout, and the producer of the answer is notified once.
+TEST(HttpServer, DropsACallerThatReadsNothing) {
   en::ServerLimits limits;
   limits.write_timeout = 100ms;
   Start(limits);
   send_buffer = kSmallBuffer;
-  auto caller = Ask(Get("/"), kSmallBuffer);
+  auto caller = SendRequest(MakeGet("/"), kSmallBuffer);
   calls[0]->Begin(200, "OK", {});
   calls[0]->Send(std::string(kLongAnswer, 'a'));
-  stage.Until([this] { return gone > 0; });
-  stage.Settle();
-  LONGS_EQUAL(1, gone);
+  test_loop.WaitUntil([this] { return disconnects > 0; });
+  test_loop.Settle();
+  LONGS_EQUAL(1, disconnects);
   LONGS_EQUAL(0, server->connections());
 }
 
-// A caller sends three requests at once. Each is given on when the answer
-// before it is out, so that the answers can't change places.
+// A caller pipelines three requests. Each one is handled after the answer to
+// the previous one, so that the answers are in order.
 TEST(HttpServer, AnswersPipelinedRequestsInOrder) {
-  auto caller = Ask(Get("/1") + PostHead("/2", 3) + "abc" + Get("/3"));
+  auto caller = SendRequest(MakeGet("/1") + MakePostHead("/2", 3) + "abc" +
+                            MakeGet("/3"));
   for (std::size_t number = 1; number <= 3; ++number) {
-    stage.Until([this, number] { return calls.size() == number; });
-    stage.Settle();
+    test_loop.WaitUntil([this, number] { return calls.size() == number; });
+    test_loop.Settle();
     LONGS_EQUAL(number, calls.size());
     calls.back()->Answer(200, "OK", {}, calls.back()->request().target);
   }
-  const auto answers = TakeAnswers(*caller, 3);
+  const auto answers = ReceiveAnswers(*caller, 3);
   LONGS_EQUAL(3, answers.size());
   STRCMP_EQUAL("/1", answers[0].body.c_str());
   STRCMP_EQUAL("/2", answers[1].body.c_str());
@@ -546,65 +563,66 @@
   STRCMP_EQUAL("abc", calls[1]->request().body.c_str());
 }
 
-// A caller keeps a connection and asks nothing. It is closed after the idle
-// time, not before, and without an answer to a request that nobody sent.
+// An idle connection is closed after the idle timeout and not before, without
+// an answer, since there is no request.
 TEST(HttpServer, ClosesAnIdleConnection) {
-  auto caller = Ask(Get("/"));
+  auto caller = SendRequest(MakeGet("/"));
   calls[0]->Answer(200, "OK", {}, "first");
-  LONGS_EQUAL(1, TakeAnswers(*caller, 1).size());
-  Move(14'900ms);
-  Sweep();
+  LONGS_EQUAL(1, ReceiveAnswers(*caller, 1).size());
+  AdvanceClock(14'900ms);
+  RunTimeoutCheck();
   LONGS_EQUAL(1, server->connections());
-  Move(200ms);
-  OnlyAnswer(*caller);
+  AdvanceClock(200ms);
+  ReceiveOnlyAnswer(*caller);
   LONGS_EQUAL(0, server->connections());
   LONGS_EQUAL(0, refused.size());
 }
 
-// A caller sends a part of its head and stops. It is told that its request took
-// too long, and the connection ends.
+// A caller sends a part of its head and stops. It gets 408, and the connection
+// is closed.
 TEST(HttpServer, RefusesAHeadThatTakesTooLong) {
   auto caller = Connect();
   caller->Send("GET / HT");
-  stage.Until([this] { return server->connections() == 1; });
-  stage.Settle();
-  Move(2900ms);
-  Sweep();
+  test_loop.WaitUntil([this] { return server->connections() == 1; });
+  test_loop.Settle();
+  AdvanceClock(2900ms);
+  RunTimeoutCheck();
   LONGS_EQUAL(0, refused.size());
-  Move(200ms);
-  const et::Answer answer = OnlyAnswer(*caller);
+  AdvanceClock(200ms);
+  const et::Answer answer = ReceiveOnlyAnswer(*caller);
   LONGS_EQUAL(408, answer.head.status);
-  CHECK(SaysClose(answer));
+  CHECK(HasConnectionClose(answer));
   STRCMP_EQUAL(R"({"why":"the request took too long"})", answer.body.c_str());
   LONGS_EQUAL(1, refused.size());
   caller->Close();
-  stage.Until([this] { return server->connections() == 0; });
+  test_loop.WaitUntil([this] { return server->connections() == 0; });
 }
 
-// The same in the middle of a body, whose time counts from the end of its head.
+// A caller sends a part of its body and stops. It gets 408. The timeout begins
+// at the end of the head.
 TEST(HttpServer, RefusesABodyThatTakesTooLong) {
   auto caller = Connect();
-  caller->Send(PostHead("/", 10) + "half");
-  stage.Until([this] { return server->connections() == 1; });
-  stage.Settle();
-  Move(9900ms);
-  Sweep();
+  caller->Send(MakePostHead("/", 10) + "half");
+  test_loop.WaitUntil([this] { return server->connections() == 1; });
+  test_loop.Settle();
+  AdvanceClock(9900ms);
+  RunTimeoutCheck();
   LONGS_EQUAL(0, refused.size());
-  Move(200ms);
-  const et::Answer answer = OnlyAnswer(*caller);
+  AdvanceClock(200ms);
+  const et::Answer answer = ReceiveOnlyAnswer(*caller);
   LONGS_EQUAL(408, answer.head.status);
   STRCMP_EQUAL(R"({"why":"the body took too long"})", answer.body.c_str());
   LONGS_EQUAL(0, calls.size());
 }
 
-// An endpoint takes long for an answer. The times for requests don't count
-// meanwhile: a caller that waits is no idle one.
-TEST(HttpServer, KeepsACallerThatWaitsForItsAnswer) {
-  auto caller = Ask(Get("/"));
-  Move(60s);
-  Sweep();
+// An endpoint takes long for an answer. The timeouts for requests and idle
+// connections don't apply meanwhile.
+TEST(HttpServer, KeepsTheConnectionOfACallInProgress) {
+  auto caller = SendRequest(MakeGet("/"));
+  AdvanceClock(60s);
+  RunTimeoutCheck();
   calls[0]->Answer(200, "OK", {}, "slow");
-  const auto answers = TakeAnswers(*caller, 1);
+  const auto answers = ReceiveAnswers(*caller, 1);
   LONGS_EQUAL(1, answers.size());
   STRCMP_EQUAL("slow", answers[0].body.c_str());
 }
