--- a/net/include/egretladder/net/http_message.h
+++ b/net/include/egretladder/net/http_message.h
@@ -38,9 +38,10 @@
 /// Compares field names without regard to case.
 bool IsSameFieldName(std::string_view left, std::string_view right);
 /// Returns the value of the first field of that name, empty if there is none.
-std::string_view ValueOf(const HttpFields& fields, std::string_view name);
+std::string_view FirstFieldValue(const HttpFields& fields,
+                                 std::string_view name);
 /// Returns the number of fields of that name.
-std::size_t CountOf(const HttpFields& fields, std::string_view name);
+std::size_t CountFields(const HttpFields& fields, std::string_view name);
 /// Returns true for fields that apply to a single connection and are never
 /// forwarded (RFC 9110, section 7.6.1), including those of the framing.
 bool IsHopByHopField(std::string_view name);
--- a/net/include/egretladder/net/http_server.h
+++ b/net/include/egretladder/net/http_server.h
@@ -47,7 +47,7 @@
 
   /// Sets the action that is called once if the caller disconnects before the
   /// end of its answer. Replaces an earlier one.
-  void OnGone(std::function<void()> action) {
+  void OnDisconnect(std::function<void()> action) {
     on_disconnect_ = std::move(action);
   }
 
@@ -67,7 +67,7 @@
   /// Ends the answer regularly.
   void End();
   /// Closes the connection so that an incomplete answer doesn't look complete.
-  void Break();
+  void Abort();
 
   /// The head of an answer was sent by `Begin`.
   bool begun() const { return begun_; }
--- a/net/src/http_call.cc
+++ b/net/src/http_call.cc
@@ -58,7 +58,7 @@
   Finish(!chunked_ || MustClose());
 }
 
-void HttpCall::Break() {
+void HttpCall::Abort() {
   if (finished()) return;
   if (begun_ && chunked_) {
     // The pieces sent so far are still delivered. The missing last chunk shows
--- a/net/src/http_client_libevent.cc
+++ b/net/src/http_client_libevent.cc
@@ -32,7 +32,7 @@
 // Returns the timeout of a field such as `Keep-Alive: timeout=5, max=100`, or
 // 0.
 std::chrono::milliseconds ParseKeepAliveTimeout(const HttpFields& fields) {
-  const std::string_view value = ValueOf(fields, "Keep-Alive");
+  const std::string_view value = FirstFieldValue(fields, "Keep-Alive");
   constexpr std::string_view kName = "timeout=";
   const std::size_t at = value.find(kName);
   if (at == std::string_view::npos) return {};
--- a/net/src/http_message.cc
+++ b/net/src/http_message.cc
@@ -41,14 +41,15 @@
          strncasecmp(left.data(), right.data(), left.size()) == 0;
 }
 
-std::string_view ValueOf(const HttpFields& fields, std::string_view name) {
+std::string_view FirstFieldValue(const HttpFields& fields,
+                                 std::string_view name) {
   for (const HttpField& field : fields) {
     if (IsSameFieldName(field.name, name)) return field.value;
   }
   return {};
 }
 
-std::size_t CountOf(const HttpFields& fields, std::string_view name) {
+std::size_t CountFields(const HttpFields& fields, std::string_view name) {
   return static_cast<std::size_t>(std::count_if(
       fields.begin(), fields.end(), [name](const HttpField& field) {
         return IsSameFieldName(field.name, name);
--- a/net/src/http_reader_beast.cc
+++ b/net/src/http_reader_beast.cc
@@ -114,16 +114,18 @@
 // Checks what RFC 9112, sections 3.2 and 6.1, forbids and Beast accepts.
 // Returns the violation, or null.
 const char* FindHeadError(const HttpFields& fields, std::string_view target) {
-  if (CountOf(fields, "Host") != 1) return "not exactly one Host";
-  const std::size_t lengths = CountOf(fields, "Content-Length");
+  if (CountFields(fields, "Host") != 1) return "not exactly one Host";
+  const std::size_t lengths = CountFields(fields, "Content-Length");
   if (lengths > 1) return "two Content-Length";
-  if (lengths == 1 && !IsPlainNumber(ValueOf(fields, "Content-Length"))) {
+  if (lengths == 1 &&
+      !IsPlainNumber(FirstFieldValue(fields, "Content-Length"))) {
     return "a Content-Length that is no plain number";
   }
-  const std::size_t codings = CountOf(fields, "Transfer-Encoding");
+  const std::size_t codings = CountFields(fields, "Transfer-Encoding");
   if (codings > 1) return "two Transfer-Encoding";
   if (codings == 1) {
-    if (!IsSameFieldName(ValueOf(fields, "Transfer-Encoding"), "chunked")) {
+    if (!IsSameFieldName(FirstFieldValue(fields, "Transfer-Encoding"),
+                         "chunked")) {
       return "a Transfer-Encoding other than chunked";
     }
     if (lengths > 0) return "two framings";
@@ -219,7 +221,7 @@
 const std::string& RequestReader::detail() const { return state_->detail; }
 bool RequestReader::WantsContinue() const {
   return state_->state == ReadState::kBody &&
-         IsSameFieldName(ValueOf(state_->parser.fields, "Expect"),
+         IsSameFieldName(FirstFieldValue(state_->parser.fields, "Expect"),
                          "100-continue");
 }
 HttpRequest& RequestReader::request() { return state_->request; }
--- a/net/tests/http_reader_test.cc
+++ b/net/tests/http_reader_test.cc
@@ -65,7 +65,7 @@
   CHECK(slow.reader.state() == en::ReadState::kDone);
   STRCMP_EQUAL("abc", slow.reader.request().body.c_str());
   STRCMP_EQUAL("G", slow.rest.c_str());
-  LONGS_EQUAL(0, en::CountOf(slow.reader.request().fields, "Trailer"));
+  LONGS_EQUAL(0, en::CountFields(slow.reader.request().fields, "Trailer"));
 }
 
 // Request smuggling: a caller sends two lengths. If this node used one and the
--- a/net/tests/http_server_test.cc
+++ b/net/tests/http_server_test.cc
@@ -32,8 +32,8 @@
 }
 
 bool HasConnectionClose(const et::Answer& answer) {
-  return en::IsSameFieldName(en::ValueOf(answer.head.fields, "Connection"),
-                             "close");
+  return en::IsSameFieldName(
+      en::FirstFieldValue(answer.head.fields, "Connection"), "close");
 }
 
 }  // namespace
@@ -52,7 +52,7 @@
   void Start(const en::ServerLimits& limits) {
     en::ServerHandlers handlers;
     handlers.on_request = [this](const en::HttpCallPtr& call) {
-      call->OnGone([this] { ++disconnects; });
+      call->OnDisconnect([this] { ++disconnects; });
       calls.push_back(call);
     };
     handlers.on_refused = [this](int status, const std::string& /*why*/) {
@@ -426,7 +426,7 @@
   calls[0]->Begin(200, "OK", {});
   const std::string piece(kLongAnswer, 'p');
   calls[0]->Send(piece);
-  calls[0]->Break();
+  calls[0]->Abort();
   CHECK(calls[0]->finished());
   ReceiveUntilEnd(*caller);
   CHECK(caller->end() == et::ConnectionEnd::kEnded);
@@ -450,7 +450,7 @@
     caller->Receive();
     return caller->received().find("half") != std::string::npos;
   });
-  calls[0]->Break();
+  calls[0]->Abort();
   ReceiveUntilEnd(*caller);
   CHECK(caller->end() == et::ConnectionEnd::kReset);
   LONGS_EQUAL(0, server->connections());
