--- a/net/include/egretladder/net/event_splitter.h
+++ b/net/include/egretladder/net/event_splitter.h
@@ -14,7 +14,7 @@
 /// a caller had received a part of that event, another endpoint could not
 /// resume the stream, so that only complete events are passed on.
 struct EventSplitter {
-  std::string rest;               ///< Bytes of an incomplete event.
+  std::string incomplete_event;   ///< Bytes of an incomplete event.
   std::size_t scanned_bytes = 0;  ///< Bytes of `rest` in complete lines.
   std::string pending_id;         ///< Id of the incomplete event.
   std::string last_id;       ///< Id of the last complete event that had one.
--- a/net/src/event_splitter.cc
+++ b/net/src/event_splitter.cc
@@ -14,13 +14,15 @@
 }  // namespace
 
 std::string SplitEvents(EventSplitter& splitter, std::string_view bytes) {
-  splitter.rest.append(bytes);
+  splitter.incomplete_event.append(bytes);
   std::size_t whole = 0;
   while (true) {
-    const std::size_t end = splitter.rest.find('\n', splitter.scanned_bytes);
+    const std::size_t end =
+        splitter.incomplete_event.find('\n', splitter.scanned_bytes);
     if (end == std::string::npos) break;
-    std::string_view line(splitter.rest.data() + splitter.scanned_bytes,
-                          end - splitter.scanned_bytes);
+    std::string_view line(
+        splitter.incomplete_event.data() + splitter.scanned_bytes,
+        end - splitter.scanned_bytes);
     if (line.ends_with('\r')) line.remove_suffix(1);
     splitter.scanned_bytes = end + 1;
     if (!line.empty()) {
@@ -34,8 +36,8 @@
     }
     splitter.pending_id.clear();
   }
-  std::string events = splitter.rest.substr(0, whole);
-  splitter.rest.erase(0, whole);
+  std::string events = splitter.incomplete_event.substr(0, whole);
+  splitter.incomplete_event.erase(0, whole);
   splitter.scanned_bytes -= whole;
   return events;
 }
--- a/net/tests/event_splitter_test.cc
+++ b/net/tests/event_splitter_test.cc
@@ -18,7 +18,7 @@
   STRCMP_EQUAL("", en::SplitEvents(splitter, "ta: b\n").c_str());
   STRCMP_EQUAL("id: 2\ndata: b\n\n", en::SplitEvents(splitter, "\n").c_str());
   STRCMP_EQUAL("2", splitter.last_id.c_str());
-  LONGS_EQUAL(0, splitter.rest.size());
+  LONGS_EQUAL(0, splitter.incomplete_event.size());
 }
 
 TEST(EventSplitter, AcceptsBytesInAnyPiecesAndBothLineEnds) {
