--- a/net/include/egretladder/net/http_client.h
+++ b/net/include/egretladder/net/http_client.h
@@ -83,7 +83,7 @@
   /// Sends a request. No handler is called before this returns.
   HttpExchangePtr Start(ExchangeRequest request, ExchangeHandlers handlers);
   /// Number of connections opened so far.
-  std::uint64_t opened() const;
+  std::uint64_t connections_opened() const;
 
   /// Defined in the source file.
   struct State;
--- a/net/src/http_client_libevent.cc
+++ b/net/src/http_client_libevent.cc
@@ -58,7 +58,7 @@
 struct HttpClient::State : std::enable_shared_from_this<State> {
   kernel::Loop* loop = nullptr;
   std::unordered_map<std::string, std::vector<ConnectionPtr>> idle;
-  std::uint64_t opened = 0;
+  std::uint64_t connections_opened = 0;
 
   ConnectionPtr TakeIdle(const std::string& address, ConnectionReuse reuse);
   void AddIdle(ConnectionPtr connection);
@@ -170,7 +170,7 @@
     connection_->buffer.reset(bufferevent_socket_new(
         client_->loop->base.get(), -1, BEV_OPT_CLOSE_ON_FREE));
     SetCallbacks();
-    ++client_->opened;
+    ++client_->connections_opened;
     if (!target ||
         bufferevent_socket_connect(connection_->buffer.get(), target->get(),
                                    target->size) != 0) {
@@ -364,6 +364,8 @@
   return exchange;
 }
 
-std::uint64_t HttpClient::opened() const { return state_->opened; }
+std::uint64_t HttpClient::connections_opened() const {
+  return state_->connections_opened;
+}
 
 }  // namespace egretladder::net
--- a/net/tests/http_client_test.cc
+++ b/net/tests/http_client_test.cc
@@ -131,7 +131,7 @@
   WaitUntilFinished(second);
   LONGS_EQUAL(1, second.ends);
   STRCMP_EQUAL("second", second.body.c_str());
-  LONGS_EQUAL(1, client->opened());
+  LONGS_EQUAL(1, client->connections_opened());
 }
 
 // A caller leaves while the body of its request is being sent. The connection
@@ -154,7 +154,7 @@
   other->Send(MakeAnswer("second"));
   WaitUntilFinished(second);
   LONGS_EQUAL(1, second.ends);
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
   CHECK_FALSE(first.finished());
 }
 
@@ -199,7 +199,7 @@
   other->Send(MakeAnswer("second"));
   WaitUntilFinished(second);
   LONGS_EQUAL(1, second.ends);
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
 }
 
 // An endpoint refuses a request after its head and closes at once, so that the
@@ -229,7 +229,7 @@
   other->Send(MakeAnswer("second"));
   WaitUntilFinished(second);
   LONGS_EQUAL(1, second.ends);
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
 }
 
 // The node's kernel has received the close of an idle connection, but the node
@@ -386,7 +386,7 @@
   other->Send(MakeAnswer("second"));
   WaitUntilFinished(second);
   STRCMP_EQUAL("second", second.body.c_str());
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
 }
 
 // The node's kernel has received extra bytes on an idle connection, but the
@@ -433,7 +433,7 @@
   ReceiveHead(*other);
   other->Send(MakeAnswer("third", "Keep-Alive: timeout=5\r\n"));
   WaitUntilFinished(third);
-  LONGS_EQUAL(2, client->opened());
+  LONGS_EQUAL(2, client->connections_opened());
   ek::Advance(test_loop.clock, 3100ms);
   Outcome fourth;
   Start(fourth, "/fourth");
@@ -442,5 +442,5 @@
   last->Send(MakeAnswer("fourth"));
   WaitUntilFinished(fourth);
   LONGS_EQUAL(1, fourth.ends);
-  LONGS_EQUAL(3, client->opened());
+  LONGS_EQUAL(3, client->connections_opened());
 }
