--- a/gateway/main/front_calls.cc
+++ b/gateway/main/front_calls.cc
@@ -38,12 +38,12 @@
  public:
   Stop(ek::Loop& loop, eg::Gateway& gateway, const eg::NodeConfig& config)
       : loop_(loop), gateway_(gateway) {
-    plan_.addresses_kept = config.gateway.linger;
+    plan_.address_ttl = config.gateway.linger;
     plan_.grace = config.stop_time;
     plan_.cut_margin = eg::kStopMargin;
     for (std::size_t i = 0; i < signals_.size(); ++i) {
-      signals_[i] = ek::OnSignal(loop, i == 0 ? SIGTERM : SIGINT,
-                                 [this] { OnStopSignal(); });
+      signals_[i] = ek::RunOnSignal(loop, i == 0 ? SIGTERM : SIGINT,
+                                    [this] { OnStopSignal(); });
     }
   }
 
@@ -66,19 +66,19 @@
     began_ = ek::Now(loop_.clock);
     Say(ek::LogLevel::kInfo,
         "Leaving: calls in progress end first. Staying for " +
-            std::to_string(plan_.addresses_kept.count()) +
+            std::to_string(plan_.address_ttl.count()) +
             " ms at least, for callers that still keep "
             "this address.");
     eg::Leave(gateway_);
-    look_ = ek::Every(loop_, kIdleCheck, [this] { Look(); });
+    look_ = ek::RunEvery(loop_, kIdleCheck, [this] { Look(); });
   }
 
   void Look() {
-    const ep::StopPhase phase = ep::PhaseOf(plan_, Since());
+    const ep::StopPhase phase = ep::GetStopPhase(plan_, Since());
     if (phase >= ep::StopPhase::kCutting) Cut("the time was up");
     const bool answered =
-        cut_ ? eg::IsAnswered(gateway_) : eg::MayEnd(gateway_);
-    if (!ep::MayExit(phase, answered)) return;
+        cut_ ? eg::IsAnswered(gateway_) : eg::CanShutDown(gateway_);
+    if (!ep::CanExit(phase, answered)) return;
     if (!cut_) Say(ek::LogLevel::kInfo, "Left: no call was cut.");
     ek::StopLoop(loop_);
   }
@@ -98,8 +98,8 @@
   ek::Time began_{};
   bool leaving_ = false;
   bool cut_ = false;
-  std::array<ek::Watch, 2> signals_;
-  ek::Watch look_;
+  std::array<ek::EventWatcher, 2> signals_;
+  ek::EventWatcher look_;
 };
 
 // Each call takes two descriptors, and many systems start processes with 1,024.
@@ -116,9 +116,9 @@
 }
 
 int Run(const eg::NodeConfig& config) {
-  ek::StartLogs(config.log_format, config.log_level);
+  ek::StartLogging(config.log_format, config.log_level);
   RaiseDescriptorLimit(config.gateway.limits);
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   auto gateway = eg::StartGateway(loop, config.gateway);
   if (!gateway) {
     Say(ek::LogLevel::kError, ek::Describe(gateway.error()));
--- a/gateway/main/front_hosts.cc
+++ b/gateway/main/front_hosts.cc
@@ -45,10 +45,10 @@
         proxy_(proxy),
         text_(std::move(text)),
         path_(std::move(path)) {
-    stop_ = ek::OnSignal(loop, SIGTERM, [this] { Stop(); });
-    interrupt_ = ek::OnSignal(loop, SIGINT, [this] { Stop(); });
-    reload_ = ek::OnSignal(loop, SIGHUP, [this] { Reload("signal"); });
-    look_ = ek::Every(loop, kSettingsCheck, [this] { Reload("file"); });
+    stop_ = ek::RunOnSignal(loop, SIGTERM, [this] { Stop(); });
+    interrupt_ = ek::RunOnSignal(loop, SIGINT, [this] { Stop(); });
+    reload_ = ek::RunOnSignal(loop, SIGHUP, [this] { Reload("signal"); });
+    look_ = ek::RunEvery(loop, kSettingsCheck, [this] { Reload("file"); });
   }
 
  private:
@@ -57,11 +57,11 @@
     leaving_ = true;
     Say(ek::LogLevel::kInfo, "leaving", {{"calls", ep::ViewOf(proxy_).calls}});
     ep::Leave(proxy_);
-    end_ = ek::Every(loop_, kEndCheck, [this] {
-      if (!ep::MayEnd(proxy_)) return;
+    end_ = ek::RunEvery(loop_, kEndCheck, [this] {
+      if (!ep::CanShutDown(proxy_)) return;
       Say(ek::LogLevel::kInfo, "left",
           {{"calls_cut", ep::ViewOf(proxy_).cut},
-           {"answers_untaken", ep::ViewOf(proxy_).untaken}});
+           {"answers_untaken", ep::ViewOf(proxy_).undelivered}});
       ek::StopLoop(loop_);
     });
   }
@@ -92,18 +92,18 @@
   std::string text_;
   std::string path_;
   bool leaving_ = false;
-  ek::Watch stop_;
-  ek::Watch interrupt_;
-  ek::Watch reload_;
-  ek::Watch look_;
-  ek::Watch end_;
+  ek::EventWatcher stop_;
+  ek::EventWatcher interrupt_;
+  ek::EventWatcher reload_;
+  ek::EventWatcher look_;
+  ek::EventWatcher end_;
 };
 
 int Run(const ep::ProxyConfig& config, const std::string& text,
         const std::string& path) {
   std::signal(SIGPIPE, SIG_IGN);
   RaiseDescriptorLimit();
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   loop.clock = ek::SuspendAwareClock();
   ek::StartEventLog(STDOUT_FILENO, config.log_level, loop.clock);
   auto proxy = ep::StartProxy(loop, config.proxy);
--- a/gateway/tests/harness.cc
+++ b/gateway/tests/harness.cc
@@ -37,8 +37,8 @@
 }  // namespace
 
 TestLoop::TestLoop() {
-  loop = kernel::OpenLoop();
-  loop.clock = kernel::ViewOf(clock);
+  loop = kernel::CreateLoop();
+  loop.clock = kernel::ClockOf(clock);
 }
 
 bool RunUntil(TestLoop& loop, const std::function<bool()>& happened) {
--- a/kernel/tests/kernel_test.cc
+++ b/kernel/tests/kernel_test.cc
@@ -19,8 +19,8 @@
 TEST_GROUP(Time){};
 
 TEST(Time, PausedClockMovesOnlyWhenAdvanced) {
-  ek::PausedClock paused;
-  const ek::Clock clock = ek::ViewOf(paused);
+  ek::ManualClock paused;
+  const ek::Clock clock = ek::ClockOf(paused);
   const ek::Time before = ek::Now(clock);
   ek::Advance(paused, 3s);
   CHECK(ek::Now(clock) - before == 3s);
@@ -77,7 +77,7 @@
 TEST(Settings, FillsStandardValues) {
   const auto read = ek::ReadSettings("[node]\nname = n1\n", "n.ini", specs_);
   CHECK_TRUE(read.has_value());
-  CHECK_EQUAL(4ULL << 20U, ek::BytesOf(read.value(), "limits", "body"));
+  CHECK_EQUAL(4ULL << 20U, ek::GetBytes(read.value(), "limits", "body"));
 }
 
 TEST(Settings, NamesEveryFaultWithItsLine) {
@@ -165,20 +165,22 @@
 TEST(Hash, SignatureDependsOnKeyAndText) {
   const std::string signature = ek::Sign("key", "text");
   CHECK_EQUAL(64U, signature.size());
-  CHECK_TRUE(ek::SameSignature(signature, ek::Sign("key", "text")));
-  CHECK_FALSE(ek::SameSignature(signature, ek::Sign("key", "other")));
-  CHECK_FALSE(ek::SameSignature(signature, ""));
+  CHECK_TRUE(ek::IsSameSignature(signature, ek::Sign("key", "text")));
+  CHECK_FALSE(ek::IsSameSignature(signature, ek::Sign("key", "other")));
+  CHECK_FALSE(ek::IsSameSignature(signature, ""));
 }
 
 TEST_GROUP(Loop){};
 
 TEST(Loop, AWatchThatIsDroppedNeverFires) {
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   bool fired = false;
   {
-    const ek::Watch dropped = ek::After(loop, 0ms, [&] { fired = true; });
+    const ek::EventWatcher dropped =
+        ek::RunAfter(loop, 0ms, [&] { fired = true; });
   }
-  const ek::Watch stop = ek::After(loop, 1ms, [&] { ek::StopLoop(loop); });
+  const ek::EventWatcher stop =
+      ek::RunAfter(loop, 1ms, [&] { ek::StopLoop(loop); });
   ek::RunLoop(loop);
   CHECK_FALSE(fired);
 }
--- a/lab/src/command_status.cc
+++ b/lab/src/command_status.cc
@@ -18,7 +18,7 @@
 /// Asks all nodes at once. One that does not answer keeps empty JSON.
 std::vector<NodeStatus> AskAll(const std::vector<Address>& addresses,
                                const std::vector<std::string>& names) {
-  kernel::Loop loop = kernel::OpenLoop();
+  kernel::Loop loop = kernel::CreateLoop();
   HttpClient http(loop, addresses.size(), kAnswerTime);
   std::vector<NodeStatus> nodes(addresses.size());
   std::size_t left = addresses.size();
@@ -32,8 +32,8 @@
     };
     http.Send(addresses[i], std::move(call));
   }
-  const kernel::Watch end =
-      kernel::After(loop, kAnswerTime, [&loop] { kernel::StopLoop(loop); });
+  const kernel::EventWatcher end =
+      kernel::RunAfter(loop, kAnswerTime, [&loop] { kernel::StopLoop(loop); });
   kernel::RunLoop(loop);
   return nodes;
 }
--- a/lab/src/stand_in_engine.cc
+++ b/lab/src/stand_in_engine.cc
@@ -43,7 +43,7 @@
   FaultState faults;
   std::map<EngineCallId, Answering> calls;
   EngineCallId next_call = 1;
-  kernel::Watch step;
+  kernel::EventWatcher step;
 };
 
 void ScheduleStep(Engine& engine);
@@ -95,14 +95,14 @@
 void ScheduleStep(Engine& engine) {
   const auto end = NextStepEnd(engine.model);
   if (!end) {
-    engine.step = kernel::Watch();
+    engine.step = kernel::EventWatcher();
     return;
   }
   const auto wait = std::chrono::ceil<std::chrono::milliseconds>(
       *end - kernel::Now(engine.loop.clock));
-  engine.step =
-      kernel::After(engine.loop, std::max(wait, std::chrono::milliseconds(0)),
-                    [&engine] { RunSteps(engine); });
+  engine.step = kernel::RunAfter(engine.loop,
+                                 std::max(wait, std::chrono::milliseconds(0)),
+                                 [&engine] { RunSteps(engine); });
 }
 
 void RefuseUnrun(evhttp_request* request, const char* why) {
@@ -227,7 +227,8 @@
   app.add_option("--listen", options.listen, "loopback IP:port")->required();
   app.add_option("--models", engine.models, "loaded at start; none: any")
       ->delimiter(',');
-  app.add_option("--holds", engine.holds, "models in memory; 0: no limit");
+  app.add_option("--holds", engine.max_loaded_models,
+                 "models in memory; 0: no limit");
   app.add_option("--max-batch", engine.max_batch, "calls in one step");
   app.add_option("--max-waiting", engine.max_waiting, "beyond: refused unrun");
   app.add_option("--step-ms", times.step_ms, "time of an empty step");
@@ -241,7 +242,7 @@
   app.add_option("--cold-factor", engine.cold_factor, "slower when cold");
   app.add_option("--warm-tokens", engine.warm_tokens,
                  "generated until warm; 0: starts warm");
-  app.add_option("--cold-bears", engine.cold_bears,
+  app.add_option("--cold-bears", engine.cold_max_in_flight,
                  "calls in progress, cold, before it falls over; 0: never");
   app.add_option("--report-lag-ms", times.report_lag_ms, "of GET /report");
   app.add_flag("--ignores-fencing", times.ignores_fencing,
@@ -281,16 +282,16 @@
       "  curl 127.0.0.1:9101/counts");
   if (const auto code = ParseCommand(app, args, streams)) return *code;
   ApplyTimes(times, options.engine);
-  kernel::Loop loop = kernel::OpenLoop();
+  kernel::Loop loop = kernel::CreateLoop();
   Engine engine{loop,
                 options,
-                StartEngine(options.engine, kernel::SecretBits() >> 16U,
+                StartEngine(options.engine, kernel::SecureRandom64() >> 16U,
                             kernel::Now(loop.clock)),
                 {{}, kernel::Random(options.seed)},
                 {},
                 1,
                 {}};
-  const kernel::Watch reports = kernel::Every(
+  const kernel::EventWatcher reports = kernel::RunEvery(
       loop, options.engine.report_period,
       [&engine] { ReportOf(engine.model, kernel::Now(engine.loop.clock)); });
   return ServeUntilSignalled(
--- a/lab/src/stand_in_service.cc
+++ b/lab/src/stand_in_service.cc
@@ -28,7 +28,7 @@
 
 struct PendingCall {
   std::unique_ptr<OpenCall> call;
-  kernel::Watch timer;
+  kernel::EventWatcher timer;
 };
 
 struct Service {
@@ -106,7 +106,7 @@
       fault == FaultKind::kSlow ? service.faults.fault.factor : 1.0;
   const auto delay = std::chrono::milliseconds(
       static_cast<std::int64_t>(service.options.delay_ms * factor));
-  pending.timer = kernel::After(
+  pending.timer = kernel::RunAfter(
       service.loop, delay,
       [&service, number, fault, answer = AnswerOf(service, key, run)] {
         Finish(service, number, fault, answer);
@@ -140,7 +140,7 @@
       "  curl 127.0.0.1:9201/control -d '{\"fault\":\"half\",\"share\":0.1}'\n"
       "  curl 127.0.0.1:9201/counts?keys=1");
   if (const auto code = ParseCommand(app, args, streams)) return *code;
-  kernel::Loop loop = kernel::OpenLoop();
+  kernel::Loop loop = kernel::CreateLoop();
   Service service{loop, options, {}, {{}, kernel::Random(options.seed)}, {}, 1};
   return ServeUntilSignalled(
       loop, {options.listen},
--- a/policy/tests/decisions_test.cc
+++ b/policy/tests/decisions_test.cc
@@ -6,10 +6,10 @@
 #include <string>
 
 #include "egretladder/policy/admit.h"
+#include "egretladder/policy/aging_quota.h"
 #include "egretladder/policy/health.h"
 #include "egretladder/policy/pick.h"
-#include "egretladder/policy/shift.h"
-#include "egretladder/policy/trickle.h"
+#include "egretladder/policy/zone_ramp.h"
 #include "load_model.h"
 
 using namespace std::chrono_literals;
@@ -17,7 +17,7 @@
 namespace ek = egretladder::kernel;
 
 TEST_GROUP(Decisions) {
-  ek::PausedClock clock_;
+  ek::ManualClock clock_;
   ep::Limits limits_;
 };
 
@@ -101,7 +101,7 @@
     if (ep::MayTrickle(trickle, 10, limits_)) ++trickle.running;
   }
   const double share = busy / (10.0 * 10'000);
-  DOUBLES_EQUAL(limits_.trickle_share, share, limits_.trickle_share * 0.1);
+  DOUBLES_EQUAL(limits_.aging_share, share, limits_.aging_share * 0.1);
 }
 
 // An endpoint answers 5 times slower and reports health. Callers sent there
@@ -114,7 +114,7 @@
   }
   CHECK(change == ep::HealthChange::kLeftAlone);
   CHECK_FALSE(ep::IsProbeDue(health, clock_.now));
-  ek::Advance(clock_, limits_.probe_every);
+  ek::Advance(clock_, limits_.probe_interval);
   CHECK_TRUE(ep::IsProbeDue(health, clock_.now));
   for (std::uint32_t i = 0; i < limits_.probes_to_trust; ++i) {
     change = ep::OnFirstTokenTook(health, 500ms, 500ms, limits_, clock_.now);
@@ -147,7 +147,7 @@
 // all nodes run to an endpoint that was idle then.
 TEST(Decisions, OldReportsCountLess) {
   ep::EndpointLoad load;
-  load.slots = load.bears = 8;
+  load.slots = load.max_in_flight = 8;
   load.reported_load = 8;
   load.reported_at = clock_.now;
   const double fresh = ep::ScoreOf(load, limits_, clock_.now);
@@ -172,7 +172,7 @@
 // An endpoint leaves. If prefixes moved between the others as well, every cache
 // would be cold at once.
 TEST(Decisions, PrefixHomesMoveLittleWhenAnEndpointLeaves) {
-  ep::load::Load load;
+  ep::load::Workload load;
   const auto rules = ep::load::MakeRules(load, 1, {});
   std::vector<ep::EndpointHandle> servers;
   for (std::uint32_t i = 0; i < 12; ++i) servers.push_back({i});
@@ -182,7 +182,7 @@
   std::vector<ep::EndpointHandle> before;
   std::vector<ep::EndpointHandle> after;
   for (int i = 0; i < 1000; ++i) {
-    const std::uint64_t prefix = ek::HashOf(std::to_string(i));
+    const std::uint64_t prefix = ek::HashBytes(std::to_string(i));
     ep::HomesOf(all, prefix, 1, before);
     ep::HomesOf(fewer, prefix, 1, after);
     if (before[0].idx != 11) CHECK_TRUE(before == after);
@@ -198,9 +198,9 @@
   ep::OnZone(shift, true, clock_.now);
   DOUBLES_EQUAL(0.0, ep::PartOf(shift, limits_, clock_.now), 0.0);
   ep::OnZone(shift, false, clock_.now);
-  DOUBLES_EQUAL(limits_.shift_start, ep::PartOf(shift, limits_, clock_.now),
-                0.001);
-  CHECK_EQUAL(1U, ep::SlotsUnder(limits_.shift_start, 8));
-  ek::Advance(clock_, 3 * limits_.shift_doubling);
+  DOUBLES_EQUAL(limits_.zone_ramp_initial_ratio,
+                ep::PartOf(shift, limits_, clock_.now), 0.001);
+  CHECK_EQUAL(1U, ep::SlotsUnder(limits_.zone_ramp_initial_ratio, 8));
+  ek::Advance(clock_, 3 * limits_.zone_ramp_doubling_time);
   DOUBLES_EQUAL(1.0, ep::PartOf(shift, limits_, clock_.now), 0.001);
 }
--- a/policy/tests/ladder_random_test.cc
+++ b/policy/tests/ladder_random_test.cc
@@ -31,11 +31,11 @@
 
 struct Model {
   ek::Random random;
-  ek::PausedClock clock;
+  ek::ManualClock clock;
   const ep::SchedulerPlugin* plugin =
       ek::FindPlugin<ep::SchedulerPlugin>("ladder");
   std::unique_ptr<ep::SchedulerState> state;
-  ep::load::Load load;
+  ep::load::Workload load;
   std::map<ep::RequestId, ep::Request> waiting;
   std::map<ep::RequestId, std::uint32_t> running;  // Endpoint.
   std::array<std::uint32_t, kEndpoints> slots{};
@@ -47,14 +47,14 @@
 
   explicit Model(std::uint64_t seed) : random(seed) {
     load.fleet = {2, kEndpoints, 3, 1, 4};
-    load.classes = ep::load::AbayClasses();
+    load.classes = ep::load::SampleClasses();
     // Only caps and room decide here; time and the trickle have other tests.
     ep::Limits limits;
-    limits.waiting_most = kWaitingMost;
+    limits.max_queue_length = kWaitingMost;
     limits.refuse_early = false;
     limits.reserve_factor = 0;
-    limits.trickle_share = 0;
-    limits.shift_start = 1;
+    limits.aging_share = 0;
+    limits.zone_ramp_initial_ratio = 1;
     limits.slow_ratio = 0;
     limits.failures_in_row = 1'000'000;
     state = plugin->create({ep::ZoneHandle{0}, seed, limits});
@@ -161,8 +161,9 @@
   void Arrive() {
     ep::Request request;
     request.id = ++next;
-    request.cls.idx = static_cast<std::uint32_t>(ek::Below(random, 4));
-    request.account.idx = static_cast<std::uint32_t>(ek::Below(random, 4));
+    request.cls.idx = static_cast<std::uint32_t>(ek::RandomBelow(random, 4));
+    request.account.idx =
+        static_cast<std::uint32_t>(ek::RandomBelow(random, 4));
     request.target.idx = 0;
     request.arrived = clock.now;
     request.deadline = clock.now + load.classes[request.cls.idx].first_token;
@@ -182,35 +183,36 @@
   void EndOne() {
     if (running.empty()) return;
     auto it = running.begin();
-    std::advance(
-        it, static_cast<std::ptrdiff_t>(ek::Below(random, running.size())));
+    std::advance(it, static_cast<std::ptrdiff_t>(
+                         ek::RandomBelow(random, running.size())));
     const ep::RequestId id = it->first;
     running.erase(it);
     constexpr std::array kKinds = {ep::EndKind::kDone, ep::EndKind::kFailed,
                                    ep::EndKind::kNotRun,
                                    ep::EndKind::kCancelled};
-    plugin->on_end(*state, id, kKinds[ek::Below(random, kKinds.size())],
+    plugin->on_end(*state, id, kKinds[ek::RandomBelow(random, kKinds.size())],
                    clock.now, out);
   }
 
   void Step() {
     const auto endpoint =
-        static_cast<std::uint32_t>(ek::Below(random, kEndpoints));
-    switch (ek::Below(random, 16)) {
+        static_cast<std::uint32_t>(ek::RandomBelow(random, kEndpoints));
+    switch (ek::RandomBelow(random, 16)) {
       case 0:
-        slots[endpoint] = static_cast<std::uint32_t>(ek::Below(random, 4));
+        slots[endpoint] =
+            static_cast<std::uint32_t>(ek::RandomBelow(random, 4));
         return plugin->on_slots(*state, {endpoint}, slots[endpoint], clock.now,
                                 out);
       case 1:
-        available[endpoint] = ek::Below(random, 3) > 0;
+        available[endpoint] = ek::RandomBelow(random, 3) > 0;
         return plugin->on_available(*state, {endpoint}, available[endpoint],
                                     clock.now, out);
       case 2:
-        zone_out = static_cast<std::uint32_t>(ek::Below(random, 6));
+        zone_out = static_cast<std::uint32_t>(ek::RandomBelow(random, 6));
         return SetRules();
       case 3:
         if (waiting.empty()) return;
-        plugin->on_gone(*state, waiting.begin()->first, clock.now);
+        plugin->on_caller_gone(*state, waiting.begin()->first, clock.now);
         waiting.erase(waiting.begin());
         return;
       case 4:
--- a/policy/tests/load_engine.h
+++ b/policy/tests/load_engine.h
@@ -15,15 +15,15 @@
 
 /// What an attempt will do that starts now.
 struct Course {
-  bool fails = false;  ///< A cold engine that has more than it bears.
-  Span first{0};       ///< From the start to the first token.
-  Span token{0};       ///< From one token to the next.
+  bool fails = false;      ///< A cold engine that has more than it bears.
+  DoubleSeconds first{0};  ///< From the start to the first token.
+  DoubleSeconds token{0};  ///< From one token to the next.
 };
 
 /// A larger batch makes each of its answers slower.
 inline double Crowding(const Engine& engine, const FleetSpec& fleet) {
   const double load = engine.in_flight + engine.others;
-  return 0.7 + 0.3 * load / fleet.bears;
+  return 0.7 + 0.3 * load / fleet.max_in_flight;
 }
 
 /// Notes the prefix in the cache. Returns the part of the work that is left.
@@ -41,8 +41,8 @@
 inline bool FallsOver(const Engine& engine, const FleetSpec& fleet) {
   if (engine.cold_answers == 0) return false;
   const std::uint32_t answered = kAnswersToWarm - engine.cold_answers;
-  return engine.in_flight > fleet.cold_bears &&
-         engine.in_flight > 2 * fleet.cold_bears + answered;
+  return engine.in_flight > fleet.cold_max_in_flight &&
+         engine.in_flight > 2 * fleet.cold_max_in_flight + answered;
 }
 
 /// The course of an attempt that is in flight at `engine` already.
--- a/policy/tests/load_run_engines.h
+++ b/policy/tests/load_run_engines.h
@@ -24,7 +24,7 @@
   Restart(engine);
 }
 
-inline void Run::Crash(std::uint32_t engine, Span away) {
+inline void Run::Crash(std::uint32_t engine, DoubleSeconds away) {
   engines_[engine].takes_work = false;
   SetAvailable(engine, false);
   std::vector<std::uint64_t> ids;
@@ -33,11 +33,12 @@
   }
   std::sort(ids.begin(), ids.end());
   for (const std::uint64_t id : ids) BreakOff(id, EndKind::kDied);
-  changes_.emplace_back(Span(now_ - kStart) + away, [engine](Run& run) {
-    run.engines_[engine].takes_work = true;
-    run.TurnCold(engine, true);
-    run.SetAvailable(engine, true);
-  });
+  changes_.emplace_back(DoubleSeconds(now_ - kStart) + away,
+                        [engine](Run& run) {
+                          run.engines_[engine].takes_work = true;
+                          run.TurnCold(engine, true);
+                          run.SetAvailable(engine, true);
+                        });
   Add(now_ + Cast(away), StepKind::kChange, changes_.size() - 1);
 }
 
@@ -51,7 +52,7 @@
       running.push_back(life.planned.request.fingerprint);
     }
   }
-  for (const Quarantined& held : OnEndpointDied(poison_, running, now_)) {
+  for (const QuarantineNotice& held : OnEndpointDied(poison_, running, now_)) {
     const bool innocent = held.fingerprint != kPoisonBody;
     Check(!innocent, "an innocent body was quarantined");
     Act([&](Actions& out) {
@@ -59,7 +60,7 @@
                              out);
     });
   }
-  Crash(engine, Span(10));
+  Crash(engine, DoubleSeconds(10));
 }
 
 inline void Run::SetAvailable(std::uint32_t engine, bool available) {
@@ -88,10 +89,12 @@
 
 inline void Run::Restart(std::uint32_t engine) {
   Engine& started = engines_[engine];
-  const std::uint32_t cold =
-      started.cold_answers > 0 ? load_.fleet.cold_bears : load_.fleet.bears;
-  (void)StartSlots(started.slots, cold, load_.fleet.bears, started.boot, now_);
-  started.slots.cold_bears = load_.fleet.cold_bears;
+  const std::uint32_t cold = started.cold_answers > 0
+                                 ? load_.fleet.cold_max_in_flight
+                                 : load_.fleet.max_in_flight;
+  (void)StartSlots(started.slots, cold, load_.fleet.max_in_flight, started.boot,
+                   now_);
+  started.slots.cold_max_in_flight = load_.fleet.cold_max_in_flight;
   Lease(engine);
 }
 
--- a/proxy/src/answers.cc
+++ b/proxy/src/answers.cc
@@ -22,7 +22,8 @@
 
 void AnswerText(const net::HttpCallPtr& caller, int status, const char* type,
                 std::string_view body) {
-  caller->Answer(status, net::ReasonOf(status), {{"Content-Type", type}}, body);
+  caller->Answer(status, net::ReasonPhrase(status), {{"Content-Type", type}},
+                 body);
 }
 
 }  // namespace
@@ -53,18 +54,18 @@
   if (retry_after.count() > 0) {
     fields.push_back({"Retry-After", SecondsText(retry_after)});
   }
-  caller->Answer(status, net::ReasonOf(status), fields,
+  caller->Answer(status, net::ReasonPhrase(status), fields,
                  ErrorBody(code, message, ran));
 }
 
 void AnswerDirectory(Proxy& proxy, const net::HttpCallPtr& caller) {
   std::string zone;
-  if (!proxy.dialect->is_directory(caller->request().target, &zone)) {
+  if (!proxy.dialect->is_directory_request(caller->request().target, &zone)) {
     AnswerError(caller, kNotFound, "unknown_page", "no such page", "no", {});
     return;
   }
   const auto addresses =
-      routing::AddressesFor(proxy.members, zone, proxy.random, NowOf(proxy));
+      routing::DirectoryFor(proxy.members, zone, proxy.random, NowOf(proxy));
   if (addresses.empty()) {
     AnswerError(caller, kUnavailable, "no_node", "no node takes callers", "no",
                 kLeavingRetry);
@@ -76,7 +77,7 @@
 }
 
 void AnswerReady(Proxy& proxy, const net::HttpCallPtr& caller) {
-  if (!proxy.dialect->is_ready(caller->request().target)) {
+  if (!proxy.dialect->is_readiness_request(caller->request().target)) {
     AnswerError(caller, kNotFound, "unknown_page", "no such page", "no", {});
     return;
   }
--- a/proxy/src/knowledge.cc
+++ b/proxy/src/knowledge.cc
@@ -50,8 +50,8 @@
   net::ServerLimits limits;
   limits.size = {proxy.rules->limits.head_bytes,
                  proxy.rules->limits.body_bytes};
-  limits.head_time = proxy.rules->limits.head_time;
-  limits.idle_time = proxy.rules->limits.idle_time;
+  limits.head_timeout = proxy.rules->limits.head_timeout;
+  limits.idle_timeout = proxy.rules->limits.idle_timeout;
   limits.connections = proxy.options.descriptors > 2 * kDescriptorsKept
                            ? proxy.options.descriptors - kDescriptorsKept
                            : proxy.options.descriptors / 2;
@@ -102,8 +102,9 @@
     routing::OnEntryRemoved(proxy.endpoints, id, false, now);
     return;
   }
-  LogEndpoint(id, routing::OnEntry(proxy.endpoints, entry.value(), now), source,
-              item.rev);
+  LogEndpoint(id,
+              routing::OnEntryPublished(proxy.endpoints, entry.value(), now),
+              source, item.rev);
 }
 
 }  // namespace
@@ -121,7 +122,7 @@
   }
   const bool lapses = troubled || IsMassRemoval(proxy, news);
   for (const routing::Item& item : news) {
-    if (proxy.dialect->is_rules(item.key)) {
+    if (proxy.dialect->is_rules_key(item.key)) {
       TakeRules(proxy, item, source);
       continue;
     }
@@ -142,8 +143,8 @@
   if (news.empty()) return;
   // Other nodes hear of it now rather than in some rounds.
   if (!routing::IsSmallFleet(proxy.members)) {
-    NewsSoon(proxy, source == Source::kPeer ? routing::kToldOnward
-                                            : routing::kToldAtOnce);
+    NewsSoon(proxy, source == Source::kPeer ? routing::kRelayFanout
+                                            : routing::kReaderFanout);
   }
   if (!proxy.waiting.empty()) DispatchWaiting(proxy);
 }
--- a/routing/include/egretladder/routing/route_table.h
+++ b/routing/include/egretladder/routing/route_table.h
@@ -74,8 +74,8 @@
 struct IngressLimits {
   std::size_t head_bytes = std::size_t{16} << 10U;
   std::size_t body_bytes = std::size_t{4} << 20U;
-  milliseconds head_time{3000};
-  milliseconds idle_time{15000};
+  milliseconds head_timeout{3000};
+  milliseconds idle_timeout{15000};
 };
 
 /// One version of it all.
@@ -84,7 +84,7 @@
   std::vector<Route> routes;
   std::vector<Service> services;
   std::vector<ClientAccount> accounts;
-  std::unordered_map<std::string, std::uint32_t> account_of_key;
+  std::unordered_map<std::string, std::uint32_t> account_by_key;
   IngressLimits limits;
   /// Whether keys are asked for at all.
   bool has_accounts = false;
@@ -116,13 +116,13 @@
 /// least urgent. With the account's tier first, short questions of one account
 /// were put back while long prompts of another ran on. Ranks are numbered
 /// without gaps, so that the few steps that endpoints tell apart are enough.
-Tier RankOf(const RouteTable& table, const Route& route,
-            const ClientAccount* account);
+Tier FindRank(const RouteTable& table, const Route& route,
+              const ClientAccount* account);
 
 /// The service for one request. `draw` is from 0 up to 1.
-ServiceHandle DrawTarget(const Route& route, double draw);
+ServiceHandle PickTarget(const Route& route, double draw);
 
 /// True when a request of the route may run a second time, whole.
-bool MayRepeat(const Route& route);
+bool IsRouteRepeatable(const Route& route);
 
 }  // namespace egretladder::routing
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -25,14 +25,14 @@
 }
 
 std::uint32_t KeyOf(const std::string& node) {
-  return LowHalf(kernel::HashOf(node));
+  return LowHalf(kernel::HashBytes(node));
 }
 
 // Takes what is newer of a node that is known. A new life is met anew.
 void Refresh(Members& members, KnownMember& known, const Member& told, Time now,
              std::vector<std::string>& news) {
   if (!IsNewer(told, known.member)) return;
-  if (!IsThere(members, known, now)) news.push_back(told.node);
+  if (!IsMemberAvailable(members, known, now)) news.push_back(told.node);
   const bool same_life = told.incarnation == known.member.incarnation;
   if (!same_life) known = {.met = now};
   known.member = told;
@@ -56,14 +56,14 @@
   news.push_back(told.node);
 }
 
-Member WithPulse(Member member, const Pulse& pulse) {
+Member WithPulse(Member member, const MemberHeartbeat& pulse) {
   member.heartbeat = pulse.heartbeat;
   member.leaving = pulse.leaving;
   member.store_troubled = pulse.store_troubled;
   return member;
 }
 
-Pulse PulseOf(const Member& member) {
+MemberHeartbeat PulseOf(const Member& member) {
   return {KeyOf(member.node), LowHalf(member.incarnation), member.heartbeat,
           member.leaving, member.store_troubled};
 }
@@ -80,14 +80,14 @@
 template <typename T>
 void Shuffle(std::vector<T>& items, kernel::Random& random) {
   for (std::size_t i = items.size(); i > 1; --i) {
-    std::swap(items[i - 1], items[kernel::Below(random, i)]);
+    std::swap(items[i - 1], items[kernel::RandomBelow(random, i)]);
   }
 }
 
 }  // namespace
 
-Members StartMembers(const Member& self, const std::vector<std::string>& seeds,
-                     Time now) {
+Members MakeMembers(const Member& self, const std::vector<std::string>& seeds,
+                    Time now) {
   Members members;
   members.self = self;
   members.seeds = seeds;
@@ -96,10 +96,12 @@
   return members;
 }
 
-void Beat(Members& members, Time /*now*/) { ++members.self.heartbeat; }
+void IncrementHeartbeat(Members& members, Time /*now*/) {
+  ++members.self.heartbeat;
+}
 
-std::vector<std::string> Hear(Members& members, const MemberNews& told,
-                              Time now) {
+std::vector<std::string> ApplyMemberGossip(Members& members,
+                                           const MemberGossip& told, Time now) {
   std::vector<std::string> news;
   for (const Member& member : told.members) {
     HearMember(members, member, now, news);
@@ -108,14 +110,15 @@
   for (auto& [node, known] : members.others)
     by_key.emplace(KeyOf(node), &known);
   const std::uint32_t self = KeyOf(members.self.node);
-  for (const Pulse& pulse : told.pulses) {
+  for (const MemberHeartbeat& pulse : told.pulses) {
     const auto at = by_key.find(pulse.node);
     const Member* known = at != by_key.end()   ? &at->second->member
                           : pulse.node == self ? &members.self
                                                : nullptr;
     // Another life may have other addresses, and of this node it may be one
     // that it has to outbid.
-    if (known == nullptr || LowHalf(known->incarnation) != pulse.life) {
+    if (known == nullptr ||
+        LowHalf(known->incarnation) != pulse.short_incarnation) {
       AskFor(members, pulse.node);
     } else if (at != by_key.end()) {
       Refresh(members, *at->second, WithPulse(*known, pulse), now, news);
@@ -126,23 +129,24 @@
   return news;
 }
 
-void OnExchanged(Members& members, Time now) { members.exchanged = now; }
+void OnExchangeAnswered(Members& members, Time now) { members.exchanged = now; }
 
-void OnHeardFrom(Members& members, const std::string& peers, Time now) {
+void OnPeerMessage(Members& members, const std::string& peers, Time now) {
   for (auto& [node, known] : members.others) {
     if (known.member.peers == peers) known.heard_itself = now;
   }
 }
 
-void OnUnreachable(Members& members, const std::string& peers, Time /*now*/) {
+void OnPeerUnreachable(Members& members, const std::string& peers,
+                       Time /*now*/) {
   for (auto& [node, known] : members.others) {
     if (known.member.peers == peers) known.unreachable = true;
   }
 }
 
-MemberNews ToTell(const Members& members,
-                  const std::vector<std::uint32_t>& asked,
-                  kernel::Random& random, Time now) {
+MemberGossip MakeMemberGossip(const Members& members,
+                              const std::vector<std::uint32_t>& asked,
+                              kernel::Random& random, Time now) {
   std::vector<const KnownMember*> there;
   for (const auto& [node, known] : members.others) {
     // What is silent is not told: it would look new to a node that starts.
@@ -151,7 +155,7 @@
     }
   }
   Shuffle(there, random);
-  MemberNews told;
+  MemberGossip told;
   told.members = {members.self};
   told.unknown = members.unknown;
   for (const KnownMember* known : there) {
@@ -167,18 +171,20 @@
   return told;
 }
 
-std::string NextPeer(Members& members, kernel::Random& random, Time now) {
+std::string PickExchangePeer(Members& members, kernel::Random& random,
+                             Time now) {
   std::vector<std::string> addresses;
   std::vector<std::string> near;
   for (const auto& [node, known] : members.others) {
-    if (!IsThere(members, known, now) && !known.member.leaving) continue;
+    if (!IsMemberAvailable(members, known, now) && !known.member.leaving)
+      continue;
     addresses.push_back(known.member.peers);
     if (known.member.zone == members.self.zone) {
       near.push_back(known.member.peers);
     }
   }
   const bool stays = !IsSmallFleet(members) && !near.empty() &&
-                     kernel::Below(random, kTurnsPerZoneLeft) != 0;
+                     kernel::RandomBelow(random, kTurnsPerZoneLeft) != 0;
   if (stays) addresses = std::move(near);
   // Every eighth turn, and whenever nobody is there, a seed: two parts of a
   // fleet that started apart meet there.
@@ -186,14 +192,14 @@
   const std::size_t turn = members.seed_turn++;
   if ((addresses.empty() || turn % kSeedTurns == 0) && !members.seeds.empty()) {
     const std::string& seed =
-        members.seeds[kernel::Below(random, members.seeds.size())];
+        members.seeds[kernel::RandomBelow(random, members.seeds.size())];
     if (seed != members.self.peers) return seed;
   }
   if (addresses.empty()) return {};
-  return addresses[kernel::Below(random, addresses.size())];
+  return addresses[kernel::RandomBelow(random, addresses.size())];
 }
 
-std::size_t PeersToTry(std::size_t hanging) {
+std::size_t MaxPeersToTry(std::size_t hanging) {
   return std::min(1 + hanging, kPeersTriedMost);
 }
 
@@ -205,20 +211,21 @@
   return IsSmallFleet(members) ? kMemberSilence : kMemberSilenceLarge;
 }
 
-bool IsThere(const Members& members, const KnownMember& known, Time now) {
+bool IsMemberAvailable(const Members& members, const KnownMember& known,
+                       Time now) {
   return !known.member.leaving && !known.unreachable &&
          now - known.heard < SilenceAllowed(members);
 }
 
-std::vector<std::string> AddressesFor(const Members& members,
+std::vector<std::string> DirectoryFor(const Members& members,
                                       std::string_view zone,
                                       kernel::Random& random, Time now) {
   std::vector<const Member*> there;
   if (!members.self.leaving) there.push_back(&members.self);
   for (const auto& [node, known] : members.others) {
-    if (IsThere(members, known, now)) there.push_back(&known.member);
+    if (IsMemberAvailable(members, known, now)) there.push_back(&known.member);
   }
-  if (there.empty() && members.listens) there.push_back(&members.self);
+  if (there.empty() && members.is_listening) there.push_back(&members.self);
   Shuffle(there, random);
   if (there.size() > kDirectoryMost) {
     std::stable_partition(
@@ -232,11 +239,11 @@
   return addresses;
 }
 
-std::size_t NodesOf(Members& members, Time now) {
+std::size_t EstimateFleetSize(Members& members, Time now) {
   const auto others =
       std::count_if(members.others.begin(), members.others.end(),
                     [&members, now](const auto& entry) {
-                      return IsThere(members, entry.second, now);
+                      return IsMemberAvailable(members, entry.second, now);
                     });
   const std::size_t seen = 1 + static_cast<std::size_t>(others);
   if (seen >= members.most_nodes ||
@@ -251,14 +258,14 @@
   return members.most_nodes;
 }
 
-FleetPart PartOf(Members& members, Time now) {
-  FleetPart part;
-  part.nodes = NodesOf(members, now);
+FleetSnapshot MakeFleetSnapshot(Members& members, Time now) {
+  FleetSnapshot part;
+  part.nodes = EstimateFleetSize(members, now);
   part.self = members.self.node;
   part.zone = members.self.zone;
   part.names.push_back(members.self.node);
   for (const auto& [node, known] : members.others) {
-    if (IsThere(members, known, now)) part.names.push_back(node);
+    if (IsMemberAvailable(members, known, now)) part.names.push_back(node);
   }
   return part;
 }
--- a/routing/src/place.cc
+++ b/routing/src/placement.cc
@@ -1,12 +1,12 @@
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "egretladder/routing/place_cost.h"
+#include "egretladder/routing/engine_split.h"
+#include "egretladder/routing/placement_cost.h"
 #include "egretladder/routing/shared_rate.h"
-#include "egretladder/routing/sides.h"
 
 namespace egretladder::routing {
 namespace {
@@ -18,7 +18,8 @@
   return parts[parts.size() > 1 ? parts.size() - 2 : 0].id;
 }
 
-std::uint32_t SlotsOfNode(const Endpoint& endpoint, const FleetPart& fleet) {
+std::uint32_t SlotsOfNode(const Endpoint& endpoint,
+                          const FleetSnapshot& fleet) {
   const double even =
       static_cast<double>(endpoint.entry.slots) /
       static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
@@ -58,7 +59,7 @@
 
 // Remembers when room is expected at an endpoint that can't be used now.
 void NoteRoom(Usable& usable, PlaceReason use, const Endpoint& endpoint,
-              const Demand& demand, const FleetPart& fleet, Time now) {
+              const Demand& demand, const FleetSnapshot& fleet, Time now) {
   if (use == PlaceReason::kAllLeaving) return;
   const auto rate = SharedRateOf(endpoint, *demand.service, now);
   if (use != PlaceReason::kAllLimited || !rate) {
@@ -78,14 +79,14 @@
 
 // Why it can't be used now; `kCheapest` when it can.
 PlaceReason UseOf(const EndpointSet& set, const Endpoint& endpoint,
-                  const Demand& demand, const FleetPart& fleet, Time now) {
+                  const Demand& demand, const FleetSnapshot& fleet, Time now) {
   if (endpoint.phase == EndpointPhase::kLeaving ||
       endpoint.phase == EndpointPhase::kGone ||
       IsZoneOut(set, endpoint.entry.zone)) {
     return PlaceReason::kAllLeaving;
   }
-  if (now < endpoint.trust.avoid_until) return PlaceReason::kAllDown;
-  if (now < endpoint.trust.full_until ||
+  if (now < endpoint.health.avoid_until) return PlaceReason::kAllDown;
+  if (now < endpoint.health.full_until ||
       endpoint.in_flight >= SlotsOfNode(endpoint, fleet)) {
     return PlaceReason::kAllFull;
   }
@@ -100,8 +101,8 @@
 }
 
 Usable FindUsable(const EndpointSet& set, const Demand& demand,
-                  const std::vector<EndpointPtr>& tried, const FleetPart& fleet,
-                  Time now) {
+                  const std::vector<EndpointPtr>& tried,
+                  const FleetSnapshot& fleet, Time now) {
   Usable usable;
   const auto at = set.by_service.find(demand.service->name);
   if (at == set.by_service.end()) return usable;
@@ -122,7 +123,7 @@
 }
 
 std::uint64_t Weight(std::uint64_t session, const Endpoint& endpoint) {
-  return kernel::HashOf(endpoint.entry.id, session);
+  return kernel::HashBytes(endpoint.entry.id, session);
 }
 
 // Moves the endpoints that the session prefers to the front, in order.
@@ -137,10 +138,10 @@
 
 // Leaves those on the demand's side, if there are any.
 void KeepItsSide(std::vector<EndpointPtr>& endpoints, const Demand& demand,
-                 double tight_part) {
+                 double tight_fraction) {
   const auto end = std::stable_partition(
       endpoints.begin(), endpoints.end(), [&](const EndpointPtr& endpoint) {
-        return IsOnItsSide(*endpoint, demand, tight_part);
+        return IsOnItsSide(*endpoint, demand, tight_fraction);
       });
   if (end != endpoints.begin()) endpoints.erase(end, endpoints.end());
 }
@@ -150,7 +151,8 @@
               kernel::Random& random) {
   const std::size_t until = std::min(endpoints.size(), from + kDrawn);
   for (std::size_t i = from; i < until; ++i) {
-    const std::size_t other = i + kernel::Below(random, endpoints.size() - i);
+    const std::size_t other =
+        i + kernel::RandomBelow(random, endpoints.size() - i);
     std::swap(endpoints[i], endpoints[other]);
   }
   endpoints.resize(until);
@@ -192,9 +194,10 @@
   return "unknown";
 }
 
-Placement Place(const EndpointSet& set, const Demand& demand,
-                const std::vector<EndpointPtr>& tried, const FleetPart& fleet,
-                kernel::Random& random, Time now) {
+Placement ChoosePlacement(const EndpointSet& set, const Demand& demand,
+                          const std::vector<EndpointPtr>& tried,
+                          const FleetSnapshot& fleet, kernel::Random& random,
+                          Time now) {
   Placement best;
   Usable usable = FindUsable(set, demand, tried, fleet, now);
   if (usable.endpoints.empty() && usable.why_none == PlaceReason::kAllTried) {
@@ -207,12 +210,12 @@
     return best;
   }
   const auto is_off = [&set](Mechanism mechanism) {
-    return set.off.test(static_cast<std::size_t>(mechanism));
+    return set.disabled_mechanisms.test(static_cast<std::size_t>(mechanism));
   };
   const std::uint64_t session =
       is_off(Mechanism::kSessions) ? 0 : SessionOf(demand);
   if (usable.endpoints.size() >= kSplitLeast && !is_off(Mechanism::kSides)) {
-    KeepItsSide(usable.endpoints, demand, set.tight_part);
+    KeepItsSide(usable.endpoints, demand, set.tight_fraction);
   }
   std::size_t preferred = 0;
   if (session != 0) {
@@ -220,7 +223,7 @@
     preferred = std::min(kPreferred, usable.endpoints.size());
   }
   DrawSome(usable.endpoints, preferred, random);
-  const ServicePace& pace = PaceOf(set, demand.service->name);
+  const ServicePace& pace = FindServicePace(set, demand.service->name);
   double least = std::numeric_limits<double>::max();
   for (std::size_t i = 0; i < usable.endpoints.size(); ++i) {
     const EndpointPtr& endpoint = usable.endpoints[i];
@@ -228,7 +231,7 @@
     const Uncached uncached = UncachedAt(*endpoint, demand, first, now);
     const Costs costs =
         CostsOf({*endpoint, demand, uncached, pace, fleet, i < preferred, now},
-                set.off);
+                set.disabled_mechanisms);
     if (costs.Total() >= least) continue;
     least = costs.Total();
     best = {endpoint, PlaceReason::kCheapest, costs.UntilFirst(),
@@ -242,8 +245,9 @@
   return best;
 }
 
-void OnSent(Endpoint& endpoint, const Demand& demand, std::uint64_t attempt,
-            const Placement& placement, Time now) {
+void OnAttemptSent(Endpoint& endpoint, const Demand& demand,
+                   std::uint64_t attempt, const Placement& placement,
+                   Time now) {
   ++endpoint.in_flight;
   endpoint.waiting_tokens[std::min<std::size_t>(demand.tier, kTiers - 1)] +=
       placement.uncached_tokens;
@@ -254,18 +258,19 @@
   parts.reserve(demand.parts.size());
   for (const PromptPart& part : demand.parts) parts.push_back(part.id);
   NoteParts(endpoint, parts, now);
-  if (SharedRateOf(endpoint, *demand.service, now)) endpoint.rated_sent = now;
+  if (SharedRateOf(endpoint, *demand.service, now))
+    endpoint.last_limited_send = now;
 }
 
-void OnStarted(Endpoint& endpoint, const Demand& demand, std::uint64_t attempt,
-               const Placement& placement) {
+void OnAttemptStarted(Endpoint& endpoint, const Demand& demand,
+                      std::uint64_t attempt, const Placement& placement) {
   if (endpoint.unanswered.erase(attempt) == 0) return;
   double& waiting =
       endpoint.waiting_tokens[std::min<std::size_t>(demand.tier, kTiers - 1)];
   waiting = std::max(0.0, waiting - placement.uncached_tokens);
 }
 
-void OnDone(Endpoint& endpoint) {
+void OnAttemptEnded(Endpoint& endpoint) {
   if (endpoint.in_flight > 0) --endpoint.in_flight;
 }
 
--- a/routing/src/shared_rate.cc
+++ b/routing/src/shared_rate.cc
@@ -9,7 +9,7 @@
 namespace egretladder::routing {
 namespace {
 
-std::size_t NodesOf(const FleetPart& fleet) {
+std::size_t EstimateFleetSize(const FleetSnapshot& fleet) {
   return std::max(fleet.nodes, fleet.names.size());
 }
 
@@ -48,32 +48,32 @@
 }
 
 bool IsSender(const Endpoint& endpoint, const SharedRate& rate,
-              const FleetPart& fleet) {
-  const std::size_t nodes = NodesOf(fleet);
+              const FleetSnapshot& fleet) {
+  const std::size_t nodes = EstimateFleetSize(fleet);
   if (nodes <= rate.senders) return true;
   // A node that others don't know yet, or that knows few of them, is rarely
   // among them.
   std::size_t before = (nodes - fleet.names.size()) / 2;
-  const std::uint64_t own = kernel::HashOf(fleet.self, endpoint.name_hash);
+  const std::uint64_t own = kernel::HashBytes(fleet.self, endpoint.name_hash);
   for (const std::string& name : fleet.names) {
     // Asked for each endpoint by each request: most nodes know after a few.
     if (before >= rate.senders) return false;
-    if (kernel::HashOf(name, endpoint.name_hash) > own) ++before;
+    if (kernel::HashBytes(name, endpoint.name_hash) > own) ++before;
   }
   return before < rate.senders;
 }
 
 Time NextTurn(const Endpoint& endpoint, const SharedRate& rate,
-              const FleetPart& fleet) {
-  const std::size_t senders = std::min(NodesOf(fleet), rate.senders);
+              const FleetSnapshot& fleet) {
+  const std::size_t senders = std::min(EstimateFleetSize(fleet), rate.senders);
   const std::chrono::duration<double> pause(static_cast<double>(senders) /
                                             rate.per_second);
-  if (endpoint.rated_sent >= rate.since) {
-    return endpoint.rated_sent +
+  if (endpoint.last_limited_send >= rate.since) {
+    return endpoint.last_limited_send +
            std::chrono::duration_cast<Time::duration>(pause);
   }
   const double part =
-      kernel::FractionOf(kernel::HashOf(endpoint.entry.id + fleet.self));
+      kernel::HashToFraction(kernel::HashBytes(endpoint.entry.id + fleet.self));
   return rate.since + std::chrono::duration_cast<Time::duration>(pause * part);
 }
 
--- a/routing/tests/route_table_test.cc
+++ b/routing/tests/route_table_test.cc
@@ -19,7 +19,7 @@
   table.accounts = {{.name = "a", .tier = 1},
                     {.name = "b", .tier = {}},
                     {.name = "c", .tier = 0}};
-  table.account_of_key = {{"key-a", 0}, {"key-b", 1}, {"key-c", 2}};
+  table.account_by_key = {{"key-a", 0}, {"key-b", 1}, {"key-c", 2}};
   table.has_accounts = true;
   er::IndexTable(table);
   return table;
@@ -42,10 +42,10 @@
 
 TEST(RouteTable, SplitsByWeight) {
   const er::RouteTable table = MakeTable();
-  LONGS_EQUAL(0, er::DrawTarget(table.routes[0], 0.0).idx);
-  LONGS_EQUAL(0, er::DrawTarget(table.routes[0], 0.89).idx);
-  LONGS_EQUAL(1, er::DrawTarget(table.routes[0], 0.91).idx);
-  LONGS_EQUAL(1, er::DrawTarget(table.routes[0], 0.999).idx);
+  LONGS_EQUAL(0, er::PickTarget(table.routes[0], 0.0).idx);
+  LONGS_EQUAL(0, er::PickTarget(table.routes[0], 0.89).idx);
+  LONGS_EQUAL(1, er::PickTarget(table.routes[0], 0.91).idx);
+  LONGS_EQUAL(1, er::PickTarget(table.routes[0], 0.999).idx);
 }
 
 // A burst of long prompts fills the engines' memory. By the account's tier
@@ -57,20 +57,21 @@
   const er::ClientAccount* second = er::FindAccount(table, "key-a");
   const er::Route& quick = table.routes[0];
   const er::Route& deep = table.routes[1];
-  CHECK(er::RankOf(table, quick, first) < er::RankOf(table, quick, second));
-  CHECK(er::RankOf(table, quick, second) < er::RankOf(table, deep, first));
-  CHECK(er::RankOf(table, deep, first) < er::RankOf(table, deep, second));
+  CHECK(er::FindRank(table, quick, first) < er::FindRank(table, quick, second));
+  CHECK(er::FindRank(table, quick, second) < er::FindRank(table, deep, first));
+  CHECK(er::FindRank(table, deep, first) < er::FindRank(table, deep, second));
   // An account without a tier of its own counts as its route's.
   const er::ClientAccount* without = er::FindAccount(table, "key-b");
-  CHECK(er::RankOf(table, quick, without) < er::RankOf(table, quick, second));
-  CHECK(er::RankOf(table, deep, without) < 10);
+  CHECK(er::FindRank(table, quick, without) <
+        er::FindRank(table, quick, second));
+  CHECK(er::FindRank(table, deep, without) < 10);
 }
 
 TEST(RouteTable, KnowsWhatMayRunTwice) {
   er::Route route{.kind = er::RouteKind::kOnce};
-  CHECK_FALSE(er::MayRepeat(route));
+  CHECK_FALSE(er::IsRouteRepeatable(route));
   route.kind = er::RouteKind::kStream;
-  CHECK_FALSE(er::MayRepeat(route));
+  CHECK_FALSE(er::IsRouteRepeatable(route));
   route.resumable = true;
-  CHECK(er::MayRepeat(route));
+  CHECK(er::IsRouteRepeatable(route));
 }
--- a/rules/include/egretladder/rules/rules.h
+++ b/rules/include/egretladder/rules/rules.h
@@ -69,16 +69,17 @@
   std::uint32_t share = 1;    ///< Weight among the accounts of a class.
 };
 
-/// `[endpoint] NAME = address=IP:port zone=Z serves=a,b bears=16 cold_bears=2
-/// fencing=honoured|ignored holds=2 leaving=no`
+/// `[endpoint] NAME = address=IP:port zone=Z serves=a,b bears=16
+/// cold_max_in_flight=2 fencing=honoured|ignored holds=2 leaving=no`
 struct Endpoint {
   RuleSource source;
   std::string address;  ///< `IP:port`.
   ZoneHandle zone;
   std::vector<TargetHandle> serves;
-  std::uint32_t bears = 1;       ///< Requests in flight when warm.
-  std::uint32_t cold_bears = 1;  ///< Requests in flight just after a start.
-  std::uint32_t holds = 1;       ///< Models in memory at once.
+  std::uint32_t max_in_flight = 1;  ///< Requests in flight when warm.
+  std::uint32_t cold_max_in_flight =
+      1;  ///< Requests in flight just after a start.
+  std::uint32_t max_loaded_models = 1;  ///< Models in memory at once.
   bool honours_fencing = false;
   bool leaving = false;  ///< Receives no new work.
 };
@@ -128,7 +129,7 @@
 using RulesPtr = std::shared_ptr<const Rules>;
 
 /// One fault in a document, and how to mend it.
-struct Fault {
+struct ValidationError {
   std::string file;
   std::uint32_t line = 0;
   std::string what;
@@ -138,9 +139,9 @@
 /// Reads and checks a whole document. Names that stood in `previous` (may be
 /// null) keep their handles. On failure `faults`, when given, gets every fault
 /// and the error describes the first.
-kernel::Result<RulesPtr> ReadRules(const std::string& text,
-                                   std::string_view file, const Rules* previous,
-                                   std::vector<Fault>* faults = nullptr);
+kernel::Result<RulesPtr> ReadRules(
+    const std::string& text, std::string_view file, const Rules* previous,
+    std::vector<ValidationError>* faults = nullptr);
 
 /// The zone that the rules name now; not valid when none has the name.
 ZoneHandle FindZone(const Rules& rules, std::string_view name);
--- a/rules/tests/read_rules_test.cc
+++ b/rules/tests/read_rules_test.cc
@@ -36,16 +36,16 @@
 n1 = callers=10.0.1.1:80 peers=10.0.1.1:81 zone=bole ; Hanna
 )";
 
-std::vector<er::Fault> FaultsOf(const std::string& text) {
-  std::vector<er::Fault> faults;
+std::vector<er::ValidationError> FaultsOf(const std::string& text) {
+  std::vector<er::ValidationError> faults;
   const auto read = er::ReadRules(text, "r.ini", nullptr, &faults);
   CHECK_EQUAL(faults.empty(), read.has_value());
   return faults;
 }
 
 /// Reads a document that is whole but for `line` in `section`.
-std::vector<er::Fault> FaultsWith(const std::string& section,
-                                  const std::string& line) {
+std::vector<er::ValidationError> FaultsWith(const std::string& section,
+                                            const std::string& line) {
   std::string text = kWhole;
   const std::string head = "[" + section + "]\n";
   text.insert(text.find(head) + head.size(), line + "\n");
@@ -85,7 +85,8 @@
   CHECK_TRUE(er::Allows(account, er::FindClass(rules, "bulk")));
   CHECK_FALSE(er::Allows(account, er::FindClass(rules, "enrol")));
   const auto e1 = rules.endpoints[er::FindEndpoint(rules, "e1").idx];
-  CHECK(e1.bears == 16 && e1.cold_bears == 2 && e1.honours_fencing);
+  CHECK(e1.max_in_flight == 16 && e1.cold_max_in_flight == 2 &&
+        e1.honours_fencing);
   CHECK_TRUE(er::Serves(e1, trace));
   STRCMP_EQUAL("Hanna", e1.source.asked_by.c_str());
   CHECK(er::IsValid(er::FindNode(rules, "n1")));
