--- a/net/include/egretladder/net/http_server.h
+++ b/net/include/egretladder/net/http_server.h
@@ -72,7 +72,7 @@
   /// The head of an answer was sent by `Begin`.
   bool begun() const { return begun_; }
   /// The call has ended, or the caller has disconnected.
-  bool finished() const { return connection_ == nullptr; }
+  bool over() const { return connection_ == nullptr; }
   /// Bytes of the output buffer that were not sent yet.
   std::size_t UnsentBytes() const;
 
--- a/net/src/http_call.cc
+++ b/net/src/http_call.cc
@@ -22,7 +22,7 @@
 
 void HttpCall::Answer(int status, std::string_view reason,
                       const HttpFields& fields, std::string_view body) {
-  if (finished()) return;
+  if (over()) return;
   const bool close = MustClose();
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
@@ -38,7 +38,7 @@
 
 void HttpCall::Begin(int status, std::string_view reason,
                      const HttpFields& fields) {
-  if (finished()) return;
+  if (over()) return;
   begun_ = true;
   chunked_ = request_.supports_chunked;
   connection_->WriteOutput(
@@ -48,18 +48,18 @@
 }
 
 void HttpCall::Send(std::string_view piece) {
-  if (finished() || piece.empty()) return;
+  if (over() || piece.empty()) return;
   connection_->WriteOutput(chunked_ ? FormatChunk(piece) : std::string(piece));
 }
 
 void HttpCall::End() {
-  if (finished()) return;
+  if (over()) return;
   if (chunked_) connection_->WriteOutput("0\r\n\r\n");
   Finish(!chunked_ || MustClose());
 }
 
 void HttpCall::Abort() {
-  if (finished()) return;
+  if (over()) return;
   if (begun_ && chunked_) {
     // The pieces sent so far are still delivered. The missing last chunk shows
     // the caller that the answer is incomplete.
--- a/net/tests/http_server_test.cc
+++ b/net/tests/http_server_test.cc
@@ -251,7 +251,7 @@
   auto caller = SendRequest(MakeGet("/"));
   caller->HalfClose();
   test_loop.WaitUntil([this] { return disconnects == 1; });
-  CHECK(calls[0]->finished());
+  CHECK(calls[0]->over());
   ReceiveUntilEnd(*caller);
   calls[0]->Answer(200, "OK", {}, "late");
   test_loop.Settle();
@@ -266,7 +266,7 @@
   auto caller = SendRequest(MakeGet("/"));
   caller->Close();
   test_loop.WaitUntil([this] { return disconnects == 1; });
-  CHECK(calls[0]->finished());
+  CHECK(calls[0]->over());
   calls[0]->Answer(200, "OK", {}, "late");
   test_loop.Settle();
   LONGS_EQUAL(1, disconnects);
@@ -364,7 +364,7 @@
     STRCMP_EQUAL("", caller->received().c_str());
   }
   LONGS_EQUAL(1, disconnects);
-  CHECK(calls[0]->finished());
+  CHECK(calls[0]->over());
   calls[0]->Answer(200, "OK", {}, "late");
   test_loop.Settle();
   LONGS_EQUAL(1, disconnects);
@@ -427,7 +427,7 @@
   const std::string piece(kLongAnswer, 'p');
   calls[0]->Send(piece);
   calls[0]->Abort();
-  CHECK(calls[0]->finished());
+  CHECK(calls[0]->over());
   ReceiveUntilEnd(*caller);
   CHECK(caller->end() == et::ConnectionEnd::kEnded);
   const std::string chunk = en::FormatChunk(piece);
@@ -517,7 +517,7 @@
   caller->Receive(1000);
   caller->Reset();
   test_loop.WaitUntil([this] { return disconnects > 0; });
-  CHECK(calls[0]->finished());
+  CHECK(calls[0]->over());
   LONGS_EQUAL(0, calls[0]->UnsentBytes());
   calls[0]->Send("more");
   calls[0]->End();
