--- a/policy/include/egretladder/policy/scheduler.h
+++ b/policy/include/egretladder/policy/scheduler.h
@@ -52,9 +52,9 @@
   kOnlyChoice,
   kPrefixCached,  ///< The endpoint holds the prompt's prefix.
   kLeastLoaded,   ///< The least loaded of a random sample.
-  kNearZone,      ///< The same, and in the node's own zone.
-  kAgedWork,      ///< An aged request of a lower tier, within the quota of
-                  ///< such requests.
+  kNearZone,      ///< The least loaded, and in the node's own zone.
+  kAgedWork,      ///< An aged request of a lower tier, started within the
+                  ///< aging quota. Logged as "trickle".
   kProbe,         ///< A probe of an endpoint that was ejected as slow or
                   ///< failing.
   kBaseline,      ///< Chosen by a baseline scheduler.
