--- a/kernel/include/egretladder/kernel/log_event.h
+++ b/kernel/include/egretladder/kernel/log_event.h
@@ -31,25 +31,25 @@
       : name(field), value(std::to_string(time.count())), is_number(true) {}
   template <typename T, typename = std::enable_if_t<std::is_arithmetic_v<T>>>
   LogField(std::string_view field, T number)
-      : name(field), value(NumberText(number)), is_number(true) {}
+      : name(field), value(FormatNumber(number)), is_number(true) {}
 
   std::string_view name;
   std::string value;
   bool is_number = false;
 
  private:
-  static std::string NumberText(double number);
+  static std::string FormatNumber(double number);
 };
 /// In the order in which they are written.
 using LogFields = std::initializer_list<LogField>;
 
 /// Lines that one process writes in a second; a node at 100 requests a second
 /// writes about 250.
-inline constexpr std::uint32_t kLogLinesMost = 2000;
+inline constexpr std::uint32_t kMaxLogLinesPerSecond = 2000;
 /// Of these, lines below a warning. The rest is kept for failures.
-inline constexpr std::uint32_t kLogLinesInfo = 1500;
+inline constexpr std::uint32_t kMaxInfoLogLinesPerSecond = 1500;
 /// Bytes that wait for a slow reader before lines are dropped.
-inline constexpr std::size_t kLogBytesWaiting = std::size_t{1} << 20U;
+inline constexpr std::size_t kMaxPendingLogBytes = std::size_t{1} << 20U;
 
 /// What was written and dropped since the start.
 struct LogCounts {
@@ -60,7 +60,7 @@
 
 /// Starts structured logging to `fd`, which becomes non-blocking. `clock` must
 /// outlive it.
-void StartEventLog(int fd, LogLevel lowest, const Clock& clock);
+void StartEventLog(int fd, LogLevel min_level, const Clock& clock);
 /// Stops it, for tests; what waits is dropped.
 void StopEventLog();
 
--- a/kernel/include/egretladder/kernel/loop.h
+++ b/kernel/include/egretladder/kernel/loop.h
@@ -12,17 +12,17 @@
 namespace egretladder::kernel {
 
 /// Frees a libevent base.
-struct EventBaseFree {
+struct EventBaseDeleter {
   void operator()(event_base* base) const { event_base_free(base); }
 };
 /// Removes and frees a libevent event.
-struct EventFree {
+struct EventDeleter {
   void operator()(event* ev) const { event_free(ev); }
 };
 /// Owns a libevent base.
-using EventBase = std::unique_ptr<event_base, EventBaseFree>;
+using EventBase = std::unique_ptr<event_base, EventBaseDeleter>;
 /// Owns a libevent event; it never fires once this is gone.
-using Event = std::unique_ptr<event, EventFree>;
+using Event = std::unique_ptr<event, EventDeleter>;
 
 /// The loop of the process and the clock its parts share.
 struct Loop {
--- a/kernel/include/egretladder/kernel/metrics.h
+++ b/kernel/include/egretladder/kernel/metrics.h
@@ -64,7 +64,8 @@
                              const std::string& labels = "");
 
 /// Raises a counter.
-void Increment(Metrics& metrics, CounterHandle counter, std::uint64_t by = 1);
+void Increment(Metrics& metrics, CounterHandle counter,
+               std::uint64_t amount = 1);
 /// Sets a gauge, in the unit that its name gives.
 void Set(Metrics& metrics, GaugeHandle gauge, double value);
 /// Takes one sample into the quantiles.
--- a/kernel/include/egretladder/kernel/settings.h
+++ b/kernel/include/egretladder/kernel/settings.h
@@ -30,7 +30,7 @@
   std::string_view section;
   std::string_view key;
   SettingKind kind = SettingKind::kText;
-  std::string_view standard;  ///< Used when the key is missing.
+  std::string_view default_value;  ///< Used when the key is missing.
   bool required = false;
   std::string_view expected;  ///< Shown when the value is not valid.
 };
@@ -46,7 +46,7 @@
 /// line.
 Result<Settings> ReadSettings(const std::string& text, std::string_view file,
                               std::span<const SettingSpec> specs,
-                              std::vector<Error>* faults = nullptr);
+                              std::vector<Error>* errors = nullptr);
 
 /// One line for each setting: section, key, standard value, what is expected.
 std::string DescribeSettings(std::span<const SettingSpec> specs);
@@ -57,7 +57,7 @@
  public:
   /// `text` is what was read from `file`; `faults` outlives the checker.
   SettingsChecker(const std::string& text, std::string_view file,
-                  std::vector<Error>& faults);
+                  std::vector<Error>& errors);
 
   /// `detail` follows the name of the setting, as in "is 0".
   void Fault(std::string_view section, std::string_view key,
@@ -65,7 +65,7 @@
 
  private:
   std::string file_;
-  std::vector<Error>& faults_;
+  std::vector<Error>& errors_;
   std::vector<IniEntry> entries_;
 };
 
--- a/kernel/src/hash.cc
+++ b/kernel/src/hash.cc
@@ -18,8 +18,8 @@
 }
 
 double FractionOf(std::uint64_t hash) {
-  constexpr double kSteps = 9007199254740992.0;  // 2^53
-  return static_cast<double>(hash >> 11) / kSteps;
+  constexpr double kTwoToThe53 = 9007199254740992.0;  // 2^53
+  return static_cast<double>(hash >> 11) / kTwoToThe53;
 }
 
 double Fraction(Random& random) { return FractionOf(random()); }
--- a/kernel/src/ini.cc
+++ b/kernel/src/ini.cc
@@ -15,19 +15,21 @@
 
 // The parser keeps no line numbers, so the lines of the entries are found by a
 // second look at the text.
-EntryLines FindLines(const std::string& text) {
+EntryLines FindEntryLines(const std::string& text) {
   EntryLines lines;
   std::istringstream stream(text);
   std::string line;
   std::string section;
-  for (std::uint32_t number = 1; std::getline(stream, line); ++number) {
+  for (std::uint32_t line_number = 1; std::getline(stream, line);
+       ++line_number) {
     boost::trim(line);
     if (line.empty() || line[0] == ';' || line[0] == '#') continue;
     if (line[0] == '[') {
       section = boost::trim_copy(line.substr(1, line.find(']') - 1));
       continue;
     }
-    lines[{section, boost::trim_copy(line.substr(0, line.find('=')))}] = number;
+    lines[{section, boost::trim_copy(line.substr(0, line.find('=')))}] =
+        line_number;
   }
   return lines;
 }
@@ -35,10 +37,10 @@
 void SplitComment(const std::string& raw, IniEntry& entry) {
   // A value that is empty but for its comment arrives trimmed: `; who`.
   const std::string padded = " " + raw;
-  const auto at = padded.find(" ;");
-  entry.value = boost::trim_copy(padded.substr(0, at));
-  if (at != std::string::npos) {
-    entry.comment = boost::trim_copy(padded.substr(at + 2));
+  const auto separator = padded.find(" ;");
+  entry.value = boost::trim_copy(padded.substr(0, separator));
+  if (separator != std::string::npos) {
+    entry.comment = boost::trim_copy(padded.substr(separator + 2));
   }
 }
 
@@ -51,26 +53,26 @@
   std::istringstream stream(text);
   try {
     pt::read_ini(stream, tree);
-  } catch (const pt::ini_parser_error& fault) {
+  } catch (const pt::ini_parser_error& error) {
     return MakeError(ErrorCode::kInvalidInput, "read ini",
-                     std::string(file) + ":" + std::to_string(fault.line()),
-                     fault.message());
+                     std::string(file) + ":" + std::to_string(error.line()),
+                     error.message());
   }
-  const EntryLines lines = FindLines(text);
+  const EntryLines lines = FindEntryLines(text);
   std::vector<IniEntry> entries;
   for (const auto& [section, children] : tree) {
     if (children.empty() && !children.data().empty()) {
-      const auto at = lines.find({"", section});
+      const auto it = lines.find({"", section});
       return MakeError(ErrorCode::kInvalidInput, "read ini",
                        std::string(file) + ":" +
-                           std::to_string(at == lines.end() ? 0 : at->second),
+                           std::to_string(it == lines.end() ? 0 : it->second),
                        "key '" + section + "' stands before the first section");
     }
     for (const auto& [key, child] : children) {
       IniEntry entry{section, key, "", "", 0};
       SplitComment(child.data(), entry);
-      const auto at = lines.find({section, key});
-      if (at != lines.end()) entry.line = at->second;
+      const auto it = lines.find({section, key});
+      if (it != lines.end()) entry.line = it->second;
       entries.push_back(std::move(entry));
     }
   }
--- a/kernel/src/log.cc
+++ b/kernel/src/log.cc
@@ -12,24 +12,24 @@
 namespace egretladder::kernel {
 namespace {
 
-constexpr std::array<const char*, 10> kPrefixes = {
+constexpr std::array<const char*, 10> kLoggerNames = {
     "kernel", "rules",    "route",    "place", "fleet",
     "caller", "endpoint", "platform", "peer",  "lab"};
 
-using Loggers = std::array<log4cxx::LoggerPtr, kPrefixes.size()>;
+using Loggers = std::array<log4cxx::LoggerPtr, kLoggerNames.size()>;
 
 Loggers& AllLoggers() {
   static Loggers loggers = [] {
-    Loggers made;
-    for (std::size_t i = 0; i < made.size(); ++i) {
-      made[i] = log4cxx::Logger::getLogger(kPrefixes[i]);
+    Loggers created;
+    for (std::size_t i = 0; i < created.size(); ++i) {
+      created[i] = log4cxx::Logger::getLogger(kLoggerNames[i]);
     }
-    return made;
+    return created;
   }();
   return loggers;
 }
 
-log4cxx::LevelPtr LevelOf(LogLevel level) {
+log4cxx::LevelPtr ToLog4cxxLevel(LogLevel level) {
   switch (level) {
     case LogLevel::kDebug:
       return log4cxx::Level::getDebug();
@@ -43,12 +43,12 @@
   return log4cxx::Level::getError();
 }
 
-bool started = false;
+bool logging_started = false;
 
 }  // namespace
 
 const char* NameOf(LogPart part) {
-  return kPrefixes[static_cast<std::size_t>(part)];
+  return kLoggerNames[static_cast<std::size_t>(part)];
 }
 
 std::optional<LogFormat> ParseLogFormat(std::string_view word) {
@@ -60,12 +60,12 @@
 std::optional<LogLevel> ParseLogLevel(std::string_view word) {
   constexpr std::array<std::string_view, 4> kLevels = {"debug", "info",
                                                        "warning", "error"};
-  const auto* at = std::find(kLevels.begin(), kLevels.end(), word);
-  if (at == kLevels.end()) return std::nullopt;
-  return static_cast<LogLevel>(at - kLevels.begin());
+  const auto* it = std::find(kLevels.begin(), kLevels.end(), word);
+  if (it == kLevels.end()) return std::nullopt;
+  return static_cast<LogLevel>(it - kLevels.begin());
 }
 
-void StartLogs(LogFormat format, LogLevel lowest) {
+void StartLogs(LogFormat format, LogLevel min_level) {
   log4cxx::LayoutPtr layout;
   if (format == LogFormat::kJson) {
     layout = std::make_shared<log4cxx::JSONLayout>();
@@ -78,20 +78,20 @@
   auto root = log4cxx::Logger::getRootLogger();
   root->removeAllAppenders();
   root->addAppender(appender);
-  root->setLevel(LevelOf(lowest));
-  started = true;
+  root->setLevel(ToLog4cxxLevel(min_level));
+  logging_started = true;
 }
 
 bool LogEnabled(LogPart part, LogLevel level) {
-  if (!started) return false;
+  if (!logging_started) return false;
   return AllLoggers()[static_cast<std::size_t>(part)]->isEnabledFor(
-      LevelOf(level));
+      ToLog4cxxLevel(level));
 }
 
-void Log(LogPart part, LogLevel level, std::string_view sentence) {
+void Log(LogPart part, LogLevel level, std::string_view message) {
   if (!LogEnabled(part, level)) return;
   AllLoggers()[static_cast<std::size_t>(part)]->forcedLog(
-      LevelOf(level), std::string(sentence),
+      ToLog4cxxLevel(level), std::string(message),
       log4cxx::spi::LocationInfo::getLocationUnavailable());
 }
 
--- a/kernel/src/log_event.cc
+++ b/kernel/src/log_event.cc
@@ -31,46 +31,46 @@
   void append(const log4cxx::spi::LoggingEventPtr& event,
               log4cxx::helpers::Pool& /*pool*/) override {
     const std::string line = event->getRenderedMessage();
-    if (waiting_.size() + line.size() + 1 > kLogBytesWaiting) {
+    if (pending_.size() + line.size() + 1 > kMaxPendingLogBytes) {
       ++dropped_;
       return;
     }
-    waiting_ += line;
-    waiting_ += '\n';
-    Write();
+    pending_ += line;
+    pending_ += '\n';
+    WritePending();
   }
   void close() override {}
   bool requiresLayout() const override { return false; }
 
-  void Write() {
-    while (!waiting_.empty()) {
-      const ssize_t written = write(fd_, waiting_.data(), waiting_.size());
+  void WritePending() {
+    while (!pending_.empty()) {
+      const ssize_t written = write(fd_, pending_.data(), pending_.size());
       if (written < 0 && errno == EINTR) continue;
       if (written <= 0) return;
-      waiting_.erase(0, static_cast<std::size_t>(written));
+      pending_.erase(0, static_cast<std::size_t>(written));
     }
   }
   std::uint64_t dropped() const { return dropped_; }
 
  private:
   int fd_;
-  std::string waiting_;
+  std::string pending_;
   std::uint64_t dropped_ = 0;
 };
 
 struct EventLog {
   std::shared_ptr<NonBlockingAppender> appender;
   log4cxx::LoggerPtr logger;
-  LogLevel lowest = LogLevel::kInfo;
+  LogLevel min_level = LogLevel::kInfo;
   Clock clock;
-  Time second{};  // Start of the budget's second.
-  std::uint32_t in_second = 0;
+  Time window_start{};  // Start of the budget's second.
+  std::uint32_t lines_in_window = 0;
   std::uint64_t written = 0;
   std::uint64_t over_budget = 0;
-  std::uint64_t said = 0;  // Drops that a line has told of.
+  std::uint64_t reported_drops = 0;  // Drops that a line has told of.
 };
 
-std::unique_ptr<EventLog>& State() {
+std::unique_ptr<EventLog>& EventLogState() {
   static std::unique_ptr<EventLog> state;
   return state;
 }
@@ -79,24 +79,25 @@
                                                     "error"};
 
 // True when the line fits the second's budget; counts it then.
-bool TakeBudget(EventLog& log, LogLevel level) {
+bool ConsumeLineBudget(EventLog& log, LogLevel level) {
   const Time now = Now(log.clock);
-  if (now - log.second >= std::chrono::seconds(1)) {
-    log.second = now;
-    log.in_second = 0;
+  if (now - log.window_start >= std::chrono::seconds(1)) {
+    log.window_start = now;
+    log.lines_in_window = 0;
   }
-  const std::uint32_t most =
-      level < LogLevel::kWarning ? kLogLinesInfo : kLogLinesMost;
-  if (log.in_second >= most) {
+  const std::uint32_t max_lines = level < LogLevel::kWarning
+                                      ? kMaxInfoLogLinesPerSecond
+                                      : kMaxLogLinesPerSecond;
+  if (log.lines_in_window >= max_lines) {
     ++log.over_budget;
     return false;
   }
-  ++log.in_second;
+  ++log.lines_in_window;
   return true;
 }
 
-std::string LineOf(LogPart part, LogLevel level, std::string_view event,
-                   LogFields fields) {
+std::string FormatLine(LogPart part, LogLevel level, std::string_view event,
+                       LogFields fields) {
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
   rapidjson::StringBuffer buffer;
@@ -135,59 +136,62 @@
 
 }  // namespace
 
-std::string LogField::NumberText(double number) {
+std::string LogField::FormatNumber(double number) {
   if (!std::isfinite(number)) return "null";
   std::array<char, 32> text{};
-  const bool whole = std::abs(number) < 1e15 && number == std::floor(number);
-  const int size =
-      std::snprintf(text.data(), text.size(), whole ? "%.0f" : "%.3f", number);
+  const bool is_whole = std::abs(number) < 1e15 && number == std::floor(number);
+  const int size = std::snprintf(text.data(), text.size(),
+                                 is_whole ? "%.0f" : "%.3f", number);
   return {text.data(), static_cast<std::size_t>(size)};
 }
 
-void StartEventLog(int fd, LogLevel lowest, const Clock& clock) {
+void StartEventLog(int fd, LogLevel min_level, const Clock& clock) {
   auto log = std::make_unique<EventLog>();
   log->appender = std::make_shared<NonBlockingAppender>(fd);
   log->logger = log4cxx::Logger::getLogger(kLoggerName);
   log->logger->removeAllAppenders();
   log->logger->setAdditivity(false);
   log->logger->addAppender(log->appender);
-  log->lowest = lowest;
+  log->min_level = min_level;
   log->clock = clock;
-  State() = std::move(log);
+  EventLogState() = std::move(log);
 }
 
 void StopEventLog() {
-  if (State() == nullptr) return;
-  State()->logger->removeAllAppenders();
-  State().reset();
+  if (EventLogState() == nullptr) return;
+  EventLogState()->logger->removeAllAppenders();
+  EventLogState().reset();
 }
 
 bool EventLogEnabled(LogLevel level) {
-  return State() != nullptr && level >= State()->lowest;
+  return EventLogState() != nullptr && level >= EventLogState()->min_level;
 }
 
 void LogEvent(LogPart part, LogLevel level, std::string_view event,
               LogFields fields) {
-  if (!EventLogEnabled(level) || !TakeBudget(*State(), level)) return;
-  WriteLine(*State(), LineOf(part, level, event, fields));
+  if (!EventLogEnabled(level) || !ConsumeLineBudget(*EventLogState(), level))
+    return;
+  WriteLine(*EventLogState(), FormatLine(part, level, event, fields));
 }
 
 void FlushEventLog() {
-  if (State() == nullptr) return;
-  EventLog& log = *State();
-  log.appender->Write();
+  if (EventLogState() == nullptr) return;
+  EventLog& log = *EventLogState();
+  log.appender->WritePending();
   const std::uint64_t dropped = log.over_budget + log.appender->dropped();
-  if (dropped == log.said) return;
-  WriteLine(log, LineOf(LogPart::kKernel, LogLevel::kWarning, "lines-dropped",
-                        {{"dropped", dropped - log.said},
-                         {"over_budget", log.over_budget},
-                         {"reader_slow", log.appender->dropped()}}));
-  log.said = dropped;
+  if (dropped == log.reported_drops) return;
+  WriteLine(log,
+            FormatLine(LogPart::kKernel, LogLevel::kWarning, "lines-dropped",
+                       {{"dropped", dropped - log.reported_drops},
+                        {"over_budget", log.over_budget},
+                        {"reader_slow", log.appender->dropped()}}));
+  log.reported_drops = dropped;
 }
 
 LogCounts EventLogCounts() {
-  if (State() == nullptr) return {};
-  return {State()->written, State()->over_budget, State()->appender->dropped()};
+  if (EventLogState() == nullptr) return {};
+  return {EventLogState()->written, EventLogState()->over_budget,
+          EventLogState()->appender->dropped()};
 }
 
 }  // namespace egretladder::kernel
--- a/kernel/src/loop.cc
+++ b/kernel/src/loop.cc
@@ -14,7 +14,7 @@
 
 // The signature is libevent's.
 // NOLINTNEXTLINE(google-runtime-int)
-void Fire(evutil_socket_t /*fd*/, short /*what*/, void* arg) {
+void OnEvent(evutil_socket_t /*fd*/, short /*what*/, void* arg) {
   // A copy, since the action may replace or drop its own watch.
   const auto action = *static_cast<std::function<void()>*>(arg);
   action();
@@ -23,13 +23,13 @@
 // Waits for `signal`, or for the time alone when it is -1. A template, since
 // the state is private to its watch.
 template <typename State>
-std::unique_ptr<State> Await(Loop& loop, int signal, int flags,
-                             const timeval* interval,
-                             std::function<void()> action) {
+std::unique_ptr<State> AddEvent(Loop& loop, int signal, int flags,
+                                const timeval* interval,
+                                std::function<void()> action) {
   auto state = std::make_unique<State>();
   state->action = std::move(action);
   state->ev.reset(event_new(loop.base.get(), signal,
-                            static_cast<std::int16_t>(flags), Fire,
+                            static_cast<std::int16_t>(flags), OnEvent,
                             &state->action));
   event_add(state->ev.get(), interval);
   return state;
@@ -60,8 +60,8 @@
             std::function<void()> action) {
   const timeval interval = ToTimeval(period);
   Watch watch;
-  watch.state_ =
-      Await<Watch::State>(loop, -1, EV_PERSIST, &interval, std::move(action));
+  watch.state_ = AddEvent<Watch::State>(loop, -1, EV_PERSIST, &interval,
+                                        std::move(action));
   return watch;
 }
 
@@ -69,14 +69,15 @@
             std::function<void()> action) {
   const timeval interval = ToTimeval(delay);
   Watch watch;
-  watch.state_ = Await<Watch::State>(loop, -1, 0, &interval, std::move(action));
+  watch.state_ =
+      AddEvent<Watch::State>(loop, -1, 0, &interval, std::move(action));
   return watch;
 }
 
 Watch OnSignal(Loop& loop, int signal, std::function<void()> action) {
   Watch watch;
-  watch.state_ = Await<Watch::State>(loop, signal, EV_SIGNAL | EV_PERSIST,
-                                     nullptr, std::move(action));
+  watch.state_ = AddEvent<Watch::State>(loop, signal, EV_SIGNAL | EV_PERSIST,
+                                        nullptr, std::move(action));
   return watch;
 }
 
--- a/kernel/src/metrics.cc
+++ b/kernel/src/metrics.cc
@@ -26,17 +26,17 @@
 
 // Upper ends in seconds, from a small answer's time to what no caller waits
 // for.
-constexpr std::array<double, 11> kEnds = {0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
-                                          0.5,   1,    2.5,   5,    10};
+constexpr std::array<double, 11> kBucketBoundsSeconds = {
+    0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10};
 
 namespace bh = boost::histogram;
-using Ranges = decltype(bh::make_histogram(
-    bh::axis::variable<>(std::begin(kEnds), std::end(kEnds))));
+using Buckets = decltype(bh::make_histogram(bh::axis::variable<>(
+    std::begin(kBucketBoundsSeconds), std::end(kBucketBoundsSeconds))));
 
 struct Histogram {
-  Ranges ranges = bh::make_histogram(
-      bh::axis::variable<>(std::begin(kEnds), std::end(kEnds)));
-  double sum = 0;
+  Buckets buckets = bh::make_histogram(bh::axis::variable<>(
+      std::begin(kBucketBoundsSeconds), std::end(kBucketBoundsSeconds)));
+  double sum_seconds = 0;
 };
 
 struct Series {
@@ -47,7 +47,7 @@
   std::uint32_t idx = 0;
 };
 
-double Seconds(std::chrono::nanoseconds duration) {
+double ToSeconds(std::chrono::nanoseconds duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
@@ -68,21 +68,21 @@
 namespace {
 
 // Returns true when the series is new and needs its value made.
-bool AddSeries(Metrics& metrics, const Series& series, std::uint32_t next,
+bool AddSeries(Metrics& metrics, const Series& series, std::uint32_t next_idx,
                std::uint32_t* idx) {
-  auto [at, is_new] =
+  auto [it, is_new] =
       metrics.state().series.try_emplace({series.name, series.labels}, series);
-  if (is_new) at->second.idx = next;
-  *idx = at->second.idx;
+  if (is_new) it->second.idx = next_idx;
+  *idx = it->second.idx;
   return is_new;
 }
 
-double EstimateOf(const Quantiles& set, double quantile) {
-  if (acc::count(set) == 0) return 0;
-  return acc::quantile(set, acc::quantile_probability = quantile);
+double EstimateQuantile(const Quantiles& summary, double quantile) {
+  if (acc::count(summary) == 0) return 0;
+  return acc::quantile(summary, acc::quantile_probability = quantile);
 }
 
-std::string Labelled(const Series& series, const std::string& extra = "") {
+std::string FormatLabels(const Series& series, const std::string& extra = "") {
   std::string labels = series.labels;
   if (!labels.empty() && !extra.empty()) labels += ",";
   labels += extra;
@@ -90,38 +90,41 @@
 }
 
 void WriteQuantiles(std::ostream& out, const Series& series,
-                    const Quantiles& set) {
+                    const Quantiles& summary) {
   for (const double quantile : kQuantiles) {
     std::ostringstream label;
     label << "quantile=\"" << quantile << "\"";
-    out << series.name << Labelled(series, label.str()) << ' '
-        << EstimateOf(set, quantile) << '\n';
+    out << series.name << FormatLabels(series, label.str()) << ' '
+        << EstimateQuantile(summary, quantile) << '\n';
   }
-  out << series.name << "_sum" << Labelled(series) << ' ' << acc::sum(set)
-      << '\n';
-  out << series.name << "_count" << Labelled(series) << ' ' << acc::count(set)
-      << '\n';
+  out << series.name << "_sum" << FormatLabels(series) << ' '
+      << acc::sum(summary) << '\n';
+  out << series.name << "_count" << FormatLabels(series) << ' '
+      << acc::count(summary) << '\n';
 }
 
 void WriteHistogram(std::ostream& out, const Series& series,
                     const Histogram& histogram) {
   // A range's upper end belongs to the next one in Boost's and to it in
   // Prometheus's; a sample of just that length is as good as none.
-  double below = histogram.ranges.at(-1);
-  for (std::size_t i = 0; i < kEnds.size(); ++i) {
-    if (i > 0) below += histogram.ranges.at(static_cast<int>(i) - 1);
+  double cumulative_count = histogram.buckets.at(-1);
+  for (std::size_t i = 0; i < kBucketBoundsSeconds.size(); ++i) {
+    if (i > 0)
+      cumulative_count += histogram.buckets.at(static_cast<int>(i) - 1);
     std::ostringstream label;
-    label << "le=\"" << kEnds[i] << "\"";
-    out << series.name << "_bucket" << Labelled(series, label.str()) << ' '
-        << below << '\n';
+    label << "le=\"" << kBucketBoundsSeconds[i] << "\"";
+    out << series.name << "_bucket" << FormatLabels(series, label.str()) << ' '
+        << cumulative_count << '\n';
   }
-  const double all =
-      below + histogram.ranges.at(static_cast<int>(kEnds.size()) - 1);
-  out << series.name << "_bucket" << Labelled(series, "le=\"+Inf\"") << ' '
-      << all << '\n';
-  out << series.name << "_sum" << Labelled(series) << ' ' << histogram.sum
+  const double total_count =
+      cumulative_count +
+      histogram.buckets.at(static_cast<int>(kBucketBoundsSeconds.size()) - 1);
+  out << series.name << "_bucket" << FormatLabels(series, "le=\"+Inf\"") << ' '
+      << total_count << '\n';
+  out << series.name << "_sum" << FormatLabels(series) << ' '
+      << histogram.sum_seconds << '\n';
+  out << series.name << "_count" << FormatLabels(series) << ' ' << total_count
       << '\n';
-  out << series.name << "_count" << Labelled(series) << ' ' << all << '\n';
 }
 
 }  // namespace
@@ -172,8 +175,8 @@
   return handle;
 }
 
-void Increment(Metrics& metrics, CounterHandle counter, std::uint64_t by) {
-  metrics.state().counters[counter.idx] += by;
+void Increment(Metrics& metrics, CounterHandle counter, std::uint64_t amount) {
+  metrics.state().counters[counter.idx] += amount;
 }
 
 void Set(Metrics& metrics, GaugeHandle gauge, double value) {
@@ -182,14 +185,14 @@
 
 void Observe(Metrics& metrics, QuantileHandle quantiles,
              std::chrono::nanoseconds sample) {
-  metrics.state().quantiles[quantiles.idx](Seconds(sample));
+  metrics.state().quantiles[quantiles.idx](ToSeconds(sample));
 }
 
 void Observe(Metrics& metrics, HistogramHandle histogram,
              std::chrono::nanoseconds sample) {
-  Histogram& into = metrics.state().histograms[histogram.idx];
-  into.ranges(Seconds(sample));
-  into.sum += Seconds(sample);
+  Histogram& target = metrics.state().histograms[histogram.idx];
+  target.buckets(ToSeconds(sample));
+  target.sum_seconds += ToSeconds(sample);
 }
 
 std::uint64_t ValueOf(const Metrics& metrics, CounterHandle counter) {
@@ -199,7 +202,7 @@
 std::chrono::nanoseconds QuantileOf(const Metrics& metrics,
                                     QuantileHandle quantiles, double quantile) {
   const double seconds =
-      EstimateOf(metrics.state().quantiles[quantiles.idx], quantile);
+      EstimateQuantile(metrics.state().quantiles[quantiles.idx], quantile);
   return std::chrono::duration_cast<std::chrono::nanoseconds>(
       std::chrono::duration<double>(seconds));
 }
@@ -207,12 +210,12 @@
 std::string PrometheusText(const Metrics& metrics) {
   const MetricsState& state = metrics.state();
   std::ostringstream out;
-  std::string last;
+  std::string last_name;
   for (const auto& [key, series] : state.series) {
-    if (series.name != last) {
+    if (series.name != last_name) {
       out << "# HELP " << series.name << ' ' << series.help << '\n';
       out << "# TYPE " << series.name << ' ' << series.type << '\n';
-      last = series.name;
+      last_name = series.name;
     }
     const std::string_view type = series.type;
     if (type == "summary") {
@@ -220,11 +223,11 @@
     } else if (type == "histogram") {
       WriteHistogram(out, series, state.histograms[series.idx]);
     } else if (type == "counter") {
-      out << series.name << Labelled(series) << ' '
+      out << series.name << FormatLabels(series) << ' '
           << state.counters[series.idx] << '\n';
     } else {
-      out << series.name << Labelled(series) << ' ' << state.gauges[series.idx]
-          << '\n';
+      out << series.name << FormatLabels(series) << ' '
+          << state.gauges[series.idx] << '\n';
     }
   }
   return out.str();
--- a/kernel/src/settings.cc
+++ b/kernel/src/settings.cc
@@ -12,16 +12,16 @@
 namespace egretladder::kernel {
 namespace {
 
-std::string NameOf(std::string_view section, std::string_view key) {
+std::string QualifiedName(std::string_view section, std::string_view key) {
   return std::string(section) + "." + std::string(key);
 }
 
 std::optional<std::uint64_t> ParseCount(const std::string& text,
-                                        std::string* rest) {
+                                        std::string* suffix) {
   if (text.empty() || text[0] < '0' || text[0] > '9') return std::nullopt;
   char* end = nullptr;
   const std::uint64_t number = std::strtoull(text.c_str(), &end, 10);
-  *rest = end;
+  *suffix = end;
   return number;
 }
 
@@ -46,9 +46,9 @@
 bool IsAddress(const std::string& text) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) return false;
-  std::string rest;
-  const auto port = ParseCount(text.substr(colon + 1), &rest);
-  if (!port || !rest.empty() || *port > 65535) return false;
+  std::string suffix;
+  const auto port = ParseCount(text.substr(colon + 1), &suffix);
+  if (!port || !suffix.empty() || *port > 65535) return false;
   in6_addr parsed{};
   std::string host = text.substr(0, colon);
   if (inet_pton(AF_INET, host.c_str(), &parsed) == 1) return true;
@@ -59,14 +59,14 @@
   return inet_pton(AF_INET6, host.c_str(), &parsed) == 1;
 }
 
-bool IsValid(const std::string& value, SettingKind kind) {
-  std::string rest;
+bool IsValidValue(const std::string& value, SettingKind kind) {
+  std::string suffix;
   switch (kind) {
     case SettingKind::kText:
     case SettingKind::kSecret:
       return true;
     case SettingKind::kCount:
-      return ParseCount(value, &rest) && rest.empty();
+      return ParseCount(value, &suffix) && suffix.empty();
     case SettingKind::kBytes:
       return ParseBytes(value).has_value();
     case SettingKind::kNumber:
@@ -87,69 +87,72 @@
   return nullptr;
 }
 
-Error Fault(std::string_view file, std::uint32_t line, std::string detail) {
+Error MakeSettingError(std::string_view file, std::uint32_t line,
+                       std::string detail) {
   return MakeError(ErrorCode::kInvalidInput, "read settings",
                    std::string(file) + ":" + std::to_string(line),
                    std::move(detail));
 }
 
-std::string ShownValue(const SettingSpec& spec, const std::string& value) {
+std::string FormatValue(const SettingSpec& spec, const std::string& value) {
   return spec.kind == SettingKind::kSecret ? "(secret)" : "'" + value + "'";
 }
 
-void TakeEntry(const IniEntry& entry, std::string_view file,
-               std::span<const SettingSpec> specs, Settings& settings,
-               std::vector<Error>& faults) {
+void ApplyEntry(const IniEntry& entry, std::string_view file,
+                std::span<const SettingSpec> specs, Settings& settings,
+                std::vector<Error>& errors) {
   const SettingSpec* spec = FindSpec(specs, entry);
-  const std::string name = NameOf(entry.section, entry.key);
+  const std::string name = QualifiedName(entry.section, entry.key);
   if (spec == nullptr) {
-    faults.push_back(Fault(file, entry.line, "unknown key '" + name + "'"));
+    errors.push_back(
+        MakeSettingError(file, entry.line, "unknown key '" + name + "'"));
     return;
   }
-  if (!IsValid(entry.value, spec->kind)) {
-    faults.push_back(Fault(file, entry.line,
-                           name + " is " + ShownValue(*spec, entry.value) +
-                               ", expected " + std::string(spec->expected)));
+  if (!IsValidValue(entry.value, spec->kind)) {
+    errors.push_back(
+        MakeSettingError(file, entry.line,
+                         name + " is " + FormatValue(*spec, entry.value) +
+                             ", expected " + std::string(spec->expected)));
     return;
   }
   settings.values[name] = entry.value;
 }
 
-const std::string& Find(const Settings& settings, std::string_view section,
-                        std::string_view key) {
-  const auto at = settings.values.find(NameOf(section, key));
-  if (at == settings.values.end()) std::abort();
-  return at->second;
+const std::string& FindValue(const Settings& settings, std::string_view section,
+                             std::string_view key) {
+  const auto it = settings.values.find(QualifiedName(section, key));
+  if (it == settings.values.end()) std::abort();
+  return it->second;
 }
 
 }  // namespace
 
 Result<Settings> ReadSettings(const std::string& text, std::string_view file,
                               std::span<const SettingSpec> specs,
-                              std::vector<Error>* faults) {
-  std::vector<Error> found;
+                              std::vector<Error>* errors) {
+  std::vector<Error> found_errors;
   Settings settings;
   auto entries = ReadIni(text, file);
   if (!entries) {
-    if (faults != nullptr) faults->push_back(entries.error());
+    if (errors != nullptr) errors->push_back(entries.error());
     return entries.error();
   }
   for (const IniEntry& entry : entries.value()) {
-    TakeEntry(entry, file, specs, settings, found);
+    ApplyEntry(entry, file, specs, settings, found_errors);
   }
   for (const SettingSpec& spec : specs) {
-    const std::string name = NameOf(spec.section, spec.key);
+    const std::string name = QualifiedName(spec.section, spec.key);
     if (settings.values.contains(name)) continue;
-    if (spec.required && found.empty()) {
-      found.push_back(Fault(
+    if (spec.required && found_errors.empty()) {
+      found_errors.push_back(MakeSettingError(
           file, 0,
           "missing '" + name + "', expected " + std::string(spec.expected)));
     }
-    settings.values[name] = std::string(spec.standard);
+    settings.values[name] = std::string(spec.default_value);
   }
-  if (!found.empty()) {
-    if (faults != nullptr) *faults = found;
-    return found.front();
+  if (!found_errors.empty()) {
+    if (errors != nullptr) *errors = found_errors;
+    return found_errors.front();
   }
   return settings;
 }
@@ -163,72 +166,72 @@
       text += "  [" + std::string(section) + "]\n";
     }
     text += "    " + std::string(spec.key) + " = ";
-    text += spec.required           ? "(required)"
-            : spec.standard.empty() ? "(none)"
-                                    : std::string(spec.standard);
+    text += spec.required                ? "(required)"
+            : spec.default_value.empty() ? "(none)"
+                                         : std::string(spec.default_value);
     text += "  ; " + std::string(spec.expected) + "\n";
   }
   return text;
 }
 
 SettingsChecker::SettingsChecker(const std::string& text, std::string_view file,
-                                 std::vector<Error>& faults)
-    : file_(file), faults_(faults) {
+                                 std::vector<Error>& errors)
+    : file_(file), errors_(errors) {
   auto entries = ReadIni(text, file);
   if (entries) entries_ = std::move(entries).value();
 }
 
 void SettingsChecker::Fault(std::string_view section, std::string_view key,
                             const std::string& detail) {
-  const auto at = std::find_if(
+  const auto it = std::find_if(
       entries_.begin(), entries_.end(), [&](const IniEntry& entry) {
         return entry.section == section && entry.key == key;
       });
-  const std::uint32_t line = at == entries_.end() ? 0 : at->line;
-  faults_.push_back(MakeError(ErrorCode::kInvalidInput, "read settings",
+  const std::uint32_t line = it == entries_.end() ? 0 : it->line;
+  errors_.push_back(MakeError(ErrorCode::kInvalidInput, "read settings",
                               file_ + ":" + std::to_string(line),
-                              NameOf(section, key) + " " + detail));
+                              QualifiedName(section, key) + " " + detail));
 }
 
 std::vector<std::string> SplitList(const std::string& text) {
   std::vector<std::string> items;
-  std::size_t at = 0;
-  while (at <= text.size()) {
-    const std::size_t comma = std::min(text.find(',', at), text.size());
-    std::string item = text.substr(at, comma - at);
+  std::size_t start = 0;
+  while (start <= text.size()) {
+    const std::size_t comma = std::min(text.find(',', start), text.size());
+    std::string item = text.substr(start, comma - start);
     std::erase(item, ' ');
     if (!item.empty()) items.push_back(std::move(item));
-    at = comma + 1;
+    start = comma + 1;
   }
   return items;
 }
 
 const std::string& TextOf(const Settings& settings, std::string_view section,
                           std::string_view key) {
-  return Find(settings, section, key);
+  return FindValue(settings, section, key);
 }
 
 std::uint64_t CountOf(const Settings& settings, std::string_view section,
                       std::string_view key) {
-  std::string rest;
-  return ParseCount(Find(settings, section, key), &rest).value_or(0);
+  std::string suffix;
+  return ParseCount(FindValue(settings, section, key), &suffix).value_or(0);
 }
 
 double NumberOf(const Settings& settings, std::string_view section,
                 std::string_view key) {
-  return ParseNumber(Find(settings, section, key)).value_or(0);
+  return ParseNumber(FindValue(settings, section, key)).value_or(0);
 }
 
 std::uint64_t BytesOf(const Settings& settings, std::string_view section,
                       std::string_view key) {
-  return ParseBytes(Find(settings, section, key)).value_or(0);
+  return ParseBytes(FindValue(settings, section, key)).value_or(0);
 }
 
 std::chrono::milliseconds DurationOf(const Settings& settings,
                                      std::string_view section,
                                      std::string_view key) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
-      ParseDuration(Find(settings, section, key).c_str()));
+      ParseDuration(FindValue(settings, section, key).c_str()));
 }
 
 }  // namespace egretladder::kernel
--- a/kernel/tests/kernel_test.cc
+++ b/kernel/tests/kernel_test.cc
@@ -81,17 +81,17 @@
 }
 
 TEST(Settings, NamesEveryFaultWithItsLine) {
-  std::vector<ek::Error> faults;
+  std::vector<ek::Error> errors;
   const auto read = ek::ReadSettings(
       "[node]\nname = n1\ncallers = here:80\nprot = 1\n[limits]\nbody = 4\n",
-      "n.ini", specs_, &faults);
+      "n.ini", specs_, &errors);
   CHECK_FALSE(read.has_value());
-  CHECK_EQUAL(3U, faults.size());
+  CHECK_EQUAL(3U, errors.size());
   STRCMP_EQUAL(
       "read settings: n.ini:3: node.callers is 'here:80', expected IP:port",
-      ek::Describe(faults[0]).c_str());
-  STRCMP_EQUAL("n.ini:4", faults[1].peer.c_str());
-  STRCMP_EQUAL("n.ini:6", faults[2].peer.c_str());
+      ek::Describe(errors[0]).c_str());
+  STRCMP_EQUAL("n.ini:4", errors[1].peer.c_str());
+  STRCMP_EQUAL("n.ini:6", errors[2].peer.c_str());
 }
 
 TEST(Settings, MissingRequiredKeyIsAFault) {
--- a/kernel/tests/log_event_test.cc
+++ b/kernel/tests/log_event_test.cc
@@ -24,30 +24,30 @@
     close(pipe[0]);
     close(pipe[1]);
   }
-  std::string Read() {
+  std::string ReadAvailable() {
     std::string text;
-    std::array<char, 65536> some{};
+    std::array<char, 65536> buffer{};
     ssize_t size = 0;
-    while ((size = read(pipe[0], some.data(), some.size())) > 0) {
-      text.append(some.data(), static_cast<std::size_t>(size));
+    while ((size = read(pipe[0], buffer.data(), buffer.size())) > 0) {
+      text.append(buffer.data(), static_cast<std::size_t>(size));
     }
     return text;
   }
   /// All that waits, and the line that tells of drops.
   std::string ReadAll() {
     std::string text;
-    for (int turn = 0; turn < 200; ++turn) {
-      text += Read();
+    for (int round = 0; round < 200; ++round) {
+      text += ReadAvailable();
       ek::FlushEventLog();
     }
-    return text + Read();
+    return text + ReadAvailable();
   }
 };
 
 TEST(LogEvent, WritesOneObjectALine) {
   ek::LogEvent(ek::LogPart::kRoute, ek::LogLevel::kInfo, "sent",
                {{"req", "a\"b\n"}, {"ms", 12.5}, {"count", 7}});
-  const std::string text = Read();
+  const std::string text = ReadAvailable();
   STRCMP_CONTAINS(R"("level":"info","part":"route","event":"sent",)",
                   text.c_str());
   STRCMP_CONTAINS(R"("req":"a\"b\n","ms":12.500,"count":7})", text.c_str());
@@ -56,34 +56,34 @@
 
 TEST(LogEvent, LeavesOutWhatIsBelowTheLevel) {
   ek::LogEvent(ek::LogPart::kRoute, ek::LogLevel::kDebug, "x", {});
-  STRCMP_EQUAL("", Read().c_str());
+  STRCMP_EQUAL("", ReadAvailable().c_str());
 }
 
 // A burst of thousands of requests in a second, some of which fail. The lines
 // of those that went well must not push out the few that explain a complaint.
 TEST(LogEvent, KeepsFailuresWhenThereAreTooManyLines) {
-  for (std::uint32_t i = 0; i < 2 * ek::kLogLinesMost; ++i) {
+  for (std::uint32_t i = 0; i < 2 * ek::kMaxLogLinesPerSecond; ++i) {
     ek::LogEvent(ek::LogPart::kRoute, ek::LogLevel::kInfo, "fine", {});
   }
   ek::LogEvent(ek::LogPart::kRoute, ek::LogLevel::kWarning, "failed", {});
   const std::string text = ReadAll();
   STRCMP_CONTAINS("\"failed\"", text.c_str());
   STRCMP_CONTAINS(R"("event":"lines-dropped","dropped":2500)", text.c_str());
-  LONGS_EQUAL(ek::kLogLinesInfo + 2,
+  LONGS_EQUAL(ek::kMaxInfoLogLinesPerSecond + 2,
               std::count(text.begin(), text.end(), '\n'));
   ek::Advance(clock, std::chrono::seconds(1));
   ek::LogEvent(ek::LogPart::kRoute, ek::LogLevel::kInfo, "next", {});
-  STRCMP_CONTAINS("\"next\"", Read().c_str());
+  STRCMP_CONTAINS("\"next\"", ReadAvailable().c_str());
 }
 
 // Whoever reads standard output stands still, and the pipe fills up. A write
 // that waited would stop every request of the node.
 TEST(LogEvent, NeverWaitsForItsReader) {
-  const std::string wide(4000, 'x');
+  const std::string long_text(4000, 'x');
   for (int second = 0; second < 2; ++second) {
-    for (std::uint32_t i = 0; i < ek::kLogLinesInfo; ++i) {
+    for (std::uint32_t i = 0; i < ek::kMaxInfoLogLinesPerSecond; ++i) {
       ek::LogEvent(ek::LogPart::kRoute, ek::LogLevel::kInfo, "wide",
-                   {{"text", wide}});
+                   {{"text", long_text}});
     }
     ek::Advance(clock, std::chrono::seconds(1));
   }
