--- a/kernel/include/egretladder/kernel/hash.h
+++ b/kernel/include/egretladder/kernel/hash.h
@@ -9,10 +9,10 @@
 namespace egretladder::kernel {
 
 /// Hashes `bytes`; the same on every node.
-std::uint64_t HashOf(std::string_view bytes, std::uint64_t seed = 0);
+std::uint64_t HashBytes(std::string_view bytes, std::uint64_t seed = 0);
 
 /// The hash as a part of all hashes, from 0 up to 1.
-double FractionOf(std::uint64_t hash);
+double HashToFraction(std::uint64_t hash);
 
 /// The random numbers of one owner; tests fix the seed.
 using Random = std::mt19937_64;
@@ -21,15 +21,15 @@
 std::uint64_t Below(Random& random, std::uint64_t bound);
 
 /// Returns a number from 0 up to 1, the same on every platform.
-double Fraction(Random& random);
+double RandomFraction(Random& random);
 
 /// Draws 64 bits that can't be guessed.
-std::uint64_t SecretBits();
+std::uint64_t SecureRandom64();
 
 /// HMAC-SHA256 of `text` under `key`, in hexadecimal.
 std::string Sign(std::string_view key, std::string_view text);
 
 /// Compares in constant time.
-bool SameSignature(std::string_view left, std::string_view right);
+bool IsSameSignature(std::string_view left, std::string_view right);
 
 }  // namespace egretladder::kernel
--- a/kernel/include/egretladder/kernel/log.h
+++ b/kernel/include/egretladder/kernel/log.h
@@ -37,10 +37,10 @@
 std::optional<LogLevel> ParseLogLevel(std::string_view word);
 
 /// Starts logging to standard error. Call once, first thing in main.
-void StartLogs(LogFormat format, LogLevel min_level);
+void StartLogging(LogFormat format, LogLevel min_level);
 
 /// True when `Log` would write; saves making the sentence.
-bool LogEnabled(LogPart part, LogLevel level);
+bool IsLogEnabled(LogPart part, LogLevel level);
 
 /// Writes one line, when the level is not below the lowest.
 void Log(LogPart part, LogLevel level, std::string_view message);
--- a/kernel/include/egretladder/kernel/log_event.h
+++ b/kernel/include/egretladder/kernel/log_event.h
@@ -65,7 +65,7 @@
 void StopEventLog();
 
 /// True when a line of this level would be written.
-bool EventLogEnabled(LogLevel level);
+bool IsEventLogEnabled(LogLevel level);
 
 /// Writes one line: time of day, level, part, event and the fields.
 void LogEvent(LogPart part, LogLevel level, std::string_view event,
--- a/kernel/include/egretladder/kernel/loop.h
+++ b/kernel/include/egretladder/kernel/loop.h
@@ -31,7 +31,7 @@
 };
 
 /// Opens a loop on the system's clock.
-Loop OpenLoop();
+Loop CreateLoop();
 
 /// Runs until `StopLoop`.
 void RunLoop(Loop& loop);
@@ -49,7 +49,7 @@
  private:
   friend Watch Every(Loop&, std::chrono::milliseconds, std::function<void()>);
   friend Watch After(Loop&, std::chrono::milliseconds, std::function<void()>);
-  friend Watch OnSignal(Loop&, int, std::function<void()>);
+  friend Watch RunOnSignal(Loop&, int, std::function<void()>);
   struct State;
   std::unique_ptr<State> state_;
 };
@@ -61,7 +61,7 @@
 Watch After(Loop& loop, std::chrono::milliseconds delay,
             std::function<void()> action);
 /// Calls `action`, from the loop, each time the process gets `signal`.
-Watch OnSignal(Loop& loop, int signal, std::function<void()> action);
+Watch RunOnSignal(Loop& loop, int signal, std::function<void()> action);
 
 /// Returns `duration` as libevent wants it.
 timeval ToTimeval(std::chrono::microseconds duration);
--- a/kernel/include/egretladder/kernel/settings.h
+++ b/kernel/include/egretladder/kernel/settings.h
@@ -79,14 +79,14 @@
 std::uint64_t CountOf(const Settings& settings, std::string_view section,
                       std::string_view key);
 /// The value of a `kNumber`.
-double NumberOf(const Settings& settings, std::string_view section,
-                std::string_view key);
+double GetNumber(const Settings& settings, std::string_view section,
+                 std::string_view key);
 /// In bytes.
 std::uint64_t BytesOf(const Settings& settings, std::string_view section,
                       std::string_view key);
 /// The value of a `kDuration`.
-std::chrono::milliseconds DurationOf(const Settings& settings,
-                                     std::string_view section,
-                                     std::string_view key);
+std::chrono::milliseconds GetDuration(const Settings& settings,
+                                      std::string_view section,
+                                      std::string_view key);
 
 }  // namespace egretladder::kernel
--- a/kernel/include/egretladder/kernel/time.h
+++ b/kernel/include/egretladder/kernel/time.h
@@ -30,15 +30,15 @@
 Clock SuspendAwareClock();
 
 /// A clock that stands still until a test advances it.
-struct PausedClock {
+struct ManualClock {
   Time now{std::chrono::hours(1)};
 };
 
 /// Returns a view of `paused`, which must outlive it.
-Clock ViewOf(const PausedClock& paused);
+Clock ViewOf(const ManualClock& paused);
 
 /// Moves `paused` forward by `step`.
-void Advance(PausedClock& paused, std::chrono::nanoseconds step);
+void Advance(ManualClock& paused, std::chrono::nanoseconds step);
 
 /// Parses a duration such as `250ms`, `3s`, `2m`, `1h`. Returns a negative
 /// duration when `text` has no known unit or is not a number.
--- a/kernel/src/hash.cc
+++ b/kernel/src/hash.cc
@@ -9,7 +9,7 @@
 
 namespace egretladder::kernel {
 
-std::uint64_t HashOf(std::string_view bytes, std::uint64_t seed) {
+std::uint64_t HashBytes(std::string_view bytes, std::uint64_t seed) {
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
 
@@ -17,14 +17,14 @@
   return bound == 0 ? 0 : random() % bound;
 }
 
-double FractionOf(std::uint64_t hash) {
+double HashToFraction(std::uint64_t hash) {
   constexpr double kTwoToThe53 = 9007199254740992.0;  // 2^53
   return static_cast<double>(hash >> 11) / kTwoToThe53;
 }
 
-double Fraction(Random& random) { return FractionOf(random()); }
+double RandomFraction(Random& random) { return HashToFraction(random()); }
 
-std::uint64_t SecretBits() {
+std::uint64_t SecureRandom64() {
   std::uint64_t bits = 0;
   RAND_bytes(reinterpret_cast<unsigned char*>(&bits), sizeof bits);
   return bits;
@@ -46,7 +46,7 @@
   return hex;
 }
 
-bool SameSignature(std::string_view left, std::string_view right) {
+bool IsSameSignature(std::string_view left, std::string_view right) {
   return left.size() == right.size() &&
          CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
--- a/kernel/src/log.cc
+++ b/kernel/src/log.cc
@@ -65,7 +65,7 @@
   return static_cast<LogLevel>(it - kLevels.begin());
 }
 
-void StartLogs(LogFormat format, LogLevel min_level) {
+void StartLogging(LogFormat format, LogLevel min_level) {
   log4cxx::LayoutPtr layout;
   if (format == LogFormat::kJson) {
     layout = std::make_shared<log4cxx::JSONLayout>();
@@ -82,14 +82,14 @@
   logging_started = true;
 }
 
-bool LogEnabled(LogPart part, LogLevel level) {
+bool IsLogEnabled(LogPart part, LogLevel level) {
   if (!logging_started) return false;
   return AllLoggers()[static_cast<std::size_t>(part)]->isEnabledFor(
       ToLog4cxxLevel(level));
 }
 
 void Log(LogPart part, LogLevel level, std::string_view message) {
-  if (!LogEnabled(part, level)) return;
+  if (!IsLogEnabled(part, level)) return;
   AllLoggers()[static_cast<std::size_t>(part)]->forcedLog(
       ToLog4cxxLevel(level), std::string(message),
       log4cxx::spi::LocationInfo::getLocationUnavailable());
--- a/kernel/src/log_event.cc
+++ b/kernel/src/log_event.cc
@@ -163,13 +163,13 @@
   EventLogState().reset();
 }
 
-bool EventLogEnabled(LogLevel level) {
+bool IsEventLogEnabled(LogLevel level) {
   return EventLogState() != nullptr && level >= EventLogState()->min_level;
 }
 
 void LogEvent(LogPart part, LogLevel level, std::string_view event,
               LogFields fields) {
-  if (!EventLogEnabled(level) || !ConsumeLineBudget(*EventLogState(), level))
+  if (!IsEventLogEnabled(level) || !ConsumeLineBudget(*EventLogState(), level))
     return;
   WriteLine(*EventLogState(), FormatLine(part, level, event, fields));
 }
--- a/kernel/src/loop.cc
+++ b/kernel/src/loop.cc
@@ -42,7 +42,7 @@
 Watch::Watch(Watch&& other) noexcept = default;
 Watch& Watch::operator=(Watch&& other) noexcept = default;
 
-Loop OpenLoop() { return {EventBase(event_base_new()), SystemClock()}; }
+Loop CreateLoop() { return {EventBase(event_base_new()), SystemClock()}; }
 
 void RunLoop(Loop& loop) { event_base_dispatch(loop.base.get()); }
 
@@ -74,7 +74,7 @@
   return watch;
 }
 
-Watch OnSignal(Loop& loop, int signal, std::function<void()> action) {
+Watch RunOnSignal(Loop& loop, int signal, std::function<void()> action) {
   Watch watch;
   watch.state_ = AddEvent<Watch::State>(loop, signal, EV_SIGNAL | EV_PERSIST,
                                         nullptr, std::move(action));
--- a/kernel/src/settings.cc
+++ b/kernel/src/settings.cc
@@ -217,8 +217,8 @@
   return ParseCount(FindValue(settings, section, key), &suffix).value_or(0);
 }
 
-double NumberOf(const Settings& settings, std::string_view section,
-                std::string_view key) {
+double GetNumber(const Settings& settings, std::string_view section,
+                 std::string_view key) {
   return ParseNumber(FindValue(settings, section, key)).value_or(0);
 }
 
@@ -227,9 +227,9 @@
   return ParseBytes(FindValue(settings, section, key)).value_or(0);
 }
 
-std::chrono::milliseconds DurationOf(const Settings& settings,
-                                     std::string_view section,
-                                     std::string_view key) {
+std::chrono::milliseconds GetDuration(const Settings& settings,
+                                      std::string_view section,
+                                      std::string_view key) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
       ParseDuration(FindValue(settings, section, key).c_str()));
 }
--- a/kernel/src/time.cc
+++ b/kernel/src/time.cc
@@ -21,7 +21,7 @@
 }
 
 Time PausedNow(const void* source) {
-  return static_cast<const PausedClock*>(source)->now;
+  return static_cast<const ManualClock*>(source)->now;
 }
 
 }  // namespace
@@ -30,9 +30,9 @@
 
 Clock SuspendAwareClock() { return {SuspendAwareNow, nullptr}; }
 
-Clock ViewOf(const PausedClock& paused) { return {PausedNow, &paused}; }
+Clock ViewOf(const ManualClock& paused) { return {PausedNow, &paused}; }
 
-void Advance(PausedClock& paused, std::chrono::nanoseconds step) {
+void Advance(ManualClock& paused, std::chrono::nanoseconds step) {
   paused.now += step;
 }
 
--- a/kernel/tests/kernel_test.cc
+++ b/kernel/tests/kernel_test.cc
@@ -19,7 +19,7 @@
 TEST_GROUP(Time){};
 
 TEST(Time, PausedClockMovesOnlyWhenAdvanced) {
-  ek::PausedClock paused;
+  ek::ManualClock paused;
   const ek::Clock clock = ek::ViewOf(paused);
   const ek::Time before = ek::Now(clock);
   ek::Advance(paused, 3s);
@@ -165,15 +165,15 @@
 TEST(Hash, SignatureDependsOnKeyAndText) {
   const std::string signature = ek::Sign("key", "text");
   CHECK_EQUAL(64U, signature.size());
-  CHECK_TRUE(ek::SameSignature(signature, ek::Sign("key", "text")));
-  CHECK_FALSE(ek::SameSignature(signature, ek::Sign("key", "other")));
-  CHECK_FALSE(ek::SameSignature(signature, ""));
+  CHECK_TRUE(ek::IsSameSignature(signature, ek::Sign("key", "text")));
+  CHECK_FALSE(ek::IsSameSignature(signature, ek::Sign("key", "other")));
+  CHECK_FALSE(ek::IsSameSignature(signature, ""));
 }
 
 TEST_GROUP(Loop){};
 
 TEST(Loop, AWatchThatIsDroppedNeverFires) {
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   bool fired = false;
   {
     const ek::Watch dropped = ek::After(loop, 0ms, [&] { fired = true; });
--- a/kernel/tests/log_event_test.cc
+++ b/kernel/tests/log_event_test.cc
@@ -11,7 +11,7 @@
 namespace ek = egretladder::kernel;
 
 TEST_GROUP(LogEvent) {
-  ek::PausedClock clock;
+  ek::ManualClock clock;
   std::array<int, 2> pipe{};
 
   void setup() override {
--- a/rules/include/egretladder/rules/rules.h
+++ b/rules/include/egretladder/rules/rules.h
@@ -69,16 +69,17 @@
   std::uint32_t share = 1;    ///< Weight among the accounts of a class.
 };
 
-/// `[endpoint] NAME = address=IP:port zone=Z serves=a,b bears=16 cold_bears=2
-/// fencing=honoured|ignored holds=2 leaving=no`
+/// `[endpoint] NAME = address=IP:port zone=Z serves=a,b bears=16
+/// cold_max_in_flight=2 fencing=honoured|ignored holds=2 leaving=no`
 struct Endpoint {
   RuleSource source;
   std::string address;  ///< `IP:port`.
   ZoneHandle zone;
   std::vector<TargetHandle> serves;
-  std::uint32_t bears = 1;       ///< Requests in flight when warm.
-  std::uint32_t cold_bears = 1;  ///< Requests in flight just after a start.
-  std::uint32_t holds = 1;       ///< Models in memory at once.
+  std::uint32_t bears = 1;  ///< Requests in flight when warm.
+  std::uint32_t cold_max_in_flight =
+      1;                    ///< Requests in flight just after a start.
+  std::uint32_t holds = 1;  ///< Models in memory at once.
   bool honours_fencing = false;
   bool leaving = false;  ///< Receives no new work.
 };
--- a/rules/src/compare_rules.cc
+++ b/rules/src/compare_rules.cc
@@ -156,7 +156,8 @@
                after.bears < before.bears
                    ? "fewer requests in flight, as those in progress end"
                    : "its slots may grow further, on answers in time");
-  CompareValue(all, pair, "cold_bears", before.cold_bears, after.cold_bears,
+  CompareValue(all, pair, "cold_bears", before.cold_max_in_flight,
+               after.cold_max_in_flight,
                "what it receives right after a start changes");
   CompareValue(all, pair, "holds", before.holds, after.holds,
                "models are placed anew");
--- a/rules/src/explain_request.cc
+++ b/rules/src/explain_request.cc
@@ -76,7 +76,7 @@
     return false;
   }
   out << "takes it, bears " << endpoint.bears << ", cold "
-      << endpoint.cold_bears << SourceOf(endpoint.source);
+      << endpoint.cold_max_in_flight << SourceOf(endpoint.source);
   return true;
 }
 
--- a/rules/src/read_rules.cc
+++ b/rules/src/read_rules.cc
@@ -214,8 +214,8 @@
   endpoint.serves = ToHandles<TargetTag>(
       TakeNames(reader, line, "serves", "model or service", names.targets));
   endpoint.bears = TakeCount(reader, line, "bears", 1, 1);
-  endpoint.cold_bears = TakeCount(reader, line, "cold_bears", 1, 1);
-  if (endpoint.cold_bears > endpoint.bears) {
+  endpoint.cold_max_in_flight = TakeCount(reader, line, "cold_bears", 1, 1);
+  if (endpoint.cold_max_in_flight > endpoint.bears) {
     AddFault(reader, entry.line,
              "endpoint '" + entry.key + "': cold_bears is above bears",
              "an endpoint bears no more cold than warm");
@@ -391,7 +391,7 @@
   if (faults != nullptr) *faults = reader.faults;
   if (!reader.faults.empty()) return ToError(reader.faults.front());
   reader.rules.text = text;
-  reader.rules.digest = kernel::HashOf(text);
+  reader.rules.digest = kernel::HashBytes(text);
   return std::make_shared<const Rules>(std::move(reader.rules));
 }
 
