--- a/kernel/include/egretladder/kernel/loop.h
+++ b/kernel/include/egretladder/kernel/loop.h
@@ -39,29 +39,31 @@
 void StopLoop(Loop& loop);
 
 /// A timer or signal that lives as long as this object.
-class Watch {
+class EventWatcher {
  public:
-  Watch();
-  ~Watch();
-  Watch(Watch&& other) noexcept;
-  Watch& operator=(Watch&& other) noexcept;
+  EventWatcher();
+  ~EventWatcher();
+  EventWatcher(EventWatcher&& other) noexcept;
+  EventWatcher& operator=(EventWatcher&& other) noexcept;
 
  private:
-  friend Watch Every(Loop&, std::chrono::milliseconds, std::function<void()>);
-  friend Watch After(Loop&, std::chrono::milliseconds, std::function<void()>);
-  friend Watch RunOnSignal(Loop&, int, std::function<void()>);
+  friend EventWatcher RunEvery(Loop&, std::chrono::milliseconds,
+                               std::function<void()>);
+  friend EventWatcher RunAfter(Loop&, std::chrono::milliseconds,
+                               std::function<void()>);
+  friend EventWatcher RunOnSignal(Loop&, int, std::function<void()>);
   struct State;
   std::unique_ptr<State> state_;
 };
 
 /// Calls `action` every `period`, first after one period.
-Watch Every(Loop& loop, std::chrono::milliseconds period,
-            std::function<void()> action);
+EventWatcher RunEvery(Loop& loop, std::chrono::milliseconds period,
+                      std::function<void()> action);
 /// Calls `action` once after `delay`, or not at all if the watch goes first.
-Watch After(Loop& loop, std::chrono::milliseconds delay,
-            std::function<void()> action);
+EventWatcher RunAfter(Loop& loop, std::chrono::milliseconds delay,
+                      std::function<void()> action);
 /// Calls `action`, from the loop, each time the process gets `signal`.
-Watch RunOnSignal(Loop& loop, int signal, std::function<void()> action);
+EventWatcher RunOnSignal(Loop& loop, int signal, std::function<void()> action);
 
 /// Returns `duration` as libevent wants it.
 timeval ToTimeval(std::chrono::microseconds duration);
--- a/kernel/src/loop.cc
+++ b/kernel/src/loop.cc
@@ -5,7 +5,7 @@
 
 namespace egretladder::kernel {
 
-struct Watch::State {
+struct EventWatcher::State {
   std::function<void()> action;
   Event ev;
 };
@@ -37,10 +37,10 @@
 
 }  // namespace
 
-Watch::Watch() = default;
-Watch::~Watch() = default;
-Watch::Watch(Watch&& other) noexcept = default;
-Watch& Watch::operator=(Watch&& other) noexcept = default;
+EventWatcher::EventWatcher() = default;
+EventWatcher::~EventWatcher() = default;
+EventWatcher::EventWatcher(EventWatcher&& other) noexcept = default;
+EventWatcher& EventWatcher::operator=(EventWatcher&& other) noexcept = default;
 
 Loop CreateLoop() { return {EventBase(event_base_new()), SystemClock()}; }
 
@@ -56,28 +56,28 @@
   return value;
 }
 
-Watch Every(Loop& loop, std::chrono::milliseconds period,
-            std::function<void()> action) {
+EventWatcher RunEvery(Loop& loop, std::chrono::milliseconds period,
+                      std::function<void()> action) {
   const timeval interval = ToTimeval(period);
-  Watch watch;
-  watch.state_ = AddEvent<Watch::State>(loop, -1, EV_PERSIST, &interval,
-                                        std::move(action));
+  EventWatcher watch;
+  watch.state_ = AddEvent<EventWatcher::State>(loop, -1, EV_PERSIST, &interval,
+                                               std::move(action));
   return watch;
 }
 
-Watch After(Loop& loop, std::chrono::milliseconds delay,
-            std::function<void()> action) {
+EventWatcher RunAfter(Loop& loop, std::chrono::milliseconds delay,
+                      std::function<void()> action) {
   const timeval interval = ToTimeval(delay);
-  Watch watch;
+  EventWatcher watch;
   watch.state_ =
-      AddEvent<Watch::State>(loop, -1, 0, &interval, std::move(action));
+      AddEvent<EventWatcher::State>(loop, -1, 0, &interval, std::move(action));
   return watch;
 }
 
-Watch RunOnSignal(Loop& loop, int signal, std::function<void()> action) {
-  Watch watch;
-  watch.state_ = AddEvent<Watch::State>(loop, signal, EV_SIGNAL | EV_PERSIST,
-                                        nullptr, std::move(action));
+EventWatcher RunOnSignal(Loop& loop, int signal, std::function<void()> action) {
+  EventWatcher watch;
+  watch.state_ = AddEvent<EventWatcher::State>(
+      loop, signal, EV_SIGNAL | EV_PERSIST, nullptr, std::move(action));
   return watch;
 }
 
--- a/kernel/tests/kernel_test.cc
+++ b/kernel/tests/kernel_test.cc
@@ -176,9 +176,11 @@
   ek::Loop loop = ek::CreateLoop();
   bool fired = false;
   {
-    const ek::Watch dropped = ek::After(loop, 0ms, [&] { fired = true; });
+    const ek::EventWatcher dropped =
+        ek::RunAfter(loop, 0ms, [&] { fired = true; });
   }
-  const ek::Watch stop = ek::After(loop, 1ms, [&] { ek::StopLoop(loop); });
+  const ek::EventWatcher stop =
+      ek::RunAfter(loop, 1ms, [&] { ek::StopLoop(loop); });
   ek::RunLoop(loop);
   CHECK_FALSE(fired);
 }
