--- a/kernel/include/egretladder/kernel/hash.h
+++ b/kernel/include/egretladder/kernel/hash.h
@@ -18,7 +18,7 @@
 using Random = std::mt19937_64;
 
 /// Returns a whole number from 0 to `bound` - 1, the same on every platform.
-std::uint64_t Below(Random& random, std::uint64_t bound);
+std::uint64_t RandomBelow(Random& random, std::uint64_t bound);
 
 /// Returns a number from 0 up to 1, the same on every platform.
 double RandomFraction(Random& random);
--- a/kernel/src/hash.cc
+++ b/kernel/src/hash.cc
@@ -13,7 +13,7 @@
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
 
-std::uint64_t Below(Random& random, std::uint64_t bound) {
+std::uint64_t RandomBelow(Random& random, std::uint64_t bound) {
   return bound == 0 ? 0 : random() % bound;
 }
 
