--- a/kernel/include/egretladder/kernel/settings.h
+++ b/kernel/include/egretladder/kernel/settings.h
@@ -60,8 +60,8 @@
                   std::vector<Error>& errors);
 
   /// `detail` follows the name of the setting, as in "is 0".
-  void Fault(std::string_view section, std::string_view key,
-             const std::string& detail);
+  void AddError(std::string_view section, std::string_view key,
+                const std::string& detail);
 
  private:
   std::string file_;
@@ -73,17 +73,17 @@
 std::vector<std::string> SplitList(const std::string& text);
 
 /// The value as text, of any kind.
-const std::string& TextOf(const Settings& settings, std::string_view section,
-                          std::string_view key);
+const std::string& GetText(const Settings& settings, std::string_view section,
+                           std::string_view key);
 /// The value of a `kCount`.
-std::uint64_t CountOf(const Settings& settings, std::string_view section,
-                      std::string_view key);
+std::uint64_t GetCount(const Settings& settings, std::string_view section,
+                       std::string_view key);
 /// The value of a `kNumber`.
 double GetNumber(const Settings& settings, std::string_view section,
                  std::string_view key);
 /// In bytes.
-std::uint64_t BytesOf(const Settings& settings, std::string_view section,
-                      std::string_view key);
+std::uint64_t GetBytes(const Settings& settings, std::string_view section,
+                       std::string_view key);
 /// The value of a `kDuration`.
 std::chrono::milliseconds GetDuration(const Settings& settings,
                                       std::string_view section,
--- a/kernel/src/settings.cc
+++ b/kernel/src/settings.cc
@@ -181,8 +181,8 @@
   if (entries) entries_ = std::move(entries).value();
 }
 
-void SettingsChecker::Fault(std::string_view section, std::string_view key,
-                            const std::string& detail) {
+void SettingsChecker::AddError(std::string_view section, std::string_view key,
+                               const std::string& detail) {
   const auto it = std::find_if(
       entries_.begin(), entries_.end(), [&](const IniEntry& entry) {
         return entry.section == section && entry.key == key;
@@ -206,13 +206,13 @@
   return items;
 }
 
-const std::string& TextOf(const Settings& settings, std::string_view section,
-                          std::string_view key) {
+const std::string& GetText(const Settings& settings, std::string_view section,
+                           std::string_view key) {
   return FindValue(settings, section, key);
 }
 
-std::uint64_t CountOf(const Settings& settings, std::string_view section,
-                      std::string_view key) {
+std::uint64_t GetCount(const Settings& settings, std::string_view section,
+                       std::string_view key) {
   std::string suffix;
   return ParseCount(FindValue(settings, section, key), &suffix).value_or(0);
 }
@@ -222,8 +222,8 @@
   return ParseNumber(FindValue(settings, section, key)).value_or(0);
 }
 
-std::uint64_t BytesOf(const Settings& settings, std::string_view section,
-                      std::string_view key) {
+std::uint64_t GetBytes(const Settings& settings, std::string_view section,
+                       std::string_view key) {
   return ParseBytes(FindValue(settings, section, key)).value_or(0);
 }
 
--- a/kernel/tests/kernel_test.cc
+++ b/kernel/tests/kernel_test.cc
@@ -77,7 +77,7 @@
 TEST(Settings, FillsStandardValues) {
   const auto read = ek::ReadSettings("[node]\nname = n1\n", "n.ini", specs_);
   CHECK_TRUE(read.has_value());
-  CHECK_EQUAL(4ULL << 20U, ek::BytesOf(read.value(), "limits", "body"));
+  CHECK_EQUAL(4ULL << 20U, ek::GetBytes(read.value(), "limits", "body"));
 }
 
 TEST(Settings, NamesEveryFaultWithItsLine) {
