--- a/rules/include/egretladder/rules/rules.h
+++ b/rules/include/egretladder/rules/rules.h
@@ -129,7 +129,7 @@
 using RulesPtr = std::shared_ptr<const Rules>;
 
 /// One fault in a document, and how to mend it.
-struct Fault {
+struct ValidationError {
   std::string file;
   std::uint32_t line = 0;
   std::string what;
@@ -139,9 +139,9 @@
 /// Reads and checks a whole document. Names that stood in `previous` (may be
 /// null) keep their handles. On failure `faults`, when given, gets every fault
 /// and the error describes the first.
-kernel::Result<RulesPtr> ReadRules(const std::string& text,
-                                   std::string_view file, const Rules* previous,
-                                   std::vector<Fault>* faults = nullptr);
+kernel::Result<RulesPtr> ReadRules(
+    const std::string& text, std::string_view file, const Rules* previous,
+    std::vector<ValidationError>* faults = nullptr);
 
 /// The zone that the rules name now; not valid when none has the name.
 ZoneHandle FindZone(const Rules& rules, std::string_view name);
--- a/rules/src/read_rules.cc
+++ b/rules/src/read_rules.cc
@@ -345,16 +345,16 @@
   CheckCopies(reader);
 }
 
-kernel::Error ToError(const Fault& fault) {
+kernel::Error ToError(const ValidationError& fault) {
   return kernel::MakeError(kernel::ErrorCode::kInvalidInput, "read rules",
                            fault.file + ":" + std::to_string(fault.line),
                            fault.what + "; " + fault.hint);
 }
 
 /// Splits `file:line` as the INI reader gives it.
-Fault ToFault(const kernel::Error& error, std::string_view file) {
-  Fault fault{std::string(file), 0, error.detail,
-              "write `key = words ; who asked`, each key once"};
+ValidationError ToFault(const kernel::Error& error, std::string_view file) {
+  ValidationError fault{std::string(file), 0, error.detail,
+                        "write `key = words ; who asked`, each key once"};
   const auto colon = error.peer.rfind(':');
   if (colon != std::string::npos) {
     const char* end = error.peer.data() + error.peer.size();
@@ -381,13 +381,14 @@
 
 kernel::Result<RulesPtr> ReadRules(const std::string& text,
                                    std::string_view file, const Rules* previous,
-                                   std::vector<Fault>* faults) {
+                                   std::vector<ValidationError>* faults) {
   Reader reader{std::string(file), {}, StartFrom(previous), {}, false};
   reader.rules.version = 0;
   ReadText(reader, text);
-  std::stable_sort(
-      reader.faults.begin(), reader.faults.end(),
-      [](const Fault& a, const Fault& b) { return a.line < b.line; });
+  std::stable_sort(reader.faults.begin(), reader.faults.end(),
+                   [](const ValidationError& a, const ValidationError& b) {
+                     return a.line < b.line;
+                   });
   if (faults != nullptr) *faults = reader.faults;
   if (!reader.faults.empty()) return ToError(reader.faults.front());
   reader.rules.text = text;
--- a/rules/src/reader_p.h
+++ b/rules/src/reader_p.h
@@ -17,7 +17,7 @@
 /// A document being read. Faults are collected, so that one pass names all.
 struct Reader {
   std::string file;
-  std::vector<Fault> faults;
+  std::vector<ValidationError> faults;
   Rules rules;
   std::map<std::string, std::string> addresses;  ///< Address to its first user.
   bool version_seen = false;
--- a/rules/tests/read_rules_test.cc
+++ b/rules/tests/read_rules_test.cc
@@ -36,16 +36,16 @@
 n1 = callers=10.0.1.1:80 peers=10.0.1.1:81 zone=bole ; Hanna
 )";
 
-std::vector<er::Fault> FaultsOf(const std::string& text) {
-  std::vector<er::Fault> faults;
+std::vector<er::ValidationError> FaultsOf(const std::string& text) {
+  std::vector<er::ValidationError> faults;
   const auto read = er::ReadRules(text, "r.ini", nullptr, &faults);
   CHECK_EQUAL(faults.empty(), read.has_value());
   return faults;
 }
 
 /// Reads a document that is whole but for `line` in `section`.
-std::vector<er::Fault> FaultsWith(const std::string& section,
-                                  const std::string& line) {
+std::vector<er::ValidationError> FaultsWith(const std::string& section,
+                                            const std::string& line) {
   std::string text = kWhole;
   const std::string head = "[" + section + "]\n";
   text.insert(text.find(head) + head.size(), line + "\n");
