--- a/kernel/include/egretladder/kernel/time.h
+++ b/kernel/include/egretladder/kernel/time.h
@@ -35,7 +35,7 @@
 };
 
 /// Returns a view of `paused`, which must outlive it.
-Clock ViewOf(const ManualClock& paused);
+Clock ClockOf(const ManualClock& paused);
 
 /// Moves `paused` forward by `step`.
 void Advance(ManualClock& paused, std::chrono::nanoseconds step);
--- a/kernel/src/time.cc
+++ b/kernel/src/time.cc
@@ -30,7 +30,7 @@
 
 Clock SuspendAwareClock() { return {SuspendAwareNow, nullptr}; }
 
-Clock ViewOf(const ManualClock& paused) { return {PausedNow, &paused}; }
+Clock ClockOf(const ManualClock& paused) { return {PausedNow, &paused}; }
 
 void Advance(ManualClock& paused, std::chrono::nanoseconds step) {
   paused.now += step;
--- a/kernel/tests/kernel_test.cc
+++ b/kernel/tests/kernel_test.cc
@@ -20,7 +20,7 @@
 
 TEST(Time, PausedClockMovesOnlyWhenAdvanced) {
   ek::ManualClock paused;
-  const ek::Clock clock = ek::ViewOf(paused);
+  const ek::Clock clock = ek::ClockOf(paused);
   const ek::Time before = ek::Now(clock);
   ek::Advance(paused, 3s);
   CHECK(ek::Now(clock) - before == 3s);
--- a/kernel/tests/log_event_test.cc
+++ b/kernel/tests/log_event_test.cc
@@ -17,7 +17,7 @@
   void setup() override {
     CHECK_EQUAL(0, ::pipe(pipe.data()));
     fcntl(pipe[0], F_SETFL, O_NONBLOCK);
-    ek::StartEventLog(pipe[1], ek::LogLevel::kInfo, ek::ViewOf(clock));
+    ek::StartEventLog(pipe[1], ek::LogLevel::kInfo, ek::ClockOf(clock));
   }
   void teardown() override {
     ek::StopEventLog();
