--- a/rules/include/egretladder/rules/rules.h
+++ b/rules/include/egretladder/rules/rules.h
@@ -76,7 +76,7 @@
   std::string address;  ///< `IP:port`.
   ZoneHandle zone;
   std::vector<TargetHandle> serves;
-  std::uint32_t bears = 1;  ///< Requests in flight when warm.
+  std::uint32_t max_in_flight = 1;  ///< Requests in flight when warm.
   std::uint32_t cold_max_in_flight =
       1;                    ///< Requests in flight just after a start.
   std::uint32_t holds = 1;  ///< Models in memory at once.
--- a/rules/src/compare_rules.cc
+++ b/rules/src/compare_rules.cc
@@ -152,8 +152,8 @@
   CompareValue(all, pair, "serves", NamesOf(all.current.targets, before.serves),
                NamesOf(all.next.targets, after.serves),
                "calls for a model or service not listed go elsewhere");
-  CompareValue(all, pair, "bears", before.bears, after.bears,
-               after.bears < before.bears
+  CompareValue(all, pair, "bears", before.max_in_flight, after.max_in_flight,
+               after.max_in_flight < before.max_in_flight
                    ? "fewer requests in flight, as those in progress end"
                    : "its slots may grow further, on answers in time");
   CompareValue(all, pair, "cold_bears", before.cold_max_in_flight,
--- a/rules/src/explain_request.cc
+++ b/rules/src/explain_request.cc
@@ -75,7 +75,7 @@
     out << "no new work, it leaves" << SourceOf(endpoint.source);
     return false;
   }
-  out << "takes it, bears " << endpoint.bears << ", cold "
+  out << "takes it, bears " << endpoint.max_in_flight << ", cold "
       << endpoint.cold_max_in_flight << SourceOf(endpoint.source);
   return true;
 }
--- a/rules/src/read_rules.cc
+++ b/rules/src/read_rules.cc
@@ -213,9 +213,9 @@
   endpoint.zone.idx = TakeName(reader, line, "zone", "zone", names.zones, true);
   endpoint.serves = ToHandles<TargetTag>(
       TakeNames(reader, line, "serves", "model or service", names.targets));
-  endpoint.bears = TakeCount(reader, line, "bears", 1, 1);
+  endpoint.max_in_flight = TakeCount(reader, line, "bears", 1, 1);
   endpoint.cold_max_in_flight = TakeCount(reader, line, "cold_bears", 1, 1);
-  if (endpoint.cold_max_in_flight > endpoint.bears) {
+  if (endpoint.cold_max_in_flight > endpoint.max_in_flight) {
     AddFault(reader, entry.line,
              "endpoint '" + entry.key + "': cold_bears is above bears",
              "an endpoint bears no more cold than warm");
--- a/rules/tests/read_rules_test.cc
+++ b/rules/tests/read_rules_test.cc
@@ -85,7 +85,8 @@
   CHECK_TRUE(er::Allows(account, er::FindClass(rules, "bulk")));
   CHECK_FALSE(er::Allows(account, er::FindClass(rules, "enrol")));
   const auto e1 = rules.endpoints[er::FindEndpoint(rules, "e1").idx];
-  CHECK(e1.bears == 16 && e1.cold_max_in_flight == 2 && e1.honours_fencing);
+  CHECK(e1.max_in_flight == 16 && e1.cold_max_in_flight == 2 &&
+        e1.honours_fencing);
   CHECK_TRUE(er::Serves(e1, trace));
   STRCMP_EQUAL("Hanna", e1.source.asked_by.c_str());
   CHECK(er::IsValid(er::FindNode(rules, "n1")));
