--- a/rules/include/egretladder/rules/rules.h
+++ b/rules/include/egretladder/rules/rules.h
@@ -78,8 +78,8 @@
   std::vector<TargetHandle> serves;
   std::uint32_t max_in_flight = 1;  ///< Requests in flight when warm.
   std::uint32_t cold_max_in_flight =
-      1;                    ///< Requests in flight just after a start.
-  std::uint32_t holds = 1;  ///< Models in memory at once.
+      1;  ///< Requests in flight just after a start.
+  std::uint32_t max_loaded_models = 1;  ///< Models in memory at once.
   bool honours_fencing = false;
   bool leaving = false;  ///< Receives no new work.
 };
--- a/rules/src/compare_rules.cc
+++ b/rules/src/compare_rules.cc
@@ -159,8 +159,8 @@
   CompareValue(all, pair, "cold_bears", before.cold_max_in_flight,
                after.cold_max_in_flight,
                "what it receives right after a start changes");
-  CompareValue(all, pair, "holds", before.holds, after.holds,
-               "models are placed anew");
+  CompareValue(all, pair, "holds", before.max_loaded_models,
+               after.max_loaded_models, "models are placed anew");
   CompareValue(all, pair, "fencing", before.honours_fencing,
                after.honours_fencing,
                after.honours_fencing
--- a/rules/src/read_rules.cc
+++ b/rules/src/read_rules.cc
@@ -220,7 +220,7 @@
              "endpoint '" + entry.key + "': cold_bears is above bears",
              "an endpoint bears no more cold than warm");
   }
-  endpoint.holds = TakeCount(reader, line, "holds", 1, 1);
+  endpoint.max_loaded_models = TakeCount(reader, line, "holds", 1, 1);
   endpoint.honours_fencing =
       TakeFlag(reader, line, "fencing", "honoured", "ignored", false);
   endpoint.leaving = TakeFlag(reader, line, "leaving", "yes", "no", false);
