--- a/bench/one_node_bench.cc
+++ b/bench/one_node_bench.cc
@@ -62,11 +62,11 @@
 struct Stream {
   bufferevent* buffer = nullptr;
   std::size_t left = 0;
-  ek::Watch pace;
+  ek::EventWatcher pace;
 };
 
 struct EndpointServer {
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   std::size_t events = 0;
   std::chrono::milliseconds pace{};
   std::unordered_set<Stream*> streams;
@@ -93,8 +93,8 @@
       "Transfer-Encoding: chunked\r\n\r\n");
   auto* stream = new Stream{buffer, server.events, {}};
   server.streams.insert(stream);
-  stream->pace = ek::Every(server.loop, server.pace,
-                           [&server, stream] { SendEvent(server, stream); });
+  stream->pace = ek::RunEvery(server.loop, server.pace,
+                              [&server, stream] { SendEvent(server, stream); });
 }
 
 // Takes one whole request off the input; empty while it is not there.
@@ -170,7 +170,7 @@
 // ------------------------------------------------------------------ caller
 
 struct Asker {
-  ek::Loop loop = ek::OpenLoop();
+  ek::Loop loop = ek::CreateLoop();
   std::string request;
   bool stream = false;
   std::size_t left = 0;  ///< Requests still to be sent.
--- a/gateway/src/caller_http.cc
+++ b/gateway/src/caller_http.cc
@@ -107,7 +107,7 @@
   call.prefix = body.value().prefix;
   call.prompt_tokens = body.value().prompt_tokens;
   call.max_tokens = body.value().max_tokens;
-  call.body_hash = kernel::HashOf(*shape.body);
+  call.body_hash = kernel::HashBytes(*shape.body);
   return true;
 }
 
@@ -118,9 +118,9 @@
   call.target = rest.substr(0, end);
   shape.uri = end == std::string::npos ? "/" : rest.substr(end);
   if (shape.uri.front() != '/') shape.uri.insert(0, "/");
-  call.body_hash = kernel::HashOf(
-      *shape.body, kernel::HashOf(shape.original_uri,
-                                  static_cast<std::uint64_t>(shape.method)));
+  call.body_hash = kernel::HashBytes(
+      *shape.body, kernel::HashBytes(shape.original_uri,
+                                     static_cast<std::uint64_t>(shape.method)));
 }
 
 // Whether there is room to keep the body until the answer begins. Lower tiers
@@ -233,10 +233,10 @@
 net::ServerLimits LimitsOf(const Limits& limits) {
   net::ServerLimits server;
   server.size = {limits.header_bytes, limits.body_bytes};
-  server.head_time = limits.request_time;
-  server.body_time = limits.request_time;
-  server.idle_time = limits.request_time;
-  server.drain_time = limits.drain_time;
+  server.head_timeout = limits.request_time;
+  server.body_timeout = limits.request_time;
+  server.idle_timeout = limits.request_time;
+  server.write_timeout = limits.write_timeout;
   server.connections = limits.connections;
   return server;
 }
--- a/node/src/attempts.cc
+++ b/node/src/attempts.cc
@@ -78,9 +78,9 @@
   ApplyFleet(state, actions, now, out);
 }
 
-policy::RetryAnswer AskRetry(NodeState& state, const CallRecord& record,
-                             policy::EndKind end, bool started, Time now) {
-  policy::RetryQuestion question;
+policy::RetryDecision AskRetry(NodeState& state, const CallRecord& record,
+                               policy::EndKind end, bool started, Time now) {
+  policy::RetryContext question;
   question.end = end;
   question.repeatable = record.repeatable;
   question.answer_started = started;
@@ -88,11 +88,11 @@
   question.attempt = record.tries;
   question.deadline = record.give_up;
   return policy::DecideRetry(state.retry_budget, question,
-                             kernel::Fraction(state.random), now);
+                             kernel::RandomFraction(state.random), now);
 }
 
 void TryAgain(NodeState& state, CallRecord& record,
-              const policy::RetryAnswer& answer, Time now, Actions& out) {
+              const policy::RetryDecision& answer, Time now, Actions& out) {
   Decide(state, record, "retry", NameOf(answer.reason), now, out);
   record.request.avoid = record.endpoint;
   record.blamed = false;
@@ -102,7 +102,7 @@
 }
 
 void FailCall(NodeState& state, CallRecord& record,
-              const policy::RetryAnswer& answer, const std::string& detail,
+              const policy::RetryDecision& answer, const std::string& detail,
               Time now, Actions& out) {
   Decide(state, record, "no_retry", NameOf(answer.reason), now, out);
   const bool poison = answer.reason == policy::RetryReason::kPoison;
@@ -209,7 +209,7 @@
   CallRecord* record = FindAttempt(state, call, attempt);
   if (record == nullptr || !IsSent(record->stage)) return;
   policy::OnSuccess(state.retry_budget);
-  fleet::OnRanWell(*state.fleet, record->request.fingerprint);
+  fleet::ClearSuspect(*state.fleet, record->request.fingerprint);
   EndAttempt(state, *record, policy::EndKind::kDone, now);
   if (record->lane && answer != nullptr) {
     AnswerJoined(state, *record, answer, now, out);
@@ -241,7 +241,7 @@
     fleet::MarkUnsent(*state.lanes, *record->lane, record->call.key);
   }
   const auto answer = AskRetry(state, *record, end, started, now);
-  if (answer.again) {
+  if (answer.should_retry) {
     TryAgain(state, *record, answer, now, out);
   } else {
     FailCall(state, *record, answer, detail, now, out);
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -35,8 +35,8 @@
     near_ = IsNear(proxy_, peer.zone);
     CountBytes(proxy_, "in", MessageKind::kExchange, near_,
                told.totalSize().wordCount);
-    routing::OnExchanged(proxy_.members, NowOf(proxy_));
-    routing::OnHeardFrom(proxy_.members, peer.peers, NowOf(proxy_));
+    routing::OnExchangeAnswered(proxy_.members, NowOf(proxy_));
+    routing::OnPeerMessage(proxy_.members, peer.peers, NowOf(proxy_));
     auto news = context.getResults().initNews();
     WriteNews(proxy_, peer.unknown, news);
     CountBytes(proxy_, "out", MessageKind::kExchange, near_,
@@ -58,7 +58,7 @@
     CountBytes(proxy_, "in", MessageKind::kAnnounce, near_,
                told.totalSize().wordCount);
     const std::string peer = told.getPeers();
-    routing::OnHeardFrom(proxy_.members, peer, NowOf(proxy_));
+    routing::OnPeerMessage(proxy_.members, peer, NowOf(proxy_));
     HearProgress(proxy_, peer, near_, ReadProgress(told.getProgress()));
     return kj::READY_NOW;
   }
@@ -75,36 +75,37 @@
     evutil_closesocket(fd);
     return;
   }
-  net::PrepareSocket(fd);
+  net::SetTcpOptions(fd);
   net::Bufferevent buffer(bufferevent_socket_new(net.proxy->loop->base.get(),
                                                  fd, BEV_OPT_CLOSE_ON_FREE));
   net.in.push_back(std::make_unique<net::RpcServerConnection>(
       std::move(buffer), kj::heap<PeerServer>(*net.proxy), kNewsWords));
 }
 
-bool IsOver(const PeerOut& peer, Time now) {
-  return peer.broken || peer.rpc.stream.IsOver() ||
-         (peer.unanswered > 0 && now - peer.waits_since > kExchangeTime);
+bool IsDisconnected(const PeerOut& peer, Time now) {
+  return peer.broken || peer.rpc.stream.IsDisconnected() ||
+         (peer.unanswered > 0 && now - peer.waiting_since > kExchangeTime);
 }
 
 void Sweep(PeerNet& net) {
   const Time now = NowOf(*net.proxy);
   for (auto at = net.out.begin(); at != net.out.end();) {
     const PeerOut& peer = *at->second;
-    const bool over = IsOver(peer, now);
+    const bool over = IsDisconnected(peer, now);
     if (over && !peer.answered && now - peer.opened < kRefusedWithin) {
-      routing::OnUnreachable(net.proxy->members, at->first, now);
+      routing::OnPeerUnreachable(net.proxy->members, at->first, now);
     }
     if (over) {
-      for (routing::FeedPull& pull : net.pulls.feeds) {
-        routing::OnPullFailed(pull, at->first, routing::kPullSilentPause, now);
+      for (routing::FeedFetch& pull : net.feed_fetches.feeds) {
+        routing::OnFetchFailed(pull, at->first, routing::kFetchTimeoutBackoff,
+                               now);
       }
     }
     at = over || now - peer.asked > kPeerIdleTime ? net.out.erase(at)
                                                   : std::next(at);
   }
   std::erase_if(net.in, [](const auto& peer) {
-    return peer->broken || peer->stream.IsOver();
+    return peer->broken || peer->stream.IsDisconnected();
   });
   FetchNews(*net.proxy);
 }
@@ -118,7 +119,7 @@
       0) {
     return nullptr;
   }
-  net::PrepareSocket(bufferevent_getfd(buffer.get()));
+  net::SetTcpOptions(bufferevent_getfd(buffer.get()));
   return net.out
       .emplace(address, std::make_unique<PeerOut>(std::move(buffer), now))
       .first->second.get();
@@ -138,8 +139,8 @@
   peer->tasks.add(request.send().then([&proxy, peer, address](auto&& answer) {
     peer->exchanging = false;
     OnAnswer(*peer, NowOf(proxy));
-    routing::OnExchanged(proxy.members, NowOf(proxy));
-    routing::OnHeardFrom(proxy.members, address, NowOf(proxy));
+    routing::OnExchangeAnswered(proxy.members, NowOf(proxy));
+    routing::OnPeerMessage(proxy.members, address, NowOf(proxy));
     PeerState state = TakeNews(proxy, answer.getNews());
     peer->near = IsNear(proxy, state.zone);
     CountBytes(proxy, "in", MessageKind::kExchange, peer->near,
@@ -154,7 +155,8 @@
   const auto hanging =
       std::count_if(net.out.begin(), net.out.end(), [now](const auto& entry) {
         const PeerOut& peer = *entry.second;
-        return peer.exchanging && now - peer.waits_since >= routing::kHanging;
+        return peer.exchanging &&
+               now - peer.waiting_since >= routing::kExchangeStallTime;
       });
   return static_cast<std::size_t>(hanging);
 }
@@ -164,14 +166,14 @@
   const Time now = NowOf(proxy);
   std::vector<std::string> peers;
   for (const auto& [node, known] : proxy.members.others) {
-    if (routing::IsThere(proxy.members, known, now)) {
+    if (routing::IsMemberAvailable(proxy.members, known, now)) {
       peers.push_back(known.member.peers);
     }
   }
   const std::size_t count = std::min(peers.size(), most);
   for (std::size_t i = 0; i < count; ++i) {
     std::swap(peers[i],
-              peers[i + kernel::Below(proxy.random, peers.size() - i)]);
+              peers[i + kernel::RandomBelow(proxy.random, peers.size() - i)]);
   }
   peers.resize(count);
   return peers;
@@ -184,7 +186,7 @@
   auto request = peer->peer.announceRequest();
   request.setPeers(proxy.members.self.peers);
   request.setZone(proxy.members.self.zone);
-  WriteProgress(OwnProgress(proxy), request.initProgress(routing::kFeeds));
+  WriteProgress(OwnProgress(proxy), request.initProgress(routing::kFeedCount));
   CountBytes(proxy, "out", MessageKind::kAnnounce, peer->near,
              request.totalSize().wordCount);
   OnAsk(*peer, NowOf(proxy));
@@ -210,19 +212,19 @@
   const Time now = NowOf(*net.proxy);
   const auto at = net.out.find(address);
   if (at == net.out.end()) return Connect(net, address, now);
-  if (!IsOver(*at->second, now)) return at->second.get();
+  if (!IsDisconnected(*at->second, now)) return at->second.get();
   net.out.erase(at);
   return Connect(net, address, now);
 }
 
 void OnAsk(PeerOut& peer, Time now) {
-  if (peer.unanswered++ == 0) peer.waits_since = now;
+  if (peer.unanswered++ == 0) peer.waiting_since = now;
   peer.asked = now;
 }
 
 void OnAnswer(PeerOut& peer, Time now) {
   --peer.unanswered;
-  peer.waits_since = now;
+  peer.waiting_since = now;
   peer.answered = true;
 }
 
@@ -240,26 +242,26 @@
   *address = net::WithBoundPort(proxy.options.peers,
                                 evconnlistener_get_fd(net->listener.get()));
   net->sweep =
-      kernel::Every(*proxy.loop, kTick, [raw = net.get()] { Sweep(*raw); });
+      kernel::RunEvery(*proxy.loop, kTick, [raw = net.get()] { Sweep(*raw); });
   return net;
 }
 
 void Exchange(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  routing::Pull(proxy.agreed, proxy.sides, now);
-  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed.mean);
-  routing::Beat(proxy.members, now);
-  const std::size_t peers = routing::PeersToTry(Hanging(*proxy.peers, now));
+  routing::FollowMeasuredDemand(proxy.agreed, proxy.sides, now);
+  proxy.endpoints.tight_fraction = routing::TightFraction(proxy.agreed.mean);
+  routing::IncrementHeartbeat(proxy.members, now);
+  const std::size_t peers = routing::MaxPeersToTry(Hanging(*proxy.peers, now));
   for (std::size_t i = 0; i < peers; ++i) {
     const std::string address =
-        routing::NextPeer(proxy.members, proxy.random, now);
+        routing::PickExchangePeer(proxy.members, proxy.random, now);
     if (!address.empty()) ExchangeWith(*proxy.peers, address);
   }
 }
 
 void TellMany(Proxy& proxy) {
-  routing::Beat(proxy.members, NowOf(proxy));
-  for (const std::string& peer : DrawPeers(proxy, routing::kToldAtOnce)) {
+  routing::IncrementHeartbeat(proxy.members, NowOf(proxy));
+  for (const std::string& peer : DrawPeers(proxy, routing::kReaderFanout)) {
     ExchangeWith(*proxy.peers, peer);
   }
 }
@@ -267,7 +269,7 @@
 void TellStandbys(Proxy& proxy) {
   if (routing::IsSmallFleet(proxy.members)) return;
   for (const std::string& peer :
-       routing::StandbysOf(proxy.members, NowOf(proxy))) {
+       routing::StandbyAddresses(proxy.members, NowOf(proxy))) {
     AnnounceTo(*proxy.peers, peer);
   }
 }
@@ -276,7 +278,7 @@
   PeerNet& net = *proxy.peers;
   net.announce_to = std::max(net.announce_to, announce_to);
   if (std::exchange(net.soon_armed, true)) return;
-  net.soon = kernel::After(*proxy.loop, milliseconds(0), [&proxy, &net] {
+  net.soon = kernel::RunAfter(*proxy.loop, milliseconds(0), [&proxy, &net] {
     net.soon_armed = false;
     FetchNews(proxy);
     const std::size_t most = std::exchange(net.announce_to, 0);
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -16,12 +16,12 @@
 void Read(Proxy& proxy, StoreReader& reader);
 
 std::uint64_t RevisionOf(const Proxy& proxy, Feed feed) {
-  return routing::StateOf(proxy.catalog, feed).revision;
+  return routing::GetFeedState(proxy.catalog, feed).revision;
 }
 
 void ReadAfter(Proxy& proxy, StoreReader& reader, milliseconds delay) {
-  reader.timer = kernel::After(*proxy.loop, delay,
-                               [&proxy, &reader] { Read(proxy, reader); });
+  reader.timer = kernel::RunAfter(*proxy.loop, delay,
+                                  [&proxy, &reader] { Read(proxy, reader); });
 }
 
 // The wait after one more failed call, before its jitter.
@@ -43,7 +43,7 @@
   reader.changed_since = {};
   reader.backoff = NextBackoff(reader.backoff);
   // Jittered: all nodes lost the store together.
-  const auto jitter = milliseconds(kernel::Below(
+  const auto jitter = milliseconds(kernel::RandomBelow(
       proxy.random, static_cast<std::uint64_t>(reader.backoff.count())));
   kernel::LogEvent(LogPart::kPlatform, LogLevel::kWarning, "store-not-read",
                    {{"feed", routing::NameOf(reader.feed)},
@@ -85,10 +85,10 @@
     reader.list.revision = page.value().revision;
   }
   auto& items = page.value().items;
-  const bool more = page.value().more && !items.empty();
-  if (more) reader.after = items.back().key;
+  const bool has_more = page.value().has_more && !items.empty();
+  if (has_more) reader.after = items.back().key;
   std::move(items.begin(), items.end(), std::back_inserter(reader.list.items));
-  if (more) {
+  if (has_more) {
     Read(proxy, reader);
     return;
   }
@@ -159,7 +159,7 @@
   const milliseconds wait = WatchWaitOf(reader);
   net::ExchangeRequest request;
   request.address = proxy.options.store;
-  request.head = net::RequestText(
+  request.head = net::FormatRequestHead(
       "GET",
       reader.listed ? proxy.dialect->watch_target(
                           reader.feed, RevisionOf(proxy, reader.feed), wait)
@@ -168,13 +168,13 @@
   net::ExchangeHandlers handlers;
   handlers.on_head = [&reader](const net::HttpAnswerHead& head) {
     reader.status = head.status;
-    return net::HeadVerdict::kTake;
+    return net::HeadVerdict::kAccept;
   };
   handlers.on_body = [&reader](std::string_view piece) {
     reader.body.append(piece);
   };
   handlers.on_end = [&proxy, &reader] { OnReadEnd(proxy, reader); };
-  handlers.on_fault = [&proxy, &reader](net::ExchangeFault /*fault*/,
+  handlers.on_error = [&proxy, &reader](net::ExchangeError /*fault*/,
                                         const std::string& detail) {
     reader.timer = {};
     reader.exchange = nullptr;
@@ -184,7 +184,7 @@
   reader.exchange =
       proxy.client->Start(std::move(request), std::move(handlers));
   const milliseconds most = reader.listed ? wait + kWatchMargin : kListTime;
-  reader.timer = kernel::After(*proxy.loop, most, [&proxy, &reader] {
+  reader.timer = kernel::RunAfter(*proxy.loop, most, [&proxy, &reader] {
     net::Cancel(std::exchange(reader.exchange, nullptr));
     reader.after.clear();
     OnReadFailed(proxy, reader, "no answer in time");
@@ -218,15 +218,16 @@
   proxy.standby_soon = {};
   if (!proxy.reads_store) return;
   const auto tell = [&proxy] { TellStandbys(proxy); };
-  proxy.standby_soon = kernel::After(*proxy.loop, milliseconds(0), tell);
-  proxy.standby_tick = kernel::Every(*proxy.loop, routing::kReaderPulse, tell);
+  proxy.standby_soon = kernel::RunAfter(*proxy.loop, milliseconds(0), tell);
+  proxy.standby_tick =
+      kernel::RunEvery(*proxy.loop, routing::kReaderHeartbeatInterval, tell);
 }
 
 }  // namespace
 
 bool IsStoreTroubled(const Proxy& proxy) {
   return proxy.store_trouble != Time{} &&
-         NowOf(proxy) - proxy.store_trouble < routing::kTroubleRecent;
+         NowOf(proxy) - proxy.store_trouble < routing::kRecentOutageWindow;
 }
 
 void StartReading(Proxy& proxy) {
