--- a/kernel/include/egretladder/kernel/error.h
+++ b/kernel/include/egretladder/kernel/error.h
@@ -1,4 +1,4 @@
-// Errors that carry the step and the peer at which they arose.
+// Error values that name the failed step and what it failed on.
 #pragma once
 
 #include <boost/outcome/result.hpp>
@@ -9,36 +9,39 @@
 
 namespace egretladder::kernel {
 
-/// What kind of failure it is; callers branch on this, never on the text.
+/// The kind of a failure. Callers branch on this code and never parse the
+/// text of an error.
 enum class ErrorCode : std::uint8_t {
-  kInvalidInput,  ///< A document, setting or message breaks its rules.
+  kInvalidInput,  ///< A document, setting or message is malformed.
   kNotFound,
-  kUnavailable,  ///< The peer can't be reached or refuses for now.
+  kUnavailable,  ///< The peer is unreachable or temporarily refuses.
   kTimeout,
-  kConflict,  ///< It clashes with what is in force.
+  kConflict,  ///< The change contradicts the version in force.
   kInternal,
 };
 
-/// Returns the name of `code` as it stands in logs, for instance `timeout`.
+/// Returns the name of `code` as it is written to logs, such as `timeout`.
 const char* NameOf(ErrorCode code);
 
-/// A failure: what kind, at which step, with whom.
+/// Describes one failure.
 struct Error {
   ErrorCode code = ErrorCode::kInternal;
-  std::string step;  ///< What was being done: `read settings`, `connect`.
-  std::string peer;  ///< File:line, address or name it was done with.
+  std::string step;  ///< The operation that failed, such as `connect`.
+  std::string peer;  ///< What the step acted on: file:line, address, name.
   std::string detail;
 };
 
-/// Returns one line: `read settings: node.ini:4: unknown key 'prot'`.
+/// Formats `error` as one line, such as
+/// `read settings: node.ini:4: unknown key 'prot'`.
 std::string Describe(const Error& error);
 
-/// A value or an `Error`. Asking an error for its value ends the process.
+/// A value or an `Error`. Reading the value of a failed result terminates the
+/// process.
 template <typename T>
 using Result = BOOST_OUTCOME_V2_NAMESPACE::result<
     T, Error, BOOST_OUTCOME_V2_NAMESPACE::policy::terminate>;
 
-/// Returns an error ready to be returned from a function with a `Result`.
+/// Builds an `Error`, which converts implicitly to any failed `Result`.
 inline Error MakeError(ErrorCode code, std::string step, std::string peer,
                        std::string detail) {
   return Error{code, std::move(step), std::move(peer), std::move(detail)};
--- a/kernel/include/egretladder/kernel/ini.h
+++ b/kernel/include/egretladder/kernel/ini.h
@@ -1,4 +1,4 @@
-// INI documents, read entry by entry with the line each stands on.
+// Parser of INI documents that keeps the line number of each entry.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,23 @@
 
 namespace egretladder::kernel {
 
-/// One `key = value ; comment` line.
+/// A line of the form `key = value ; comment`.
 struct IniEntry {
   std::string section;
   std::string key;
-  std::string value;    ///< Without the trailing comment, trimmed.
-  std::string comment;  ///< After the first ` ;`, trimmed; empty without one.
-  std::uint32_t line = 0;
+  std::string value;       ///< Trimmed, without the trailing comment.
+  std::string comment;     ///< The trimmed text after the first ` ;`.
+  std::uint32_t line = 0;  ///< Counted from 1; 0 when unknown.
 };
 
-/// Reads `text`. Fails on a line that is neither section, entry nor comment,
-/// on a repeated key and on a section opened twice; `file` names the document
-/// in the error. Source: boost::property_tree.
+/// Parses `text` with boost::property_tree. Returns `kInvalidInput` for a line
+/// that is no section, entry or comment, for an entry before the first section,
+/// for a repeated key and for a repeated section. `file` names the document in
+/// the error.
 Result<std::vector<IniEntry>> ReadIni(const std::string& text,
                                       std::string_view file);
 
-/// Reads a whole file. Fails with `kNotFound`.
+/// Reads a whole file. Returns `kNotFound` when it can't be opened.
 Result<std::string> ReadFile(const std::string& path);
 
 }  // namespace egretladder::kernel
--- a/kernel/include/egretladder/kernel/log.h
+++ b/kernel/include/egretladder/kernel/log.h
@@ -1,4 +1,5 @@
-// Logs: short sentences, one fixed prefix for each part. Source: log4cxx.
+// Text logs: one short sentence a line, with the name of the component that
+// wrote it. Implemented with log4cxx.
 #pragma once
 
 #include <cstdint>
@@ -8,41 +9,44 @@
 
 namespace egretladder::kernel {
 
-/// The part of the system that speaks; its name is the line's prefix.
+/// The component that writes a line. Its name is the prefix of the line.
 enum class LogPart : std::uint8_t {
   kKernel,
   kRules,
-  kRoute,   ///< One line for each routing decision.
-  kPlace,   ///< One line for each placement decision.
-  kFleet,   ///< Membership, configuration in force, leases.
-  kCaller,  ///< The side of the callers.
+  kRoute,   ///< Routing decisions, one line each.
+  kPlace,   ///< Placement decisions, one line each.
+  kFleet,   ///< Membership, rules in force and leases.
+  kCaller,  ///< Connections and requests of callers.
   kEndpoint,
   kPlatform,
   kPeer,
   kLab,
 };
 
-/// The part's fixed prefix.
+/// Returns the prefix of lines of `part`.
 const char* NameOf(LogPart part);
 
-/// From the least to the most urgent.
+/// Severity levels in ascending order.
 enum class LogLevel : std::uint8_t { kDebug, kInfo, kWarning, kError };
 
-/// Plain lines, or one JSON object a line.
+/// The format of a line: plain text, or one JSON object.
 enum class LogFormat : std::uint8_t { kText, kJson };
 
-/// Reads `text` or `json`; nothing for another word.
+/// Parses `text` or `json`. Returns nullopt for any other word.
 std::optional<LogFormat> ParseLogFormat(std::string_view word);
-/// Reads `debug`, `info`, `warning` or `error`; nothing for another word.
+/// Parses `debug`, `info`, `warning` or `error`. Returns nullopt for any other
+/// word.
 std::optional<LogLevel> ParseLogLevel(std::string_view word);
 
-/// Starts logging to standard error. Call once, first thing in main.
+/// Starts logging to standard error; lines below `min_level` are dropped. Call
+/// this once, at the start of main. Nothing is logged before.
 void StartLogging(LogFormat format, LogLevel min_level);
 
-/// True when `Log` would write; saves making the sentence.
+/// Returns true if `Log` would write a line of this part and level. Callers
+/// check it to avoid building a message that is dropped.
 bool IsLogEnabled(LogPart part, LogLevel level);
 
-/// Writes one line, when the level is not below the lowest.
+/// Writes one line unless `level` is below the minimum level.
 void Log(LogPart part, LogLevel level, std::string_view message);
 
 }  // namespace egretladder::kernel
--- a/kernel/include/egretladder/kernel/log_event.h
+++ b/kernel/include/egretladder/kernel/log_event.h
@@ -1,10 +1,11 @@
-// Structured log lines: one JSON object for each decision or change of belief.
+// Structured logs: one JSON object a line, for each decision and each change of
+// state.
 //
-// Load: thousands of requests a second, and a reader of standard output that
-// stands still. Without bounds the lines would take the processor from the
-// requests, and a full pipe would stop the loop. So lines have a budget a
-// second, in which failures go first, and what the reader doesn't take in time
-// is dropped, counted and said.
+// Under thousands of requests a second, unlimited logging would take processor
+// time from the requests, and a full pipe whose reader has stalled would block
+// the event loop. The number of lines a second is therefore limited, with a
+// part reserved for warnings and errors. Lines that the reader doesn't consume
+// in time are dropped, and the number of dropped lines is logged.
 #pragma once
 
 #include <chrono>
@@ -19,7 +20,7 @@
 
 namespace egretladder::kernel {
 
-/// One name and its value; a number stands without quotes.
+/// A name and its value. Numbers are written without quotes.
 struct LogField {
   LogField(std::string_view field, std::string_view text)
       : name(field), value(text) {}
@@ -40,42 +41,48 @@
  private:
   static std::string FormatNumber(double number);
 };
-/// In the order in which they are written.
+/// The fields of one line, in the order in which they are written.
 using LogFields = std::initializer_list<LogField>;
 
-/// Lines that one process writes in a second; a node at 100 requests a second
-/// writes about 250.
+/// Maximum number of lines that a process writes in one second. A node that
+/// serves 100 requests a second writes about 250 lines.
 inline constexpr std::uint32_t kMaxLogLinesPerSecond = 2000;
-/// Of these, lines below a warning. The rest is kept for failures.
+/// Maximum number of lines below the level of a warning among them. The rest is
+/// reserved for warnings and errors.
 inline constexpr std::uint32_t kMaxInfoLogLinesPerSecond = 1500;
-/// Bytes that wait for a slow reader before lines are dropped.
+/// Maximum number of bytes buffered for a slow reader. Further lines are
+/// dropped.
 inline constexpr std::size_t kMaxPendingLogBytes = std::size_t{1} << 20U;
 
-/// What was written and dropped since the start.
+/// Numbers of lines since `StartEventLog`.
 struct LogCounts {
+  /// Lines within the budget, including those counted in `reader_slow`.
   std::uint64_t written = 0;
-  std::uint64_t over_budget = 0;  ///< Dropped: too many in a second.
-  std::uint64_t reader_slow = 0;  ///< Dropped: the reader took none.
+  /// Lines dropped because the budget of their second was spent.
+  std::uint64_t over_budget = 0;
+  /// Lines dropped because the buffer for a slow reader was full.
+  std::uint64_t reader_slow = 0;
 };
 
-/// Starts structured logging to `fd`, which becomes non-blocking. `clock` must
-/// outlive it.
+/// Starts structured logging to `fd`, which is made non-blocking. `clock`
+/// measures the seconds of the line budget; its source must outlive the log.
 void StartEventLog(int fd, LogLevel min_level, const Clock& clock);
-/// Stops it, for tests; what waits is dropped.
+/// Stops structured logging and drops buffered lines. Used by tests.
 void StopEventLog();
 
-/// True when a line of this level would be written.
+/// Returns true if lines of this level are logged.
 bool IsEventLogEnabled(LogLevel level);
 
-/// Writes one line: time of day, level, part, event and the fields.
+/// Writes one line with the wall-clock time, level, part, event and fields.
+/// Never blocks: the line is buffered or dropped if the reader is slow.
 void LogEvent(LogPart part, LogLevel level, std::string_view event,
               LogFields fields);
 
-/// Writes on what the reader did not take before, and says what was dropped.
-/// Call every second or more often.
+/// Writes buffered lines, and logs how many lines were dropped since the last
+/// report. Call at least once a second.
 void FlushEventLog();
 
-/// Counts since the start.
+/// Returns the numbers of lines since `StartEventLog`; zeros when stopped.
 LogCounts EventLogCounts();
 
 }  // namespace egretladder::kernel
--- a/kernel/include/egretladder/kernel/loop.h
+++ b/kernel/include/egretladder/kernel/loop.h
@@ -1,4 +1,4 @@
-// The event loop: one on one thread. Source: libevent.
+// The event loop, which runs on one thread. Implemented with libevent.
 #pragma once
 
 #include <event2/event.h>
@@ -21,24 +21,25 @@
 };
 /// Owns a libevent base.
 using EventBase = std::unique_ptr<event_base, EventBaseDeleter>;
-/// Owns a libevent event; it never fires once this is gone.
+/// Owns a libevent event, which is cancelled on destruction.
 using Event = std::unique_ptr<event, EventDeleter>;
 
-/// The loop of the process and the clock its parts share.
+/// The event loop of a process and the clock that its components share.
 struct Loop {
   EventBase base;
   Clock clock;
 };
 
-/// Opens a loop on the system's clock.
+/// Creates a loop that uses `SystemClock`.
 Loop CreateLoop();
 
-/// Runs until `StopLoop`.
+/// Dispatches events until `StopLoop` is called or no event is left.
 void RunLoop(Loop& loop);
-/// Makes `RunLoop` return after the event that is being handled.
+/// Makes `RunLoop` return after the callback that is running.
 void StopLoop(Loop& loop);
 
-/// A timer or signal that lives as long as this object.
+/// Owns a registered timer or signal action. Destroying it cancels the action.
+/// A default-constructed object owns none.
 class EventWatcher {
  public:
   EventWatcher();
@@ -56,16 +57,17 @@
   std::unique_ptr<State> state_;
 };
 
-/// Calls `action` every `period`, first after one period.
+/// Calls `action` every `period`, for the first time after one period.
 EventWatcher RunEvery(Loop& loop, std::chrono::milliseconds period,
                       std::function<void()> action);
-/// Calls `action` once after `delay`, or not at all if the watch goes first.
+/// Calls `action` once after `delay`, unless the returned object is destroyed
+/// before.
 EventWatcher RunAfter(Loop& loop, std::chrono::milliseconds delay,
                       std::function<void()> action);
-/// Calls `action`, from the loop, each time the process gets `signal`.
+/// Calls `action` from the loop each time the process receives `signal`.
 EventWatcher RunOnSignal(Loop& loop, int signal, std::function<void()> action);
 
-/// Returns `duration` as libevent wants it.
+/// Converts `duration` to the type that libevent takes.
 timeval ToTimeval(std::chrono::microseconds duration);
 
 }  // namespace egretladder::kernel
--- a/kernel/include/egretladder/kernel/registry.h
+++ b/kernel/include/egretladder/kernel/registry.h
@@ -1,4 +1,4 @@
-// Plug-ins that register themselves by kind and name.
+// Registry of plug-ins, which register themselves by kind and name.
 #pragma once
 
 #include <string_view>
@@ -6,28 +6,30 @@
 
 namespace egretladder::kernel {
 
-/// One registered plug-in: `table` points at a plain struct of free functions
-/// whose type the kind fixes.
+/// One registered plug-in. `table` points to a struct of function pointers; its
+/// type depends on the kind.
 struct PluginEntry {
   std::string_view kind;
   std::string_view name;
   const void* table = nullptr;
 };
 
-/// Puts a plug-in into the registry; called by static registrars only.
+/// Adds a plug-in to the registry. Called only by static `PluginRegistrar`
+/// objects.
 void RegisterPlugin(const PluginEntry& entry);
 
-/// Returns the table of kind and name, or null. `Table` declares its kind as
-/// `static constexpr std::string_view kKind`.
+/// Returns the table of the plug-in of this kind and name, or null.
 const void* FindPluginTable(std::string_view kind, std::string_view name);
 
-/// The plug-in of this name, or null. Lives as long as the process.
+/// Returns the plug-in of this name, or null. The table lives as long as the
+/// process. `Table` declares its kind as
+/// `static constexpr std::string_view kKind`.
 template <typename Table>
 const Table* FindPlugin(std::string_view name) {
   return static_cast<const Table*>(FindPluginTable(Table::kKind, name));
 }
 
-/// Lists the names of one kind in alphabetical order.
+/// Returns the names of all plug-ins of one kind in alphabetical order.
 std::vector<std::string_view> PluginNames(std::string_view kind);
 
 /// A static object of this type registers `table` before main starts:
--- a/kernel/include/egretladder/kernel/time.h
+++ b/kernel/include/egretladder/kernel/time.h
@@ -1,47 +1,49 @@
-// The runtime's clock. Every decision takes `now` from it; tests pause and
-// advance it.
+// Clocks. All decisions take the current time as a parameter or from a `Clock`,
+// so that tests can control it.
 #pragma once
 
 #include <chrono>
 
 namespace egretladder::kernel {
 
-/// A moment of the runtime's clock. Monotonic, meaningful in one process only.
+/// A point in time of a monotonic clock. Meaningless outside of the process.
 using Time = std::chrono::steady_clock::time_point;
 
-/// A clock chosen at start: the system's or a paused one.
+/// A clock that is chosen at start: that of the system or a `ManualClock`.
 struct Clock {
   Time (*now)(const void* source) = nullptr;
   const void* source = nullptr;
 };
 
-/// Returns the present moment of `clock`.
+/// Returns the current time of `clock`.
 inline Time Now(const Clock& clock) { return clock.now(clock.source); }
 
-/// Returns the monotonic clock of the system.
+/// Returns the system's monotonic clock, which stops while the machine is
+/// suspended.
 Clock SystemClock();
 
-/// Returns the system's clock that also counts the time in which the machine
-/// was suspended.
+/// Returns the system's monotonic clock that keeps running while the machine is
+/// suspended.
 ///
-/// The monotonic clock stands still in a suspended machine. A deadline or an
-/// entry's age measured with it looks fresh after seconds of standstill, and
-/// requests are sent whose callers left long ago.
+/// With the plain monotonic clock, deadlines and the ages of entries would not
+/// advance during a suspension of the machine, and after it requests would be
+/// sent whose callers have long disconnected.
 Clock SuspendAwareClock();
 
-/// A clock that stands still until a test advances it.
+/// A clock that changes only by `Advance`. Used by tests and simulations.
 struct ManualClock {
   Time now{std::chrono::hours(1)};
 };
 
-/// Returns a view of `paused`, which must outlive it.
-Clock ClockOf(const ManualClock& paused);
+/// Returns a `Clock` that reads `clock`, which must outlive it.
+Clock ClockOf(const ManualClock& clock);
 
-/// Moves `paused` forward by `step`.
-void Advance(ManualClock& paused, std::chrono::nanoseconds step);
+/// Advances `clock` by `step`.
+void Advance(ManualClock& clock, std::chrono::nanoseconds step);
 
-/// Parses a duration such as `250ms`, `3s`, `2m`, `1h`. Returns a negative
-/// duration when `text` has no known unit or is not a number.
+/// Parses a duration such as `250ms`, `1.5s`, `2m` or `1h`. Returns a negative
+/// duration if `text` is not a number, is negative, lacks a known unit or is
+/// too large.
 std::chrono::nanoseconds ParseDuration(const char* text);
 
 }  // namespace egretladder::kernel
--- a/kernel/src/ini.cc
+++ b/kernel/src/ini.cc
@@ -13,8 +13,8 @@
 
 using EntryLines = std::map<std::pair<std::string, std::string>, std::uint32_t>;
 
-// The parser keeps no line numbers, so the lines of the entries are found by a
-// second look at the text.
+// Maps each entry's section and key to its line. The parser doesn't keep line
+// numbers, so the text is scanned a second time.
 EntryLines FindEntryLines(const std::string& text) {
   EntryLines lines;
   std::istringstream stream(text);
@@ -35,7 +35,8 @@
 }
 
 void SplitComment(const std::string& raw, IniEntry& entry) {
-  // A value that is empty but for its comment arrives trimmed: `; who`.
+  // The parser trims values, so an empty value with a comment arrives as
+  // `; comment`, without the space before the semicolon.
   const std::string padded = " " + raw;
   const auto separator = padded.find(" ;");
   entry.value = boost::trim_copy(padded.substr(0, separator));
--- a/kernel/src/log_event.cc
+++ b/kernel/src/log_event.cc
@@ -19,8 +19,8 @@
 
 constexpr const char* kLoggerName = "events";
 
-// A log4cxx appender that never waits: bytes that the reader doesn't take are
-// kept up to a bound, and lines beyond it are dropped.
+// A log4cxx appender that never blocks. Output that the reader hasn't consumed
+// is buffered up to `kMaxPendingLogBytes`; lines beyond that are dropped.
 class NonBlockingAppender : public log4cxx::AppenderSkeleton {
  public:
   explicit NonBlockingAppender(int fd) : fd_(fd) {
@@ -63,11 +63,12 @@
   log4cxx::LoggerPtr logger;
   LogLevel min_level = LogLevel::kInfo;
   Clock clock;
-  Time window_start{};  // Start of the budget's second.
+  Time window_start{};  // Start of the second that the budget counts.
   std::uint32_t lines_in_window = 0;
   std::uint64_t written = 0;
   std::uint64_t over_budget = 0;
-  std::uint64_t reported_drops = 0;  // Drops that a line has told of.
+  // The part of the dropped lines that the log has already reported.
+  std::uint64_t reported_drops = 0;
 };
 
 std::unique_ptr<EventLog>& EventLogState() {
@@ -78,7 +79,7 @@
 constexpr std::array<const char*, 4> kLevelNames = {"debug", "info", "warning",
                                                     "error"};
 
-// True when the line fits the second's budget; counts it then.
+// Counts the line and returns true if it fits the budget of this second.
 bool ConsumeLineBudget(EventLog& log, LogLevel level) {
   const Time now = Now(log.clock);
   if (now - log.window_start >= std::chrono::seconds(1)) {
--- a/kernel/src/loop.cc
+++ b/kernel/src/loop.cc
@@ -12,16 +12,16 @@
 
 namespace {
 
-// The signature is libevent's.
+// The signature is that of libevent's callbacks.
 // NOLINTNEXTLINE(google-runtime-int)
 void OnEvent(evutil_socket_t /*fd*/, short /*what*/, void* arg) {
-  // A copy, since the action may replace or drop its own watch.
+  // The action may replace or destroy its own watcher, so a copy is called.
   const auto action = *static_cast<std::function<void()>*>(arg);
   action();
 }
 
-// Waits for `signal`, or for the time alone when it is -1. A template, since
-// the state is private to its watch.
+// Registers `action` for `signal`, or for the timer alone if `signal` is -1. A
+// template, because the state is a private type of the watcher.
 template <typename State>
 std::unique_ptr<State> AddEvent(Loop& loop, int signal, int flags,
                                 const timeval* interval,
@@ -59,26 +59,26 @@
 EventWatcher RunEvery(Loop& loop, std::chrono::milliseconds period,
                       std::function<void()> action) {
   const timeval interval = ToTimeval(period);
-  EventWatcher watch;
-  watch.state_ = AddEvent<EventWatcher::State>(loop, -1, EV_PERSIST, &interval,
-                                               std::move(action));
-  return watch;
+  EventWatcher watcher;
+  watcher.state_ = AddEvent<EventWatcher::State>(loop, -1, EV_PERSIST,
+                                                 &interval, std::move(action));
+  return watcher;
 }
 
 EventWatcher RunAfter(Loop& loop, std::chrono::milliseconds delay,
                       std::function<void()> action) {
   const timeval interval = ToTimeval(delay);
-  EventWatcher watch;
-  watch.state_ =
+  EventWatcher watcher;
+  watcher.state_ =
       AddEvent<EventWatcher::State>(loop, -1, 0, &interval, std::move(action));
-  return watch;
+  return watcher;
 }
 
 EventWatcher RunOnSignal(Loop& loop, int signal, std::function<void()> action) {
-  EventWatcher watch;
-  watch.state_ = AddEvent<EventWatcher::State>(
+  EventWatcher watcher;
+  watcher.state_ = AddEvent<EventWatcher::State>(
       loop, signal, EV_SIGNAL | EV_PERSIST, nullptr, std::move(action));
-  return watch;
+  return watcher;
 }
 
 }  // namespace egretladder::kernel
--- a/kernel/src/metrics.cc
+++ b/kernel/src/metrics.cc
@@ -24,8 +24,8 @@
                          acc::stats<acc::tag::count, acc::tag::sum,
                                     acc::tag::extended_p_square_quantile>>;
 
-// Upper ends in seconds, from a small answer's time to what no caller waits
-// for.
+// Upper bounds of the histogram buckets, from the time of a small answer to a
+// time that no caller waits for.
 constexpr std::array<double, 11> kBucketBoundsSeconds = {
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10};
 
@@ -54,7 +54,8 @@
 }  // namespace
 
 struct MetricsState {
-  // Sorted by name, so that the text groups a metric's series together.
+  // Ordered by name and labels, so that the export groups the series of a
+  // metric.
   std::map<std::pair<std::string, std::string>, Series> series;
   std::vector<std::uint64_t> counters;
   std::vector<double> gauges;
@@ -67,7 +68,8 @@
 
 namespace {
 
-// Returns true when the series is new and needs its value made.
+// Looks up or adds a series and stores its index in `idx`. Returns true if the
+// series is new, and the caller has to add its value at `next_idx`.
 bool AddSeries(Metrics& metrics, const Series& series, std::uint32_t next_idx,
                std::uint32_t* idx) {
   auto [it, is_new] =
@@ -105,8 +107,8 @@
 
 void WriteHistogram(std::ostream& out, const Series& series,
                     const Histogram& histogram) {
-  // A range's upper end belongs to the next one in Boost's and to it in
-  // Prometheus's; a sample of just that length is as good as none.
+  // Boost.Histogram excludes the upper bound of a bucket and Prometheus
+  // includes it. Samples of exactly that length are too rare to matter.
   double cumulative_count = histogram.buckets.at(-1);
   for (std::size_t i = 0; i < kBucketBoundsSeconds.size(); ++i) {
     if (i > 0)
--- a/kernel/src/registry.cc
+++ b/kernel/src/registry.cc
@@ -5,7 +5,8 @@
 namespace egretladder::kernel {
 namespace {
 
-// Built on first use: registrars run before main in any order.
+// Constructed on first use, because static registrars run before main in an
+// unspecified order.
 std::vector<PluginEntry>& Entries() {
   static std::vector<PluginEntry> entries;
   return entries;
--- a/kernel/src/settings.cc
+++ b/kernel/src/settings.cc
@@ -38,7 +38,7 @@
 std::optional<double> ParseNumber(const std::string& text) {
   char* end = nullptr;
   const double number = std::strtod(text.c_str(), &end);
-  // Also false for NaN.
+  // The negated comparison also rejects NaN.
   if (text.empty() || *end != '\0' || !(number >= 0)) return std::nullopt;
   return number;
 }
--- a/kernel/src/time.cc
+++ b/kernel/src/time.cc
@@ -20,7 +20,7 @@
       std::chrono::nanoseconds(now.tv_nsec)));
 }
 
-Time PausedNow(const void* source) {
+Time ManualNow(const void* source) {
   return static_cast<const ManualClock*>(source)->now;
 }
 
@@ -30,10 +30,10 @@
 
 Clock SuspendAwareClock() { return {SuspendAwareNow, nullptr}; }
 
-Clock ClockOf(const ManualClock& paused) { return {PausedNow, &paused}; }
+Clock ClockOf(const ManualClock& clock) { return {ManualNow, &clock}; }
 
-void Advance(ManualClock& paused, std::chrono::nanoseconds step) {
-  paused.now += step;
+void Advance(ManualClock& clock, std::chrono::nanoseconds step) {
+  clock.now += step;
 }
 
 std::chrono::nanoseconds ParseDuration(const char* text) {
@@ -49,7 +49,8 @@
   if (unit == "h") nanoseconds_per_unit = 3600e9;
   if (nanoseconds_per_unit == 0) return kInvalid;
   const double nanoseconds = number * nanoseconds_per_unit;
-  // Also false for NaN; past this a conversion would overflow.
+  // Larger values overflow the conversion. The negated comparison also rejects
+  // NaN.
   if (!(nanoseconds < 9e18)) return kInvalid;
   return std::chrono::nanoseconds(static_cast<std::int64_t>(nanoseconds));
 }
--- a/kernel/tests/kernel_test.cc
+++ b/kernel/tests/kernel_test.cc
@@ -18,15 +18,15 @@
 
 TEST_GROUP(Time){};
 
-TEST(Time, PausedClockMovesOnlyWhenAdvanced) {
-  ek::ManualClock paused;
-  const ek::Clock clock = ek::ClockOf(paused);
+TEST(Time, ManualClockChangesOnlyByAdvance) {
+  ek::ManualClock manual;
+  const ek::Clock clock = ek::ClockOf(manual);
   const ek::Time before = ek::Now(clock);
-  ek::Advance(paused, 3s);
+  ek::Advance(manual, 3s);
   CHECK(ek::Now(clock) - before == 3s);
 }
 
-TEST(Time, ParsesDurationsAndRefusesOtherText) {
+TEST(Time, ParsesDurationsAndRejectsOtherText) {
   CHECK(ek::ParseDuration("250ms") == 250ms);
   CHECK(ek::ParseDuration("1.5s") == 1500ms);
   CHECK(ek::ParseDuration("2h") == 2h);
@@ -56,11 +56,11 @@
   STRCMP_EQUAL("Hanna", entries.value()[0].comment.c_str());
 }
 
-TEST(Ini, RefusesRepeatedKeyAndBareWord) {
+TEST(Ini, RejectsRepeatedKeyAndLineWithoutEqualsSign) {
   CHECK_FALSE(ek::ReadIni("[a]\nx=1\nx=2\n", "a.ini").has_value());
-  const auto bare = ek::ReadIni("[a]\nword\n", "a.ini");
-  CHECK_FALSE(bare.has_value());
-  STRCMP_EQUAL("a.ini:2", bare.error().peer.c_str());
+  const auto without_equals = ek::ReadIni("[a]\nword\n", "a.ini");
+  CHECK_FALSE(without_equals.has_value());
+  STRCMP_EQUAL("a.ini:2", without_equals.error().peer.c_str());
 }
 
 TEST_GROUP(Settings) {
@@ -74,13 +74,13 @@
   }};
 };
 
-TEST(Settings, FillsStandardValues) {
+TEST(Settings, FillsInDefaultValues) {
   const auto read = ek::ReadSettings("[node]\nname = n1\n", "n.ini", specs_);
   CHECK_TRUE(read.has_value());
   CHECK_EQUAL(4ULL << 20U, ek::GetBytes(read.value(), "limits", "body"));
 }
 
-TEST(Settings, NamesEveryFaultWithItsLine) {
+TEST(Settings, ReportsEveryErrorWithItsLine) {
   std::vector<ek::Error> errors;
   const auto read = ek::ReadSettings(
       "[node]\nname = n1\ncallers = here:80\nprot = 1\n[limits]\nbody = 4\n",
@@ -94,7 +94,7 @@
   STRCMP_EQUAL("n.ini:6", errors[2].peer.c_str());
 }
 
-TEST(Settings, MissingRequiredKeyIsAFault) {
+TEST(Settings, MissingRequiredKeyIsAnError) {
   const auto read = ek::ReadSettings("", "n.ini", specs_);
   CHECK_FALSE(read.has_value());
   CHECK(read.error().detail.find("node.name") != std::string::npos);
@@ -117,9 +117,9 @@
   CHECK(median > 480ms && median < 520ms);
 }
 
-// Each bucket counts all samples up to its end, as Prometheus adds them up over
-// processes.
-TEST(Metrics, HistogramsCountUpToEachEnd) {
+// Prometheus expects cumulative buckets: each counts all samples up to its
+// upper bound, those of smaller buckets included.
+TEST(Metrics, HistogramBucketsAreCumulative) {
   ek::Metrics metrics;
   const auto wait = ek::AddHistogram(metrics, "wait", "Wait.", "class=\"a\"");
   for (const auto sample : {1ms, 20ms, 700ms, 60'000ms}) {
@@ -172,11 +172,11 @@
 
 TEST_GROUP(Loop){};
 
-TEST(Loop, AWatchThatIsDroppedNeverFires) {
+TEST(Loop, DestroyedWatcherNeverFires) {
   ek::Loop loop = ek::CreateLoop();
   bool fired = false;
   {
-    const ek::EventWatcher dropped =
+    const ek::EventWatcher destroyed =
         ek::RunAfter(loop, 0ms, [&] { fired = true; });
   }
   const ek::EventWatcher stop =
--- a/kernel/tests/log_event_test.cc
+++ b/kernel/tests/log_event_test.cc
@@ -33,7 +33,7 @@
     }
     return text;
   }
-  /// All that waits, and the line that tells of drops.
+  /// Flushes and reads all buffered lines, and the line that reports drops.
   std::string ReadAll() {
     std::string text;
     for (int round = 0; round < 200; ++round) {
@@ -44,7 +44,7 @@
   }
 };
 
-TEST(LogEvent, WritesOneObjectALine) {
+TEST(LogEvent, WritesOneObjectPerLine) {
   ek::LogEvent(ek::LogPart::kRoute, ek::LogLevel::kInfo, "sent",
                {{"req", "a\"b\n"}, {"ms", 12.5}, {"count", 7}});
   const std::string text = ReadAvailable();
@@ -54,14 +54,15 @@
   LONGS_EQUAL(1, std::count(text.begin(), text.end(), '\n'));
 }
 
-TEST(LogEvent, LeavesOutWhatIsBelowTheLevel) {
+TEST(LogEvent, DropsLinesBelowTheMinimumLevel) {
   ek::LogEvent(ek::LogPart::kRoute, ek::LogLevel::kDebug, "x", {});
   STRCMP_EQUAL("", ReadAvailable().c_str());
 }
 
-// A burst of thousands of requests in a second, some of which fail. The lines
-// of those that went well must not push out the few that explain a complaint.
-TEST(LogEvent, KeepsFailuresWhenThereAreTooManyLines) {
+// Thousands of requests arrive within a second and some of them fail. The lines
+// of successful requests must not use up the budget for the few warnings that
+// explain the failures.
+TEST(LogEvent, KeepsWarningsWhenTheLineBudgetIsSpent) {
   for (std::uint32_t i = 0; i < 2 * ek::kMaxLogLinesPerSecond; ++i) {
     ek::LogEvent(ek::LogPart::kRoute, ek::LogLevel::kInfo, "fine", {});
   }
@@ -76,9 +77,9 @@
   STRCMP_CONTAINS("\"next\"", ReadAvailable().c_str());
 }
 
-// Whoever reads standard output stands still, and the pipe fills up. A write
-// that waited would stop every request of the node.
-TEST(LogEvent, NeverWaitsForItsReader) {
+// The reader of standard output stalls and the pipe fills up. A write that
+// blocked would stop all requests of the node.
+TEST(LogEvent, NeverBlocksOnASlowReader) {
   const std::string long_text(4000, 'x');
   for (int second = 0; second < 2; ++second) {
     for (std::uint32_t i = 0; i < ek::kMaxInfoLogLinesPerSecond; ++i) {
@@ -88,7 +89,8 @@
     ek::Advance(clock, std::chrono::seconds(1));
   }
   CHECK(ek::EventLogCounts().reader_slow > 0);
-  // The reader goes on: what waited comes, and then what was lost.
+  // The reader resumes. It receives the buffered lines, and then the line that
+  // reports the dropped ones.
   const std::string text = ReadAll();
   STRCMP_CONTAINS("lines-dropped", text.c_str());
   CHECK(text.back() == '\n');
