--- a/rules/include/egretladder/rules/limits.h
+++ b/rules/include/egretladder/rules/limits.h
@@ -15,13 +15,13 @@
 inline constexpr std::uint32_t kMaxCount = 1'000'000;
 
 /// Longest target or wait a class may have.
-inline constexpr std::chrono::hours kMaxSpan{24};
+inline constexpr std::chrono::hours kMaxDuration{24};
 
 /// Longest stay in the queue of a class that names none.
-inline constexpr std::chrono::milliseconds kStandardMaxWait{60'000};
+inline constexpr std::chrono::milliseconds kDefaultMaxWait{60'000};
 
 /// Region of a zone that names none.
-inline constexpr const char* kStandardRegion = "default";
+inline constexpr const char* kDefaultRegion = "default";
 
 /// Longest name of a zone, class, endpoint, ...: names travel in messages.
 inline constexpr std::size_t kMaxNameLength = 64;
--- a/rules/include/egretladder/rules/rules.h
+++ b/rules/include/egretladder/rules/rules.h
@@ -24,9 +24,9 @@
 /// What every rule carries.
 struct RuleSource {
   std::string name;
-  std::string asked_by;    ///< The line's comment; never empty.
-  std::uint32_t line = 0;  ///< In the document in force.
-  bool present = false;    ///< False once a version no longer names it.
+  std::string requested_by;  ///< The line's comment; never empty.
+  std::uint32_t line = 0;    ///< In the document in force.
+  bool present = false;      ///< False once a version no longer names it.
 };
 
 /// `[zone] bole = region=addis out=no ; ...`
@@ -69,8 +69,8 @@
   std::uint32_t share = 1;    ///< Weight among the accounts of a class.
 };
 
-/// `[endpoint] NAME = address=IP:port zone=Z serves=a,b bears=16
-/// cold_max_in_flight=2 fencing=honoured|ignored holds=2 leaving=no`
+/// `[endpoint] NAME = address=IP:port zone=Z serves=a,b bears=16 cold_bears=2
+/// fencing=honoured|ignored holds=2 leaving=no`
 struct Endpoint {
   RuleSource source;
   std::string address;  ///< `IP:port`.
@@ -141,7 +141,7 @@
 /// and the error describes the first.
 kernel::Result<RulesPtr> ReadRules(
     const std::string& text, std::string_view file, const Rules* previous,
-    std::vector<ValidationError>* faults = nullptr);
+    std::vector<ValidationError>* errors = nullptr);
 
 /// The zone that the rules name now; not valid when none has the name.
 ZoneHandle FindZone(const Rules& rules, std::string_view name);
--- a/rules/src/explain_request.cc
+++ b/rules/src/explain_request.cc
@@ -7,28 +7,28 @@
 namespace {
 
 /// `line 12, asked by Hanna`.
-std::string SourceOf(const RuleSource& source) {
+std::string FormatSource(const RuleSource& source) {
   return " (line " + std::to_string(source.line) + ", asked by " +
-         source.asked_by + ")\n";
+         source.requested_by + ")\n";
 }
 
-kernel::Error NotFound(const char* kind, std::string_view name) {
+kernel::Error NotFoundError(const char* kind, std::string_view name) {
   return kernel::MakeError(kernel::ErrorCode::kNotFound, "explain request",
                            std::string(kind) + " '" + std::string(name) + "'",
                            "no rule in force declares it; calls that name it "
                            "are refused");
 }
 
-void WriteCap(std::ostream& out, const char* what, std::uint32_t cap) {
-  if (cap > 0) out << ", at most " << cap << ' ' << what << " on each node";
+void WriteLimit(std::ostream& out, const char* noun, std::uint32_t limit) {
+  if (limit > 0) out << ", at most " << limit << ' ' << noun << " on each node";
 }
 
 void ExplainAccount(std::ostream& out, const Account& account) {
   out << "account '" << account.source.name << "': share " << account.share
       << " among the accounts of a class";
-  WriteCap(out, "running", account.running);
-  WriteCap(out, "waiting", account.waiting);
-  out << SourceOf(account.source);
+  WriteLimit(out, "running", account.running);
+  WriteLimit(out, "waiting", account.waiting);
+  out << FormatSource(account.source);
 }
 
 void ExplainClass(std::ostream& out, const Class& cls) {
@@ -38,12 +38,12 @@
     out << ", then every " << cls.between_tokens.count() << "ms";
   }
   out << ", waits " << cls.max_wait.count() << "ms at most";
-  WriteCap(out, "running", cls.running);
-  WriteCap(out, "waiting", cls.waiting);
+  WriteLimit(out, "running", cls.running);
+  WriteLimit(out, "waiting", cls.waiting);
   out << (cls.repeatable ? "; may be run again after a failure"
                          : "; runs at most once, needs a lane and an "
                            "idempotency key")
-      << SourceOf(cls.source);
+      << FormatSource(cls.source);
 }
 
 void ExplainTarget(std::ostream& out, const Rules& rules,
@@ -58,7 +58,7 @@
           << "'";
     }
   }
-  out << SourceOf(target.source);
+  out << FormatSource(target.source);
 }
 
 /// Returns true when the endpoint takes the request.
@@ -68,26 +68,27 @@
   out << "endpoint '" << endpoint.source.name << "' in zone '"
       << zone.source.name << "': ";
   if (zone.out) {
-    out << "no new work, the zone is out" << SourceOf(zone.source);
+    out << "no new work, the zone is out" << FormatSource(zone.source);
     return false;
   }
   if (endpoint.leaving) {
-    out << "no new work, it leaves" << SourceOf(endpoint.source);
+    out << "no new work, it leaves" << FormatSource(endpoint.source);
     return false;
   }
   out << "takes it, bears " << endpoint.max_in_flight << ", cold "
-      << endpoint.cold_max_in_flight << SourceOf(endpoint.source);
+      << endpoint.cold_max_in_flight << FormatSource(endpoint.source);
   return true;
 }
 
 void ExplainEndpoints(std::ostream& out, const Rules& rules,
                       TargetHandle target) {
-  bool taken = false;
+  bool has_available_endpoint = false;
   for (const Endpoint& endpoint : rules.endpoints) {
     if (!endpoint.source.present || !Serves(endpoint, target)) continue;
-    taken |= ExplainEndpoint(out, rules, endpoint);
+    has_available_endpoint |= ExplainEndpoint(out, rules, endpoint);
   }
-  if (!taken) out << "refused: no endpoint that serves it takes new work\n";
+  if (!has_available_endpoint)
+    out << "refused: no endpoint that serves it takes new work\n";
 }
 
 }  // namespace
@@ -97,11 +98,11 @@
                                            std::string_view cls,
                                            std::string_view target) {
   const AccountHandle account_handle = FindAccount(rules, account);
-  if (!IsValid(account_handle)) return NotFound("account", account);
+  if (!IsValid(account_handle)) return NotFoundError("account", account);
   const ClassHandle class_handle = FindClass(rules, cls);
-  if (!IsValid(class_handle)) return NotFound("class", cls);
+  if (!IsValid(class_handle)) return NotFoundError("class", cls);
   const TargetHandle target_handle = FindTarget(rules, target);
-  if (!IsValid(target_handle)) return NotFound("model or service", target);
+  if (!IsValid(target_handle)) return NotFoundError("model or service", target);
   std::ostringstream out;
   out << "version " << rules.version << '\n';
   const Account& account_rule = rules.accounts[account_handle.idx];
--- a/rules/src/find.cc
+++ b/rules/src/find.cc
@@ -9,9 +9,9 @@
 template <typename HandleType, typename Row>
 HandleType Find(const NameIndex& index, const std::vector<Row>& rows,
                 std::string_view name) {
-  const auto at = index.find(name);
-  if (at == index.end() || !rows[at->second].source.present) return {};
-  return {at->second};
+  const auto it = index.find(name);
+  if (it == index.end() || !rows[it->second].source.present) return {};
+  return {it->second};
 }
 
 }  // namespace
--- a/rules/src/words.cc
+++ b/rules/src/words.cc
@@ -16,13 +16,13 @@
 namespace egretladder::rules {
 namespace {
 
-constexpr std::uint32_t kNoName = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint32_t kNoRow = std::numeric_limits<std::uint32_t>::max();
 
 std::optional<std::uint32_t> ParseCount(std::string_view text) {
   std::uint32_t value = 0;
   const char* end = text.data() + text.size();
-  const auto read = std::from_chars(text.data(), end, value);
-  if (read.ec != std::errc() || read.ptr != end) return std::nullopt;
+  const auto result = std::from_chars(text.data(), end, value);
+  if (result.ec != std::errc() || result.ptr != end) return std::nullopt;
   return value;
 }
 
@@ -40,16 +40,17 @@
 }
 
 /// Takes the word out of the line.
-std::optional<std::string> Take(RuleLine& line, const std::string& key) {
-  const auto at = line.words.find(key);
-  if (at == line.words.end()) return std::nullopt;
-  std::string value = std::move(at->second);
-  line.words.erase(at);
+std::optional<std::string> ConsumeField(RuleLine& line,
+                                        const std::string& key) {
+  const auto it = line.fields.find(key);
+  if (it == line.fields.end()) return std::nullopt;
+  std::string value = std::move(it->second);
+  line.fields.erase(it);
   return value;
 }
 
-std::string NameOfWord(const RuleLine& line, const std::string& key,
-                       const std::string& value) {
+std::string FormatField(const RuleLine& line, const std::string& key,
+                        const std::string& value) {
   return line.entry->section + " '" + line.entry->key + "': " + key + "=" +
          value;
 }
@@ -57,38 +58,38 @@
 std::uint32_t FindName(Reader& reader, const RuleLine& line,
                        const std::string& key, const char* kind,
                        const NameIndex& index, const std::string& name) {
-  const auto at = index.find(name);
-  if (at != index.end()) return at->second;
-  AddFault(reader, line.entry->line,
-           NameOfWord(line, key, name) + " names no " + kind,
+  const auto it = index.find(name);
+  if (it != index.end()) return it->second;
+  AddError(reader, line.entry->line,
+           FormatField(line, key, name) + " names no " + kind,
            std::string("declare the ") + kind + ", or correct the name");
-  return kNoName;
+  return kNoRow;
 }
 
 }  // namespace
 
-void AddFault(Reader& reader, std::uint32_t line, std::string what,
+void AddError(Reader& reader, std::uint32_t line, std::string what,
               std::string hint) {
-  reader.faults.push_back(
+  reader.errors.push_back(
       {reader.file, line, std::move(what), std::move(hint)});
 }
 
-RuleLine SplitWords(Reader& reader, const kernel::IniEntry& entry) {
+RuleLine SplitFields(Reader& reader, const kernel::IniEntry& entry) {
   RuleLine line{&entry, {}};
-  std::istringstream words(entry.value);
-  std::string word;
-  while (words >> word) {
-    const auto equals = word.find('=');
+  std::istringstream tokens(entry.value);
+  std::string token;
+  while (tokens >> token) {
+    const auto equals = token.find('=');
     if (equals == std::string::npos || equals == 0) {
-      AddFault(reader, entry.line,
-               entry.section + " '" + entry.key + "': '" + word +
+      AddError(reader, entry.line,
+               entry.section + " '" + entry.key + "': '" + token +
                    "' is not key=value",
                "write key=value without spaces around '='");
       continue;
     }
-    const std::string key = word.substr(0, equals);
-    if (!line.words.emplace(key, word.substr(equals + 1)).second) {
-      AddFault(
+    const std::string key = token.substr(0, equals);
+    if (!line.fields.emplace(key, token.substr(equals + 1)).second) {
+      AddError(
           reader, entry.line,
           entry.section + " '" + entry.key + "': '" + key + "' stands twice",
           "keep one of the two");
@@ -97,12 +98,12 @@
   return line;
 }
 
-std::string TakeText(Reader& reader, RuleLine& line, const std::string& key,
-                     bool required) {
-  const auto value = Take(line, key);
+std::string ConsumeText(Reader& reader, RuleLine& line, const std::string& key,
+                        bool required) {
+  const auto value = ConsumeField(line, key);
   if (value && !value->empty()) return *value;
   if (required || value) {
-    AddFault(reader, line.entry->line,
+    AddError(reader, line.entry->line,
              line.entry->section + " '" + line.entry->key + "': '" + key +
                  "' is missing",
              "add " + key + "=...");
@@ -110,99 +111,103 @@
   return "";
 }
 
-std::uint32_t TakeCount(Reader& reader, RuleLine& line, const std::string& key,
-                        std::uint32_t lowest, std::uint32_t standard) {
-  const auto value = Take(line, key);
-  if (!value) return standard;
+std::uint32_t ConsumeCount(Reader& reader, RuleLine& line,
+                           const std::string& key, std::uint32_t min_value,
+                           std::uint32_t default_value) {
+  const auto value = ConsumeField(line, key);
+  if (!value) return default_value;
   const auto count = ParseCount(*value);
-  if (count && *count >= lowest && *count <= kMaxCount) return *count;
-  AddFault(reader, line.entry->line,
-           NameOfWord(line, key, *value) + " is not valid",
-           "give a whole number from " + std::to_string(lowest) + " to " +
+  if (count && *count >= min_value && *count <= kMaxCount) return *count;
+  AddError(reader, line.entry->line,
+           FormatField(line, key, *value) + " is not valid",
+           "give a whole number from " + std::to_string(min_value) + " to " +
                std::to_string(kMaxCount));
-  return standard;
+  return default_value;
 }
 
-std::chrono::milliseconds TakeSpan(Reader& reader, RuleLine& line,
-                                   const std::string& key,
-                                   std::chrono::milliseconds standard) {
-  const auto value = Take(line, key);
+std::chrono::milliseconds ConsumeDuration(
+    Reader& reader, RuleLine& line, const std::string& key,
+    std::chrono::milliseconds default_value) {
+  const auto value = ConsumeField(line, key);
   if (!value) {
-    if (standard.count() < 0) {
-      AddFault(reader, line.entry->line,
+    if (default_value.count() < 0) {
+      AddError(reader, line.entry->line,
                line.entry->section + " '" + line.entry->key + "': '" + key +
                    "' is missing",
                "add " + key + "=..., such as " + key + "=1800ms");
     }
-    return std::max(standard, std::chrono::milliseconds(0));
+    return std::max(default_value, std::chrono::milliseconds(0));
   }
-  const auto span = kernel::ParseDuration(value->c_str());
-  if (span >= std::chrono::milliseconds(1) && span <= kMaxSpan) {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(span);
+  const auto duration = kernel::ParseDuration(value->c_str());
+  if (duration >= std::chrono::milliseconds(1) && duration <= kMaxDuration) {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
   }
-  AddFault(reader, line.entry->line,
-           NameOfWord(line, key, *value) + " is not a valid duration",
+  AddError(reader, line.entry->line,
+           FormatField(line, key, *value) + " is not a valid duration",
            "give a number with ms, s, m or h, from 1ms to 24h");
-  return std::max(standard, std::chrono::milliseconds(0));
+  return std::max(default_value, std::chrono::milliseconds(0));
 }
 
-bool TakeFlag(Reader& reader, RuleLine& line, const std::string& key,
-              std::string_view yes, std::string_view no, bool standard) {
-  const auto value = Take(line, key);
-  if (!value) return standard;
+bool ConsumeFlag(Reader& reader, RuleLine& line, const std::string& key,
+                 std::string_view yes, std::string_view no,
+                 bool default_value) {
+  const auto value = ConsumeField(line, key);
+  if (!value) return default_value;
   if (*value == yes) return true;
   if (*value == no) return false;
-  AddFault(reader, line.entry->line,
-           NameOfWord(line, key, *value) + " is not valid",
+  AddError(reader, line.entry->line,
+           FormatField(line, key, *value) + " is not valid",
            "give " + key + "=" + std::string(yes) + " or " + key + "=" +
                std::string(no));
-  return standard;
+  return default_value;
 }
 
-std::string TakeAddress(Reader& reader, RuleLine& line,
-                        const std::string& key) {
-  std::string value = TakeText(reader, line, key, true);
+std::string ConsumeAddress(Reader& reader, RuleLine& line,
+                           const std::string& key) {
+  std::string value = ConsumeText(reader, line, key, true);
   if (value.empty()) return value;
   if (!IsAddress(value)) {
-    AddFault(reader, line.entry->line,
-             NameOfWord(line, key, value) + " is not an address",
+    AddError(reader, line.entry->line,
+             FormatField(line, key, value) + " is not an address",
              "give IP:port, such as 10.0.1.4:8000");
     return value;
   }
-  const std::string user = line.entry->section + " '" + line.entry->key + "'";
-  const auto [at, fresh] = reader.addresses.emplace(value, user);
-  if (!fresh) {
-    AddFault(
+  const std::string owner = line.entry->section + " '" + line.entry->key + "'";
+  const auto [it, inserted] = reader.addresses.emplace(value, owner);
+  if (!inserted) {
+    AddError(
         reader, line.entry->line,
-        NameOfWord(line, key, value) + " is also the address of " + at->second,
+        FormatField(line, key, value) + " is also the address of " + it->second,
         "give each its own address");
   }
   return value;
 }
 
-std::uint32_t TakeName(Reader& reader, RuleLine& line, const std::string& key,
-                       const char* kind, const NameIndex& index,
-                       bool required) {
-  const std::string name = TakeText(reader, line, key, required);
-  if (name.empty()) return kNoName;
+std::uint32_t ConsumeName(Reader& reader, RuleLine& line,
+                          const std::string& key, const char* kind,
+                          const NameIndex& index, bool required) {
+  const std::string name = ConsumeText(reader, line, key, required);
+  if (name.empty()) return kNoRow;
   return FindName(reader, line, key, kind, index, name);
 }
 
-std::vector<std::uint32_t> TakeNames(Reader& reader, RuleLine& line,
-                                     const std::string& key, const char* kind,
-                                     const NameIndex& index) {
+std::vector<std::uint32_t> ConsumeNames(Reader& reader, RuleLine& line,
+                                        const std::string& key,
+                                        const char* kind,
+                                        const NameIndex& index) {
   std::vector<std::uint32_t> found;
-  const std::string list = TakeText(reader, line, key, true);
-  if (list.empty()) return found;
-  std::istringstream names(list);
+  const std::string names_text = ConsumeText(reader, line, key, true);
+  if (names_text.empty()) return found;
+  std::istringstream names(names_text);
   std::string name;
   while (std::getline(names, name, ',')) {
     const auto idx = FindName(reader, line, key, kind, index, name);
-    if (idx == kNoName) continue;
+    if (idx == kNoRow) continue;
     if (std::find(found.begin(), found.end(), idx) != found.end()) {
-      AddFault(reader, line.entry->line,
-               NameOfWord(line, key, list) + " names '" + name + "' twice",
-               "keep one of the two");
+      AddError(
+          reader, line.entry->line,
+          FormatField(line, key, names_text) + " names '" + name + "' twice",
+          "keep one of the two");
       continue;
     }
     found.push_back(idx);
@@ -210,12 +215,13 @@
   return found;
 }
 
-void RefuseLeftovers(Reader& reader, const RuleLine& line, const char* known) {
-  for (const auto& [key, value] : line.words) {
-    AddFault(reader, line.entry->line,
+void RejectUnknownKeys(Reader& reader, const RuleLine& line,
+                       const char* known_keys) {
+  for (const auto& [key, value] : line.fields) {
+    AddError(reader, line.entry->line,
              line.entry->section + " '" + line.entry->key + "': unknown key '" +
                  key + "'",
-             std::string("known here: ") + known);
+             std::string("known here: ") + known_keys);
   }
 }
 
--- a/rules/tests/compare_rules_test.cc
+++ b/rules/tests/compare_rules_test.cc
@@ -52,13 +52,13 @@
 
 // An operator rolls back by publishing the old file again; nodes that took the
 // newer one would never follow, and the fleet would stand on two documents.
-TEST(CompareRules, RefusesAVersionThatDoesNotRise) {
+TEST(CompareRules, RejectsAVersionThatDoesNotIncrease) {
   const auto same = er::CompareRules(*Read(kCurrent), *Read(kCurrent));
   CHECK_FALSE(same.has_value());
   CHECK(same.error().code == egretladder::kernel::ErrorCode::kConflict);
 }
 
-TEST(CompareRules, SaysWhatAZoneOutDoes) {
+TEST(CompareRules, DescribesTheEffectOfTakingAZoneOut) {
   const auto change = OnlyChange("yeka = ", "yeka = out=yes ");
   STRCMP_EQUAL("zone 'yeka': out no -> yes", change.what.c_str());
   STRCMP_CONTAINS("1 endpoints in it receive no new work",
@@ -66,7 +66,7 @@
   CHECK_EQUAL(5U, change.line);
 }
 
-TEST(CompareRules, SaysWhatClassAndAccountChangesDo) {
+TEST(CompareRules, DescribesTheEffectsOfClassAndAccountChanges) {
   STRCMP_CONTAINS("shed sooner", OnlyChange("tier=1", "tier=3").effect.c_str());
   STRCMP_CONTAINS("need a lane",
                   OnlyChange("800ms", "800ms repeatable=no").effect.c_str());
@@ -79,7 +79,7 @@
   CHECK_TRUE(none.value().empty());
 }
 
-TEST(CompareRules, NamesAddedAndRemovedRules) {
+TEST(CompareRules, ReportsAddedAndRemovedRules) {
   const auto change = OnlyChange(
       "e2 = address=10.0.0.2:8000 zone=yeka serves=trace bears=4 ; "
       "Hanna\n",
@@ -92,7 +92,7 @@
 
 // The successor was read on another process, so its rows are numbered
 // otherwise; only what its text changes may show.
-TEST(CompareRules, ComparesByNameNotByRow) {
+TEST(CompareRules, ComparesRulesByNameNotByRow) {
   const auto changes = er::CompareRules(
       *Read(kCurrent), *Read(Replace("bole = ; Hanna\nyeka = ; Hanna\n",
                                      "yeka = ; Hanna\nbole = ; Hanna\n")));
@@ -101,7 +101,7 @@
 
 TEST_GROUP(ExplainRequest){};
 
-TEST(ExplainRequest, NamesEachRuleAndWhoAskedForIt) {
+TEST(ExplainRequest, ReportsEachRuleWithItsRequester) {
   const auto rules = Read(Replace("yeka = ", "yeka = out=yes "));
   const std::string text =
       er::ExplainRequest(*rules, "abay", "buyer", "trace").value();
@@ -112,7 +112,7 @@
                   text.c_str());
 }
 
-TEST(ExplainRequest, SaysWhyARequestIsRefused) {
+TEST(ExplainRequest, ReportsWhyARequestIsRejected) {
   const auto rules = Read(kCurrent);
   STRCMP_CONTAINS(
       "refused: the account's rule does not list class 'buyer'",
--- a/rules/tests/read_rules_test.cc
+++ b/rules/tests/read_rules_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-const char* const kWhole = R"([document]
+const char* const kValidDocument = R"([document]
 version = 7 ; Hanna
 [headers]
 account = X-Account ; Hanna
@@ -36,30 +36,30 @@
 n1 = callers=10.0.1.1:80 peers=10.0.1.1:81 zone=bole ; Hanna
 )";
 
-std::vector<er::ValidationError> FaultsOf(const std::string& text) {
-  std::vector<er::ValidationError> faults;
-  const auto read = er::ReadRules(text, "r.ini", nullptr, &faults);
-  CHECK_EQUAL(faults.empty(), read.has_value());
-  return faults;
+std::vector<er::ValidationError> ReadErrors(const std::string& text) {
+  std::vector<er::ValidationError> errors;
+  const auto read = er::ReadRules(text, "r.ini", nullptr, &errors);
+  CHECK_EQUAL(errors.empty(), read.has_value());
+  return errors;
 }
 
 /// Reads a document that is whole but for `line` in `section`.
-std::vector<er::ValidationError> FaultsWith(const std::string& section,
-                                            const std::string& line) {
-  std::string text = kWhole;
-  const std::string head = "[" + section + "]\n";
-  text.insert(text.find(head) + head.size(), line + "\n");
-  return FaultsOf(text);
+std::vector<er::ValidationError> ReadErrorsWith(const std::string& section,
+                                                const std::string& line) {
+  std::string text = kValidDocument;
+  const std::string header = "[" + section + "]\n";
+  text.insert(text.find(header) + header.size(), line + "\n");
+  return ReadErrors(text);
 }
 
-void CheckOneFault(const std::string& section, const std::string& line,
+void CheckOneError(const std::string& section, const std::string& line,
                    const char* what) {
-  const auto faults = FaultsWith(section, line);
-  CHECK_EQUAL(1U, faults.size());
-  STRCMP_CONTAINS(what, faults[0].what.c_str());
-  STRCMP_EQUAL("r.ini", faults[0].file.c_str());
-  CHECK(faults[0].line > 1);
-  CHECK_FALSE(faults[0].hint.empty());
+  const auto errors = ReadErrorsWith(section, line);
+  CHECK_EQUAL(1U, errors.size());
+  STRCMP_CONTAINS(what, errors[0].what.c_str());
+  STRCMP_EQUAL("r.ini", errors[0].file.c_str());
+  CHECK(errors[0].line > 1);
+  CHECK_FALSE(errors[0].hint.empty());
 }
 
 }  // namespace
@@ -67,7 +67,7 @@
 TEST_GROUP(ReadRules){};
 
 TEST(ReadRules, ReadsEveryKindOfRule) {
-  const auto read = er::ReadRules(kWhole, "r.ini", nullptr);
+  const auto read = er::ReadRules(kValidDocument, "r.ini", nullptr);
   CHECK_TRUE(read.has_value());
   const er::Rules& rules = *read.value();
   CHECK_EQUAL(7U, rules.version);
@@ -88,13 +88,13 @@
   CHECK(e1.max_in_flight == 16 && e1.cold_max_in_flight == 2 &&
         e1.honours_fencing);
   CHECK_TRUE(er::Serves(e1, trace));
-  STRCMP_EQUAL("Hanna", e1.source.asked_by.c_str());
+  STRCMP_EQUAL("Hanna", e1.source.requested_by.c_str());
   CHECK(er::IsValid(er::FindNode(rules, "n1")));
   CHECK_FALSE(er::IsValid(er::FindNode(rules, "n2")));
 }
 
-TEST(ReadRules, KeepsHandlesAndRowsOfGoneNames) {
-  const auto first = er::ReadRules(kWhole, "r.ini", nullptr);
+TEST(ReadRules, KeepsHandlesAndRowsOfRemovedNames) {
+  const auto first = er::ReadRules(kValidDocument, "r.ini", nullptr);
   const std::string next =
       "[document]\nversion = 8 ; H\n[zone]\nnew = ; H\nyeka = ; H\n";
   const auto second = er::ReadRules(next, "s.ini", first.value().get());
@@ -108,80 +108,82 @@
   STRCMP_EQUAL("X-Client-Account", rules.headers.account.c_str());
 }
 
-TEST(ReadRules, NamesEveryFaultInOnePassInOrder) {
-  const auto faults = FaultsOf(
+TEST(ReadRules, ReportsEveryErrorInOnePassInLineOrder) {
+  const auto errors = ReadErrors(
       "[document]\nversion = 1\n[zone]\nbole = out=maybe colour=red ; H\n"
       "[endpoint]\ne = address=here:80 zone=kality serves=m ; H\n");
-  CHECK_EQUAL(6U, faults.size());
-  CHECK_EQUAL(2U, faults[0].line);
-  CHECK_EQUAL(4U, faults[1].line);
-  CHECK_EQUAL(6U, faults[5].line);
+  CHECK_EQUAL(6U, errors.size());
+  CHECK_EQUAL(2U, errors[0].line);
+  CHECK_EQUAL(4U, errors[1].line);
+  CHECK_EQUAL(6U, errors[5].line);
 }
 
 // A rule that nobody is named for stays for years, because nobody dares to
 // remove it. It is refused, the version's line included.
-TEST(ReadRules, RefusesARuleWithoutWhoAskedForIt) {
-  CheckOneFault("zone", "kality = region=addis", "names nobody");
-  CHECK_EQUAL(1U, FaultsOf("[document]\nversion = 1\n").size());
+TEST(ReadRules, RejectsARuleWithoutARequester) {
+  CheckOneError("zone", "kality = region=addis", "names nobody");
+  CHECK_EQUAL(1U, ReadErrors("[document]\nversion = 1\n").size());
 }
 
-TEST(ReadRules, RefusesUnknownSectionsKeysAndReferences) {
-  CHECK_EQUAL(1U,
-              FaultsOf(std::string(kWhole) + "[tenant]\nx = a=b ; H\n").size());
-  CheckOneFault("document", "colour = red ; H", "unknown key 'colour'");
-  CheckOneFault("headers", "tier = X-Tier ; H", "unknown key 'tier'");
-  CheckOneFault("headers", "class = X Class ; H", "not the name of a header");
-  CheckOneFault("zone", "kality = colour=red ; H", "unknown key 'colour'");
-  CheckOneFault("service", "pay = copies=2 ; H", "unknown key 'copies'");
-  CheckOneFault("account", "q = classes=buyr ; H", "names no class");
-  CheckOneFault("model", "a = base=none ; H", "names no model");
-  CheckOneFault("endpoint", "e = address=10.0.0.9:1 zone=bol serves=trace ; H",
+TEST(ReadRules, RejectsUnknownSectionsKeysAndReferences) {
+  CHECK_EQUAL(
+      1U, ReadErrors(std::string(kValidDocument) + "[tenant]\nx = a=b ; H\n")
+              .size());
+  CheckOneError("document", "colour = red ; H", "unknown key 'colour'");
+  CheckOneError("headers", "tier = X-Tier ; H", "unknown key 'tier'");
+  CheckOneError("headers", "class = X Class ; H", "not the name of a header");
+  CheckOneError("zone", "kality = colour=red ; H", "unknown key 'colour'");
+  CheckOneError("service", "pay = copies=2 ; H", "unknown key 'copies'");
+  CheckOneError("account", "q = classes=buyr ; H", "names no class");
+  CheckOneError("model", "a = base=none ; H", "names no model");
+  CheckOneError("endpoint", "e = address=10.0.0.9:1 zone=bol serves=trace ; H",
                 "names no zone");
-  CheckOneFault("endpoint", "e = address=10.0.0.9:1 zone=bole serves=tr ; H",
+  CheckOneError("endpoint", "e = address=10.0.0.9:1 zone=bole serves=tr ; H",
                 "names no model");
 }
 
-TEST(ReadRules, RefusesValuesOutOfRange) {
-  CheckOneFault("class", "c = tier=6 first_token=1s ; H", "tier");
-  CheckOneFault("class", "c = tier=0 first_token=1s ; H", "tier");
-  CheckOneFault("class", "c = first_token=1s ; H", "tier");
-  CheckOneFault("class", "c = tier=1 ; H", "'first_token' is missing");
-  CheckOneFault("class", "c = tier=1 first_token=5 ; H", "duration");
-  CheckOneFault("class", "c = tier=1 first_token=1s repeatable=0 ; H",
+TEST(ReadRules, RejectsValuesOutOfRange) {
+  CheckOneError("class", "c = tier=6 first_token=1s ; H", "tier");
+  CheckOneError("class", "c = tier=0 first_token=1s ; H", "tier");
+  CheckOneError("class", "c = first_token=1s ; H", "tier");
+  CheckOneError("class", "c = tier=1 ; H", "'first_token' is missing");
+  CheckOneError("class", "c = tier=1 first_token=5 ; H", "duration");
+  CheckOneError("class", "c = tier=1 first_token=1s repeatable=0 ; H",
                 "repeatable=0");
-  CheckOneFault("account", "q = classes=bulk share=0 ; H", "share=0");
-  CheckOneFault("account", "q = classes=bulk running=-1 ; H", "running=-1");
-  CheckOneFault("account", "q = classes=bulk,bulk ; H", "twice");
-  CheckOneFault("account", "q = share=1 ; H", "'classes' is missing");
-  CheckOneFault(
+  CheckOneError("account", "q = classes=bulk share=0 ; H", "share=0");
+  CheckOneError("account", "q = classes=bulk running=-1 ; H", "running=-1");
+  CheckOneError("account", "q = classes=bulk,bulk ; H", "twice");
+  CheckOneError("account", "q = share=1 ; H", "'classes' is missing");
+  CheckOneError(
       "endpoint",
       "e = address=10.0.0.9:1 zone=bole serves=trace bears=1 cold_bears=2 ; H",
       "cold_bears is above bears");
-  CheckOneFault("model", "m = copies=3 ; H", "0 endpoints serve it");
-  CheckOneFault("model", "m = base=trace-abay ; H", "is an adapter");
-  CheckOneFault("zone", "kality = out=yes out=no ; H", "stands twice");
-  CheckOneFault("zone", "kality = out ; H", "not key=value");
+  CheckOneError("model", "m = copies=3 ; H", "0 endpoints serve it");
+  CheckOneError("model", "m = base=trace-abay ; H", "is an adapter");
+  CheckOneError("zone", "kality = out=yes out=no ; H", "stands twice");
+  CheckOneError("zone", "kality = out ; H", "not key=value");
 }
 
-TEST(ReadRules, RefusesBadAndDuplicateAddressesAndNames) {
-  CheckOneFault("node",
+TEST(ReadRules, RejectsInvalidAndDuplicateAddressesAndNames) {
+  CheckOneError("node",
                 "n = callers=10.0.1.1:80 peers=10.0.2.2:1 zone=bole ; H",
                 "also the address");
-  CheckOneFault("node", "n = callers=10.0.1:80 peers=10.0.2.2:1 zone=bole ; H",
+  CheckOneError("node", "n = callers=10.0.1:80 peers=10.0.2.2:1 zone=bole ; H",
                 "not an address");
-  CheckOneFault("node",
+  CheckOneError("node",
                 "n = callers=10.0.2.1:70000 peers=10.0.2.2:1 zone=bole ; H",
                 "not an address");
-  CheckOneFault("service", "trace = ; H", "is declared above");
-  CheckOneFault("zone", "ka,lity = ; H", "not a valid name");
+  CheckOneError("service", "trace = ; H", "is declared above");
+  CheckOneError("zone", "ka,lity = ; H", "not a valid name");
 }
 
-TEST(ReadRules, RefusesBrokenMissingAndOversizedDocuments) {
-  CHECK_EQUAL(1U, FaultsOf("").size());
-  const auto broken = FaultsOf("[zone]\nbole\n");
-  CHECK_EQUAL(1U, broken.size());
-  CHECK_EQUAL(2U, broken[0].line);
-  const auto huge = FaultsOf(std::string(er::kMaxDocumentBytes + 1, ';'));
-  STRCMP_CONTAINS("mebibyte", huge[0].what.c_str());
-  CHECK_EQUAL(1U, FaultsOf("[document]\nversion = 0 ; H\n").size());
+TEST(ReadRules, RejectsMalformedEmptyAndOversizedDocuments) {
+  CHECK_EQUAL(1U, ReadErrors("").size());
+  const auto malformed = ReadErrors("[zone]\nbole\n");
+  CHECK_EQUAL(1U, malformed.size());
+  CHECK_EQUAL(2U, malformed[0].line);
+  const auto oversized =
+      ReadErrors(std::string(er::kMaxDocumentBytes + 1, ';'));
+  STRCMP_CONTAINS("mebibyte", oversized[0].what.c_str());
+  CHECK_EQUAL(1U, ReadErrors("[document]\nversion = 0 ; H\n").size());
 }
