--- a/rules/include/egretladder/rules/handles.h
+++ b/rules/include/egretladder/rules/handles.h
@@ -1,4 +1,4 @@
-// Typed handles to what the published rules name.
+// Typed handles to the objects that the published rules name.
 #pragma once
 
 #include <compare>
@@ -8,16 +8,17 @@
 
 namespace egretladder::rules {
 
-/// Refers to one named thing of the rules. Cheap to copy; never a pointer. A
-/// name keeps its handle for the life of the process, over every version of the
-/// rules; other processes number differently, so messages carry names.
+/// Refers to a named object of the rules by its index rather than by a pointer.
+/// Cheap to copy. A name keeps its handle in all versions of the rules for the
+/// life of the process. Other processes assign other indexes, so messages
+/// between nodes carry names.
 template <typename Tag>
 struct Handle {
   std::uint32_t idx = std::numeric_limits<std::uint32_t>::max();
   auto operator<=>(const Handle&) const = default;
 };
 
-/// Returns true unless the handle is the default, which refers to nothing.
+/// Returns false for a default-constructed handle, which refers to nothing.
 template <typename Tag>
 constexpr bool IsValid(Handle<Tag> handle) {
   return handle.idx != std::numeric_limits<std::uint32_t>::max();
@@ -26,11 +27,11 @@
 /// An availability zone.
 using ZoneHandle = Handle<struct ZoneTag>;
 using TargetHandle = Handle<struct TargetTag>;  ///< A model or a service.
-/// A class of requests.
+/// A request class.
 using ClassHandle = Handle<struct ClassTag>;
 /// A client account.
 using AccountHandle = Handle<struct AccountTag>;
-/// An engine or server that runs requests.
+/// An engine or server that executes requests.
 using EndpointHandle = Handle<struct EndpointTag>;
 /// A node of the router.
 using NodeHandle = Handle<struct NodeTag>;
--- a/rules/include/egretladder/rules/limits.h
+++ b/rules/include/egretladder/rules/limits.h
@@ -1,4 +1,4 @@
-// Limits and standard values of the rules document.
+// Limits and default values of the rules document.
 #pragma once
 
 #include <chrono>
@@ -7,23 +7,25 @@
 
 namespace egretladder::rules {
 
-/// Largest document taken: what the configuration service holds as one value.
+/// Maximum size of a document, which is also the maximum size of a value in the
+/// configuration service.
 inline constexpr std::size_t kMaxDocumentBytes = std::size_t{1} << 20U;
 
-/// Largest cap, share or number of slots; far above any real one, so that sums
-/// over all rows fit into 32 bits.
+/// Maximum cap, share or number of slots. It is far above any realistic value,
+/// and small enough for sums over all rows to fit into 32 bits.
 inline constexpr std::uint32_t kMaxCount = 1'000'000;
 
-/// Longest target or wait a class may have.
+/// Maximum latency target or waiting time of a class.
 inline constexpr std::chrono::hours kMaxDuration{24};
 
-/// Longest stay in the queue of a class that names none.
+/// Maximum time in the queue for a class that doesn't set `max_wait`.
 inline constexpr std::chrono::milliseconds kDefaultMaxWait{60'000};
 
-/// Region of a zone that names none.
+/// Region of a zone that doesn't set `region`.
 inline constexpr const char* kDefaultRegion = "default";
 
-/// Longest name of a zone, class, endpoint, ...: names travel in messages.
+/// Maximum length in bytes of a name of a zone, class, endpoint and so on.
+/// Names are sent in messages between nodes.
 inline constexpr std::size_t kMaxNameLength = 64;
 
 }  // namespace egretladder::rules
--- a/rules/include/egretladder/rules/rules.h
+++ b/rules/include/egretladder/rules/rules.h
@@ -1,5 +1,5 @@
-// The published rules: one INI document, one line per rule, each with a
-// trailing comment that names who asked for it.
+// The published rules: an INI document with one rule per line. Each line ends
+// with a comment that names who requested the rule.
 #pragma once
 
 #include <chrono>
@@ -16,100 +16,111 @@
 
 namespace egretladder::rules {
 
-/// The service tier that comes before all others.
+/// The service tier with the highest priority.
 inline constexpr std::uint8_t kTopTier = 1;
-/// The service tier that comes last; tiers are numbered without a gap.
+/// The service tier with the lowest priority. Tiers are numbered without gaps.
 inline constexpr std::uint8_t kBottomTier = 5;
 
-/// What every rule carries.
+/// The name and origin of a rule.
 struct RuleSource {
   std::string name;
-  std::string requested_by;  ///< The line's comment; never empty.
-  std::uint32_t line = 0;    ///< In the document in force.
-  bool present = false;      ///< False once a version no longer names it.
+  std::string requested_by;  ///< The comment of the line; never empty.
+  std::uint32_t line = 0;    ///< Line number in the document.
+  bool present = false;      ///< False if this version doesn't declare it.
 };
 
-/// `[zone] bole = region=addis out=no ; ...`
+/// An availability zone: `[zone] NAME = region=R out=no`.
 struct Zone {
   RuleSource source;
   std::string region;
   bool out = false;  ///< Taken out by operators: receives no new work.
 };
 
-/// Models are placed on endpoints; services run where the rules say.
+/// The kinds of target. The router loads models onto endpoints; services run
+/// where the rules say.
 enum class TargetKind : std::uint8_t { kModel, kService };
 
-/// `[model] NAME = base=M copies=N` or `[service] NAME =`. An adapter is a
-/// model with a base.
+/// A model or service: `[model] NAME = base=M copies=N` or `[service] NAME =`.
+/// An adapter is a model with a base model.
 struct Target {
   RuleSource source;
   TargetKind kind = TargetKind::kModel;
-  TargetHandle base;         ///< Of an adapter; not valid otherwise.
-  std::uint32_t copies = 1;  ///< Endpoints that should hold the model.
+  TargetHandle base;         ///< Base model of an adapter, else not valid.
+  std::uint32_t copies = 1;  ///< Endpoints that should have it loaded.
 };
 
-/// `[class] NAME = tier=1 first_token=1800ms between_tokens=43ms ...`
+/// A request class: `[class] NAME = tier=1 first_token=1800ms
+/// between_tokens=43ms max_wait=1m repeatable=yes running=N waiting=N`.
 struct Class {
   RuleSource source;
   std::uint8_t tier = kBottomTier;
-  std::chrono::milliseconds first_token{};  ///< Target from arrival.
+  /// Target for the time from arrival to the first token.
+  std::chrono::milliseconds first_token{};
+  /// Target for the time between two tokens; 0 if there is none.
   std::chrono::milliseconds between_tokens{};
-  std::chrono::milliseconds max_wait{};  ///< Longest stay in the queue.
-  bool repeatable = true;     ///< False: runs at most once, needs a lane.
-  std::uint32_t running = 0;  ///< Cap on this node; 0 is none.
-  std::uint32_t waiting = 0;  ///< Cap on this node; 0 is none.
+  std::chrono::milliseconds max_wait{};  ///< Maximum time in the queue.
+  /// False if a request runs at most once, which requires a lane.
+  bool repeatable = true;
+  std::uint32_t running = 0;  ///< Maximum running per node; 0: no limit.
+  std::uint32_t waiting = 0;  ///< Maximum queued per node; 0: no limit.
 };
 
-/// `[account] NAME = classes=a,b running=N waiting=N share=N`
+/// A client account: `[account] NAME = classes=a,b running=N waiting=N
+/// share=N`.
 struct Account {
   RuleSource source;
-  std::vector<ClassHandle> classes;
-  std::uint32_t running = 0;  ///< Cap on this node; 0 is none.
-  std::uint32_t waiting = 0;  ///< Cap on this node; 0 is none.
-  std::uint32_t share = 1;    ///< Weight among the accounts of a class.
+  std::vector<ClassHandle> classes;  ///< Classes that it may use.
+  std::uint32_t running = 0;         ///< Maximum running per node; 0: no limit.
+  std::uint32_t waiting = 0;         ///< Maximum queued per node; 0: no limit.
+  std::uint32_t share = 1;           ///< Weight among the accounts of a class.
 };
 
-/// `[endpoint] NAME = address=IP:port zone=Z serves=a,b bears=16 cold_bears=2
-/// fencing=honoured|ignored holds=2 leaving=no`
+/// An endpoint: `[endpoint] NAME = address=IP:port zone=Z serves=a,b bears=16
+/// cold_bears=2 fencing=honoured|ignored holds=2 leaving=no`.
 struct Endpoint {
   RuleSource source;
   std::string address;  ///< `IP:port`.
   ZoneHandle zone;
-  std::vector<TargetHandle> serves;
-  std::uint32_t max_in_flight = 1;  ///< Requests in flight when warm.
-  std::uint32_t cold_max_in_flight =
-      1;  ///< Requests in flight just after a start.
-  std::uint32_t max_loaded_models = 1;  ///< Models in memory at once.
+  std::vector<TargetHandle> serves;  ///< Models and services it may serve.
+  /// Maximum number of requests in flight once it is warm (`bears`).
+  std::uint32_t max_in_flight = 1;
+  /// Maximum number of requests in flight right after a start (`cold_bears`).
+  std::uint32_t cold_max_in_flight = 1;
+  /// Maximum number of models in memory at once (`holds`).
+  std::uint32_t max_loaded_models = 1;
+  /// True if it rejects orders with an outdated fencing number.
   bool honours_fencing = false;
   bool leaving = false;  ///< Receives no new work.
 };
 
-/// `[node] NAME = callers=IP:port peers=IP:port zone=Z leaving=no`
+/// A node of the router: `[node] NAME = callers=IP:port peers=IP:port zone=Z
+/// leaving=no`.
 struct Node {
   RuleSource source;
-  std::string caller_address;
-  std::string peer_address;
+  std::string caller_address;  ///< `IP:port` for callers.
+  std::string peer_address;    ///< `IP:port` for other nodes.
   ZoneHandle zone;
-  bool leaving = false;
+  bool leaving = false;  ///< Callers are no longer sent to it.
 };
 
-/// `[headers] account = X-Client-Account ; ...`: which request headers carry
-/// what the rules decide by.
+/// The names of the request headers that carry the account, class and timeout:
+/// `[headers] account = X-Client-Account`.
 struct CallerHeaders {
   std::string account = "X-Client-Account";
   std::string cls = "X-Request-Class";
-  std::string timeout = "X-Request-Timeout";  ///< Such as `5s`.
+  std::string timeout = "X-Request-Timeout";  ///< Value such as `5s`.
 };
 
-/// Rows by name, those of gone names included.
+/// Maps a name to its row, including names that are no longer declared.
 using NameIndex = std::map<std::string, std::uint32_t, std::less<>>;
 
-/// One version of the rules, checked whole. Immutable once made; vectors are
-/// indexed by handle and keep the rows of names that are gone.
+/// One validated version of the rules. Immutable after construction. The
+/// vectors are indexed by handle, and keep the rows of names that this version
+/// no longer declares.
 struct Rules {
   std::uint64_t version = 0;
-  std::uint64_t digest = 0;  ///< Hash of the text.
-  std::string text;          ///< As published, to be passed on.
+  std::uint64_t digest = 0;  ///< Hash of `text`.
+  std::string text;          ///< As published, sent to other nodes.
   CallerHeaders headers;
   std::vector<Zone> zones;
   std::vector<Target> targets;
@@ -125,56 +136,59 @@
   NameIndex node_names;
 };
 
-/// One version of the rules, shared by all that read it.
+/// A version of the rules, shared by its readers.
 using RulesPtr = std::shared_ptr<const Rules>;
 
-/// One fault in a document, and how to mend it.
+/// An error in a document.
 struct ValidationError {
   std::string file;
   std::uint32_t line = 0;
   std::string what;
-  std::string hint;
+  std::string hint;  ///< How to correct the error.
 };
 
-/// Reads and checks a whole document. Names that stood in `previous` (may be
-/// null) keep their handles. On failure `faults`, when given, gets every fault
-/// and the error describes the first.
+/// Parses and validates a document. Names that are in `previous`, which may be
+/// null, keep their handles. `errors`, if given, receives all errors, ordered
+/// by line. Returns `kInvalidInput` with the first of them.
 kernel::Result<RulesPtr> ReadRules(
     const std::string& text, std::string_view file, const Rules* previous,
     std::vector<ValidationError>* errors = nullptr);
 
-/// The zone that the rules name now; not valid when none has the name.
+/// Returns the zone of this name; not valid if this version declares none.
 ZoneHandle FindZone(const Rules& rules, std::string_view name);
-/// The same for a model or a service.
+/// Returns the model or service of this name; not valid if this version
+/// declares none.
 TargetHandle FindTarget(const Rules& rules, std::string_view name);
-/// The same for a class.
+/// Returns the class of this name; not valid if this version declares none.
 ClassHandle FindClass(const Rules& rules, std::string_view name);
-/// The same for a client account.
+/// Returns the client account of this name; not valid if this version declares
+/// none.
 AccountHandle FindAccount(const Rules& rules, std::string_view name);
-/// The same for an endpoint.
+/// Returns the endpoint of this name; not valid if this version declares none.
 EndpointHandle FindEndpoint(const Rules& rules, std::string_view name);
-/// The same for a node.
+/// Returns the node of this name; not valid if this version declares none.
 NodeHandle FindNode(const Rules& rules, std::string_view name);
 
-/// True when `account` may use `cls`.
+/// Returns true if `account` may use `cls`.
 bool Allows(const Account& account, ClassHandle cls);
-/// True when `endpoint` may serve `target`.
+/// Returns true if `endpoint` may serve `target`.
 bool Serves(const Endpoint& endpoint, TargetHandle target);
 
-/// One thing that a successor document changes, and what that will do.
+/// A difference between two versions of the rules and its effect.
 struct Change {
-  std::uint32_t line = 0;  ///< In the successor; 0 for a removed rule.
+  std::uint32_t line = 0;  ///< In the new version; 0: removed or a header.
   std::string what;
   std::string effect;
 };
 
-/// Compares `next` with `current`. Fails with `kConflict` when the version does
-/// not rise.
+/// Returns the changes from `current` to `next`, or `kConflict` if the version
+/// of `next` is not higher.
 kernel::Result<std::vector<Change>> CompareRules(const Rules& current,
                                                  const Rules& next);
 
-/// Which rules decide a request, in words for operators: one line per rule with
-/// file line and who asked for it.
+/// Explains to operators which rules apply to a request: one line per rule,
+/// with its line in the document and its requester. Returns `kNotFound` for an
+/// undeclared account, class or target.
 kernel::Result<std::string> ExplainRequest(const Rules& rules,
                                            std::string_view account,
                                            std::string_view cls,
--- a/rules/src/compare_rules.cc
+++ b/rules/src/compare_rules.cc
@@ -1,4 +1,4 @@
-// What a successor document changes, and what that will do.
+// Compares two versions of the rules and describes the effect of each change.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -8,7 +8,7 @@
 namespace egretladder::rules {
 namespace {
 
-/// Both documents, and the changes found so far.
+/// Both versions, and the changes found so far.
 struct Comparison {
   const Rules& current;
   const Rules& next;
@@ -29,9 +29,9 @@
   return std::to_string(value.count()) + "ms";
 }
 
-/// One rule as it stands in both documents.
+/// Names a compared rule in the description of a change.
 struct RuleLabel {
-  std::string name;  ///< `zone 'bole'`.
+  std::string name;  ///< Kind and name, such as `zone 'bole'`.
   std::uint32_t line = 0;
 };
 
@@ -51,7 +51,8 @@
   return row < rows.size() ? rows[row].source.name : "none";
 }
 
-/// Names, since the two documents may number differently.
+/// Returns the sorted names of `handles`. Rows are compared by name, because
+/// the same name may have different handles in the two versions.
 template <typename Row, typename HandleType>
 std::string JoinNames(const std::vector<Row>& rows,
                       const std::vector<HandleType>& handles) {
@@ -199,7 +200,7 @@
                              : "callers are sent to it again");
 }
 
-/// What adding and removing a rule of a kind does.
+/// Describes the effects of adding and of removing a rule of a kind.
 struct KindEffects {
   const char* kind;
   const char* added;
--- a/rules/src/explain_request.cc
+++ b/rules/src/explain_request.cc
@@ -1,4 +1,4 @@
-// Which rules decide a request, in words for operators.
+// Explains to operators which rules apply to a request.
 #include <sstream>
 
 #include "egretladder/rules/rules.h"
@@ -6,7 +6,7 @@
 namespace egretladder::rules {
 namespace {
 
-/// `line 12, asked by Hanna`.
+/// Formats the end of a line, such as ` (line 12, asked by Hanna)`.
 std::string FormatSource(const RuleSource& source) {
   return " (line " + std::to_string(source.line) + ", asked by " +
          source.requested_by + ")\n";
@@ -61,7 +61,7 @@
   out << FormatSource(target.source);
 }
 
-/// Returns true when the endpoint takes the request.
+/// Returns true if the endpoint accepts the request.
 bool ExplainEndpoint(std::ostream& out, const Rules& rules,
                      const Endpoint& endpoint) {
   const Zone& zone = rules.zones[endpoint.zone.idx];
--- a/rules/src/find.cc
+++ b/rules/src/find.cc
@@ -1,4 +1,4 @@
-// Look-ups by name.
+// Look-ups of objects of the rules by name.
 #include <algorithm>
 
 #include "egretladder/rules/rules.h"
--- a/rules/src/read_rules.cc
+++ b/rules/src/read_rules.cc
@@ -1,5 +1,5 @@
-// Reads a rules document: names first, then what each line says of them, so
-// that a line may refer to a later one.
+// Reads a rules document in two passes: the first declares the names and the
+// second reads the lines, so that a line can refer to a later one.
 #include <algorithm>
 #include <array>
 #include <cctype>
@@ -25,7 +25,8 @@
   });
 }
 
-/// A name of an HTTP header (RFC 9110, token without the rarer signs).
+/// Returns true for the name of an HTTP header: a token of RFC 9110, restricted
+/// to letters, digits, `-` and `_`.
 bool IsHeaderName(const std::string& name) {
   return !name.empty() &&
          std::all_of(name.begin(), name.end(), [](unsigned char c) {
@@ -33,8 +34,8 @@
          });
 }
 
-/// Enters the rule's name and returns its row, which is that of the previous
-/// version when the name stood there.
+/// Declares the name of a rule. Its row is that of the previous version if the
+/// name existed there.
 template <typename Row>
 void DeclareName(Reader& reader, const kernel::IniEntry& entry,
                  std::vector<Row>& rows, NameIndex& index) {
@@ -57,11 +58,14 @@
   row.source = {entry.key, entry.comment, entry.line, true};
 }
 
+/// Marks all rows as not declared; `DeclareName` marks those of this version.
 template <typename Row>
 void MarkAbsent(std::vector<Row>& rows) {
   for (Row& row : rows) row.source.present = false;
 }
 
+/// Returns the rules before the document is read: the rows of `previous`, all
+/// marked as not declared, so that names keep their handles.
 Rules MakeInitialRules(const Rules* previous) {
   Rules rules;
   if (previous == nullptr) return rules;
@@ -84,7 +88,7 @@
   return handles;
 }
 
-/// Names of rows that the document at hand declares.
+/// Returns the names that this document declares.
 template <typename Row>
 NameIndex PresentNames(const NameIndex& index, const std::vector<Row>& rows) {
   NameIndex present;
@@ -94,7 +98,7 @@
   return present;
 }
 
-/// What the lines of a document may refer to.
+/// The declared names to which lines of the document may refer.
 struct DeclaredNames {
   NameIndex zones;
   NameIndex targets;
@@ -155,7 +159,8 @@
   RuleLine line = SplitFields(reader, entry);
   Target& target =
       reader.rules.targets[reader.rules.target_names.find(entry.key)->second];
-  if (target.source.line != entry.line) return;  // A duplicate; a fault.
+  // A duplicate name, already reported.
+  if (target.source.line != entry.line) return;
   if (entry.section == "service") {
     target.kind = TargetKind::kService;
     RejectUnknownKeys(reader, line, "none");
@@ -288,7 +293,8 @@
   return nullptr;
 }
 
-/// A rule nobody stands for can't be questioned later, when it is in the way.
+/// Adds an error for a rule without a comment. A rule without a requester can't
+/// be questioned later, when it causes trouble.
 void RequireComment(Reader& reader, const kernel::IniEntry& entry) {
   if (!entry.comment.empty()) return;
   AddError(reader, entry.line,
@@ -296,7 +302,7 @@
            "end the line with ' ; ' and who asked for it");
 }
 
-/// An adapter needs a model under it that is none itself.
+/// Adds an error for each adapter whose base is not a plain model.
 void CheckBaseModels(Reader& reader) {
   for (const Target& target : reader.rules.targets) {
     if (!target.source.present || !IsValid(target.base)) continue;
@@ -355,7 +361,7 @@
                            error.what + "; " + error.hint);
 }
 
-/// Splits `file:line` as the INI reader gives it.
+/// Converts an error of the INI reader, whose `peer` is `file:line`.
 ValidationError ToValidationError(const kernel::Error& error,
                                   std::string_view file) {
   ValidationError result{std::string(file), 0, error.detail,
--- a/rules/src/words.cc
+++ b/rules/src/words.cc
@@ -1,4 +1,4 @@
-// Reads the `key=value` words of one rule.
+// Reads the `key=value` fields of one rule.
 #include <arpa/inet.h>
 
 #include <algorithm>
@@ -39,7 +39,8 @@
   return inet_pton(AF_INET6, ip.c_str(), parsed.data()) == 1;
 }
 
-/// Takes the word out of the line.
+/// Removes a field from the line and returns its value, or nullopt if it is
+/// missing.
 std::optional<std::string> ConsumeField(RuleLine& line,
                                         const std::string& key) {
   const auto it = line.fields.find(key);
--- a/rules/tests/compare_rules_test.cc
+++ b/rules/tests/compare_rules_test.cc
@@ -50,8 +50,8 @@
 
 TEST_GROUP(CompareRules){};
 
-// An operator rolls back by publishing the old file again; nodes that took the
-// newer one would never follow, and the fleet would stand on two documents.
+// An operator rolls back by publishing the previous file unchanged. Nodes that
+// accepted the newer version ignore it, so the fleet would run two versions.
 TEST(CompareRules, RejectsAVersionThatDoesNotIncrease) {
   const auto same = er::CompareRules(*Read(kCurrent), *Read(kCurrent));
   CHECK_FALSE(same.has_value());
@@ -73,7 +73,7 @@
   const auto change = OnlyChange("buyer,bulk", "bulk");
   STRCMP_EQUAL("account 'abay': classes bulk,buyer -> bulk",
                change.what.c_str());
-  // The order of names has no meaning.
+  // The order of the names in a list is not significant.
   const auto none = er::CompareRules(
       *Read(kCurrent), *Read(Replace("buyer,bulk", "bulk,buyer")));
   CHECK_TRUE(none.value().empty());
@@ -90,8 +90,8 @@
                OnlyChange("bole = ", "kality = ; H\nbole = ").what.c_str());
 }
 
-// The successor was read on another process, so its rows are numbered
-// otherwise; only what its text changes may show.
+// The new version was read separately, so its rows are in another order. Only
+// changes of the text may be reported.
 TEST(CompareRules, ComparesRulesByNameNotByRow) {
   const auto changes = er::CompareRules(
       *Read(kCurrent), *Read(Replace("bole = ; Hanna\nyeka = ; Hanna\n",
--- a/rules/tests/read_rules_test.cc
+++ b/rules/tests/read_rules_test.cc
@@ -43,7 +43,7 @@
   return errors;
 }
 
-/// Reads a document that is whole but for `line` in `section`.
+/// Returns the errors of the valid document with `line` added to `section`.
 std::vector<er::ValidationError> ReadErrorsWith(const std::string& section,
                                                 const std::string& line) {
   std::string text = kValidDocument;
@@ -118,8 +118,8 @@
   CHECK_EQUAL(6U, errors[5].line);
 }
 
-// A rule that nobody is named for stays for years, because nobody dares to
-// remove it. It is refused, the version's line included.
+// A rule without a requester would stay for years, because nobody dares to
+// remove it. It is rejected, and so is a version line without a requester.
 TEST(ReadRules, RejectsARuleWithoutARequester) {
   CheckOneError("zone", "kality = region=addis", "names nobody");
   CHECK_EQUAL(1U, ReadErrors("[document]\nversion = 1\n").size());
