--- a/rules/src/compare_rules.cc
+++ b/rules/src/compare_rules.cc
@@ -82,14 +82,14 @@
       std::to_string(CountEndpointsInZone(comparison.next, after.source.name)) +
       " endpoints";
   CompareValue(comparison, rule, "region", before.region, after.region,
-               "its nodes and endpoints count for the other region");
+               "its nodes and endpoints belong to the other region");
   CompareValue(comparison, rule, "out", before.out, after.out,
                after.out ? endpoints +
                                " in it receive no new work within seconds; "
                                "requests in progress end in their own time"
                          : endpoints +
-                               " in it receive work again, from what they "
-                               "bear cold and up");
+                               " in it receive work again, starting at their "
+                               "cold limits");
 }
 
 void CompareRow(Comparison& comparison, const RuleLabel& rule,
@@ -101,7 +101,7 @@
   CompareValue(comparison, rule, "copies", before.copies, after.copies,
                after.copies > before.copies
                    ? "more engines are ordered to load it, one after another"
-                   : "engines that need the room may unload it");
+                   : "engines that need the memory may unload it");
   CompareValue(comparison, rule, "service", before.kind == TargetKind::kService,
                after.kind == TargetKind::kService,
                "callers reach it by another path");
@@ -109,10 +109,12 @@
 
 void CompareRow(Comparison& comparison, const RuleLabel& rule,
                 const Class& before, const Class& after) {
-  CompareValue(comparison, rule, "tier", before.tier, after.tier,
-               after.tier < before.tier
-                   ? "it goes before more classes under load"
-                   : "more classes go before it under load; it is shed sooner");
+  CompareValue(
+      comparison, rule, "tier", before.tier, after.tier,
+      after.tier < before.tier
+          ? "it takes priority over more classes under load"
+          : "more classes take priority over it under load; it is shed "
+            "sooner");
   CompareValue(comparison, rule, "first_token", before.first_token,
                after.first_token,
                after.first_token < before.first_token
@@ -125,8 +127,8 @@
   CompareValue(comparison, rule, "repeatable", before.repeatable,
                after.repeatable,
                after.repeatable
-                   ? "a failed call may be run again: be sure that it does no "
-                     "harm"
+                   ? "a failed call may be run again: make sure that this is "
+                     "safe"
                    : "calls need a lane and an idempotency key; those without "
                      "are refused");
   CompareValue(comparison, rule, "running", before.running, after.running,
@@ -147,13 +149,13 @@
   CompareValue(comparison, rule, "waiting", before.waiting, after.waiting,
                "the account's queue on each node changes; 0 is no cap");
   CompareValue(comparison, rule, "share", before.share, after.share,
-               "its part among the accounts of a class changes");
+               "its weight among the accounts of a class changes");
 }
 
 void CompareRow(Comparison& comparison, const RuleLabel& rule,
                 const Endpoint& before, const Endpoint& after) {
   CompareValue(comparison, rule, "address", before.address, after.address,
-               "new calls go to the other address, from what it bears cold");
+               "new calls go to the other address, starting at the cold limit");
   CompareValue(comparison, rule, "zone",
                RowName(comparison.current.zones, before.zone.idx),
                RowName(comparison.next.zones, after.zone.idx),
@@ -167,12 +169,12 @@
                after.max_in_flight,
                after.max_in_flight < before.max_in_flight
                    ? "fewer requests in flight, as those in progress end"
-                   : "its slots may grow further, on answers in time");
+                   : "its slots may grow further while answers arrive in time");
   CompareValue(comparison, rule, "cold_bears", before.cold_max_in_flight,
                after.cold_max_in_flight,
-               "what it receives right after a start changes");
+               "its limit of requests in flight right after a start changes");
   CompareValue(comparison, rule, "holds", before.max_loaded_models,
-               after.max_loaded_models, "models are placed anew");
+               after.max_loaded_models, "models are placed again");
   CompareValue(comparison, rule, "fencing", before.honours_fencing,
                after.honours_fencing,
                after.honours_fencing
@@ -182,7 +184,7 @@
                after.leaving
                    ? "it receives no new work within seconds; requests in "
                      "progress end in their own time"
-                   : "it receives work again, from what it bears cold");
+                   : "it receives work again, starting at its cold limit");
 }
 
 void CompareRow(Comparison& comparison, const RuleLabel& rule,
@@ -272,7 +274,7 @@
                "its calls are refused; those in progress end"},
               &Rules::accounts, &Rules::account_names);
   CompareRows(comparison,
-              {"endpoint", "it receives work, from what it bears cold and up",
+              {"endpoint", "it receives work, starting at its cold limit",
                "it receives no new work within seconds; requests in progress "
                "end in their own time"},
               &Rules::endpoints, &Rules::endpoint_names);
