--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -215,7 +215,8 @@
     EndAttempt(proxy, call, EndOfWhole(attempt), "");
     return;
   }
-  const bool whole = attempt.splitter.rest.empty() && call->events > 0;
+  const bool whole =
+      attempt.splitter.incomplete_event.empty() && call->events > 0;
   EndAttempt(proxy, call,
              whole ? AttemptOutcome::kSucceeded : AttemptOutcome::kBroken,
              whole ? "" : "the stream ended inside an event");
@@ -277,9 +278,10 @@
 net::ExchangeRequest ExchangeFor(const Proxy& proxy, const Call& call,
                                  Time now) {
   const net::HttpRequest& request = call.caller->request();
-  const bool bodyless = request.body.empty() &&
-                        net::CountOf(request.fields, "Content-Length") == 0 &&
-                        net::CountOf(request.fields, "Transfer-Encoding") == 0;
+  const bool bodyless =
+      request.body.empty() &&
+      net::CountFields(request.fields, "Content-Length") == 0 &&
+      net::CountFields(request.fields, "Transfer-Encoding") == 0;
   net::ExchangeRequest exchange;
   exchange.address = call.attempt->endpoint->entry.address;
   exchange.head = net::FormatRequestHead(
