--- a/kernel/src/hash.cc
+++ b/kernel/src/hash.cc
@@ -18,7 +18,8 @@
 }
 
 double HashToFraction(std::uint64_t hash) {
-  constexpr double kTwoToThe53 = 9007199254740992.0;  // 2^53
+  // A double represents 53 bits exactly, so the result never rounds up to 1.
+  constexpr double kTwoToThe53 = 9007199254740992.0;
   return static_cast<double>(hash >> 11) / kTwoToThe53;
 }
 
--- a/rules/src/read_rules.cc
+++ b/rules/src/read_rules.cc
@@ -15,7 +15,8 @@
 namespace egretladder::rules {
 namespace {
 
-constexpr std::chrono::milliseconds kRequired{-1};
+/// A negative default value, which makes a duration field required.
+constexpr std::chrono::milliseconds kRequiredDuration{-1};
 
 bool IsName(const std::string& name) {
   if (name.empty() || name.size() > kMaxNameLength) return false;
@@ -185,7 +186,8 @@
   } else {
     cls.tier = static_cast<std::uint8_t>(tier);
   }
-  cls.first_token = ConsumeDuration(reader, line, "first_token", kRequired);
+  cls.first_token =
+      ConsumeDuration(reader, line, "first_token", kRequiredDuration);
   cls.between_tokens = ConsumeDuration(reader, line, "between_tokens",
                                        std::chrono::milliseconds(0));
   cls.max_wait = ConsumeDuration(reader, line, "max_wait", kDefaultMaxWait);
