--- a/gateway/include/egretladder/gateway/limits.h
+++ b/gateway/include/egretladder/gateway/limits.h
@@ -34,7 +34,7 @@
 /// Callers keep the answer to `/where` this long. A node that ended sooner
 /// would leave them a closed port, and retries of its lanes' keys would hear
 /// "unknown" though it had their answers. Nothing is gained by longer.
-inline constexpr std::chrono::milliseconds kLinger = node::kWhereKeep;
+inline constexpr std::chrono::milliseconds kLinger = node::kWhereAnswerTtl;
 /// Unread output of one caller above which its endpoint is not read.
 inline constexpr std::size_t kCallerBuffer = std::size_t{64} << 10U;
 /// Bodies of all calls whose answer has not begun.
--- a/gateway/src/apply_actions.cc
+++ b/gateway/src/apply_actions.cc
@@ -28,11 +28,12 @@
   CallerCall* call = FindCall(gateway, answer.call);
   if (call == nullptr) return;
   if (call->caller != nullptr) {
-    CountOutcome(*call, answer.ran == node::Ran::kNo ? Outcome::kNotRun
-                                                     : Outcome::kUnknown);
+    CountOutcome(*call, answer.ran == node::RunStatus::kDidNotRun
+                            ? Outcome::kNotRun
+                            : Outcome::kUnknown);
   }
   const char* code = node::NameOf(answer.code);
-  AnswerCallError(*call, {node::StatusOf(answer.code), code,
+  AnswerCallError(*call, {node::HttpStatusFor(answer.code), code,
                           answer.detail.empty() ? code : answer.detail,
                           node::NameOf(answer.ran), answer.retry_after});
   ForgetIfDone(*call);
--- a/gateway/src/gateway.cc
+++ b/gateway/src/gateway.cc
@@ -128,7 +128,7 @@
     gateway->options.node.fleet.peer_address = peer_address;
   }
   BOOST_OUTCOME_TRYV(StartNode(*gateway));
-  gateway->tick = kernel::RunEvery(loop, node::kNodeTick,
+  gateway->tick = kernel::RunEvery(loop, node::kNodeTickInterval,
                                    [raw = gateway.get()] { Tick(*raw); });
   return gateway;
 }
--- a/gateway/tests/peer_test.cc
+++ b/gateway/tests/peer_test.cc
@@ -152,7 +152,7 @@
   CHECK_EQUAL(2U, two.endpoint.seen.size());
   CHECK_TRUE(
       et::RunUntil(two.loop, [&] { return eg::CanShutDown(*two.first); }));
-  CHECK(two.loop.clock.now - left >= egretladder::node::kWhereKeep);
+  CHECK(two.loop.clock.now - left >= egretladder::node::kWhereAnswerTtl);
 }
 
 // The owner of the lane is gone for good. Nobody else knows whether the payment
--- a/lab/src/driver.cc
+++ b/lab/src/driver.cc
@@ -135,7 +135,7 @@
   state->options = options;
   state->sink = std::move(sink);
   state->random.seed(options.seed);
-  state->next_tick = state->clock.now + node::kNodeTick;
+  state->next_tick = state->clock.now + node::kNodeTickInterval;
   return state;
 }
 
@@ -167,7 +167,7 @@
       state.events.pop();
       what();
     } else {
-      state.next_tick += node::kNodeTick;
+      state.next_tick += node::kNodeTickInterval;
       Tick(state);
     }
   }
--- a/lab/src/scenario_actions.cc
+++ b/lab/src/scenario_actions.cc
@@ -75,7 +75,8 @@
     CheckRefusal(world, node, error);
     const auto at = world.calls.find(error.call);
     if (at == world.calls.end()) return;
-    if (error.ran == node::Ran::kNo) CheckNotRun(world, error.call);
+    if (error.ran == node::RunStatus::kDidNotRun)
+      CheckNotRun(world, error.call);
     const auto source = at->second.passed_from;
     if (!source) return OnCallRefused(world, error);
     // It may go on without its caller; then its end forgets it.
--- a/lab/src/scenario_callers.cc
+++ b/lab/src/scenario_callers.cc
@@ -253,7 +253,7 @@
   at->second.caller_waits = false;
   if (at->second.engine_call == 0) ForgetLiveCall(world, error.call);
   if (wish.outcome != Outcome::kOpen) return;
-  const bool not_run = error.ran == node::Ran::kNo;
+  const bool not_run = error.ran == node::RunStatus::kDidNotRun;
   // After "not run" the caller may begin anew; after "unknown" it must ask with
   // the same lane and key.
   if (not_run) wish.lane.clear();
--- a/lab/src/scenario_events.cc
+++ b/lab/src/scenario_events.cc
@@ -68,7 +68,7 @@
   const Time now = Now(*world.driver);
   // Killed and started anew meanwhile: another process.
   if (!node::ViewOf(*node, now).leaving) return;
-  const bool idle = node::IsIdle(*node) && now - since >= node::kWhereKeep;
+  const bool idle = node::IsIdle(*node) && now - since >= node::kWhereAnswerTtl;
   const bool too_long = now - since > kLeaveMost;
   if (!idle && !too_long) {
     return At(*world.driver, In(world, kLeaveStep),
--- a/lab/src/scenario_invariants.cc
+++ b/lab/src/scenario_invariants.cc
@@ -191,7 +191,8 @@
 void CheckPromptness(World& world, NodeIdx node,
                      const node::AnswerError& error) {
   const auto at = world.calls.find(error.call);
-  if (at == world.calls.end() || error.ran != node::Ran::kNo) return;
+  if (at == world.calls.end() || error.ran != node::RunStatus::kDidNotRun)
+    return;
   const std::string& cls = LoadOf(world, world.wishes[at->second.wish]).cls;
   const rules::Class* rule = ClassRule(world, cls);
   const Time now = Now(*world.driver);
--- a/node/include/egretladder/node/limits.h
+++ b/node/include/egretladder/node/limits.h
@@ -27,7 +27,7 @@
 
 /// How long a caller may keep the answer to `/where`. A leaving node must stay
 /// reachable this long; callers learn of new nodes no faster.
-inline constexpr std::chrono::milliseconds kWhereKeep{5000};
+inline constexpr std::chrono::milliseconds kWhereAnswerTtl{5000};
 
 /// Addresses in that answer: one to use and two to turn to.
 inline constexpr std::size_t kWhereAddresses = 3;
--- a/node/include/egretladder/node/node.h
+++ b/node/include/egretladder/node/node.h
@@ -47,7 +47,7 @@
 };
 
 /// What is certain about a call that gets no answer of an endpoint.
-enum class Ran : std::uint8_t { kNo, kUnknown };
+enum class RunStatus : std::uint8_t { kDidNotRun, kUnknown };
 
 /// Stable codes of error answers.
 enum class AnswerCode : std::uint8_t {
@@ -73,9 +73,9 @@
 /// The code as error answers and logs show it.
 const char* NameOf(AnswerCode code);
 /// The word as error answers show it.
-const char* NameOf(Ran ran);
+const char* NameOf(RunStatus ran);
 /// The HTTP status that goes with a code.
-int StatusOf(AnswerCode code);
+int HttpStatusFor(AnswerCode code);
 
 /// Send the call to an endpoint now. The driver asks `MaySend` right before the
 /// first byte leaves.
@@ -97,7 +97,7 @@
 struct AnswerError {
   CallId call = 0;
   AnswerCode code = AnswerCode::kOverloaded;
-  Ran ran = Ran::kUnknown;
+  RunStatus ran = RunStatus::kUnknown;
   std::string detail;
   std::chrono::milliseconds retry_after{};  ///< 0: none.
 };
@@ -229,6 +229,6 @@
 rules::RulesPtr RulesOf(const NodeState& state);
 
 /// Longest pause between two calls of `OnTick`.
-inline constexpr std::chrono::milliseconds kNodeTick{10};
+inline constexpr std::chrono::milliseconds kNodeTickInterval{10};
 
 }  // namespace egretladder::node
--- a/node/src/answers.cc
+++ b/node/src/answers.cc
@@ -4,22 +4,23 @@
 namespace egretladder::node {
 namespace {
 
-void Answer(CallId call, Ran ran, const GiveUpReason& reason, Actions& out) {
+void Answer(CallId call, RunStatus ran, const GiveUpReason& reason,
+            Actions& out) {
   out.emplace_back(
       AnswerError{call, reason.code, ran, reason.detail, reason.retry_after});
 }
 
 /// Ends the key: burned when no byte can have left, lost otherwise. Only a
 /// burned key allows "not run", since then no later copy runs either.
-std::vector<CallId> EndKey(NodeState& state, const CallRecord& record, Ran ran,
-                           Time now) {
-  if (ran == Ran::kNo) {
+std::vector<CallId> EndKey(NodeState& state, const CallRecord& record,
+                           RunStatus ran, Time now) {
+  if (ran == RunStatus::kDidNotRun) {
     return fleet::BurnCall(*state.lanes, *record.lane, record.call.key, now);
   }
   return fleet::LoseCall(*state.lanes, *record.lane, record.call.key, now);
 }
 
-void AnswerWaiters(NodeState& state, CallRecord& record, Ran ran,
+void AnswerWaiters(NodeState& state, CallRecord& record, RunStatus ran,
                    const GiveUpReason& reason, Time now, Actions& out) {
   const CallId runner = record.call.id;
   const bool detached = record.detached;
@@ -36,7 +37,8 @@
 void GiveUp(NodeState& state, CallRecord& record, const GiveUpReason& reason,
             Time now, Actions& out) {
   const bool may_have_run = record.may_have_run || IsSent(record.stage);
-  const Ran ran = may_have_run ? Ran::kUnknown : Ran::kNo;
+  const RunStatus ran =
+      may_have_run ? RunStatus::kUnknown : RunStatus::kDidNotRun;
   const char* why = reason.why != nullptr ? reason.why : NameOf(reason.code);
   Decide(state, record, "refuse", why, now, out);
   if (record.lane) {
@@ -47,7 +49,7 @@
   ForgetCall(state, record.call.id);
 }
 
-void RefuseCall(const Call& call, Ran ran, const GiveUpReason& reason,
+void RefuseCall(const Call& call, RunStatus ran, const GiveUpReason& reason,
                 Actions& out) {
   Answer(call.id, ran, reason, out);
 }
--- a/node/src/lanes.cc
+++ b/node/src/lanes.cc
@@ -12,7 +12,7 @@
 void AnswerUnknown(NodeState& state, const CallRecord& record,
                    const GiveUpReason& reason, Time now, Actions& out) {
   Decide(state, record, "refuse", NameOf(reason.code), now, out);
-  RefuseCall(record.call, Ran::kUnknown, reason, out);
+  RefuseCall(record.call, RunStatus::kUnknown, reason, out);
   ForgetCall(state, record.call.id);
 }
 
@@ -109,7 +109,8 @@
   bool operator()(const fleet::RefuseCall& refusal) const {
     const AnswerCode code = CodeOf(refusal.why);
     Decide(state, record, "refuse", NameOf(refusal.why), now, out);
-    RefuseCall(record.call, refusal.not_run ? Ran::kNo : Ran::kUnknown,
+    RefuseCall(record.call,
+               refusal.not_run ? RunStatus::kDidNotRun : RunStatus::kUnknown,
                {code, NameOf(refusal.why), {}}, out);
     ForgetCall(state, record.call.id);
     return false;
--- a/node/src/state_p.h
+++ b/node/src/state_p.h
@@ -140,7 +140,7 @@
 void GiveUp(NodeState& state, CallRecord& record, const GiveUpReason& reason,
             Time now, Actions& out);
 /// Refuses a call that never got a record.
-void RefuseCall(const Call& call, Ran ran, const GiveUpReason& reason,
+void RefuseCall(const Call& call, RunStatus ran, const GiveUpReason& reason,
                 Actions& out);
 
 // lanes.cc
--- a/node/src/where.cc
+++ b/node/src/where.cc
@@ -54,7 +54,7 @@
 
 WhereAnswer Where(NodeState& state, std::string_view zone, Time now) {
   WhereAnswer answer;
-  answer.keep_for = kWhereKeep;
+  answer.keep_for = kWhereAnswerTtl;
   for (const fleet::Member& member :
        fleet::Where(*state.fleet, zone, kWhereAddresses, now)) {
     answer.addresses.push_back(member.caller_address);
--- a/node/tests/calls_test.cc
+++ b/node/tests/calls_test.cc
@@ -8,11 +8,12 @@
 namespace en = egretladder::node;
 namespace ep = egretladder::policy;
 using en::AnswerCode;
-using en::Ran;
+using en::RunStatus;
 
 namespace {
 
-void CheckError(const en::test::TestNode& node, AnswerCode code, Ran ran) {
+void CheckError(const en::test::TestNode& node, AnswerCode code,
+                RunStatus ran) {
   CHECK_FALSE(node.errors.empty());
   const en::AnswerError& error = node.errors.back();
   STRCMP_EQUAL(NameOf(code), NameOf(error.code));
@@ -40,18 +41,18 @@
   en::Call call = harness_.MakeCall("buyer", 1);
   call.account = "nobody";
   harness_.Send(n1_, call);
-  CheckError(n1_, AnswerCode::kUnknownAccount, Ran::kNo);
+  CheckError(n1_, AnswerCode::kUnknownAccount, RunStatus::kDidNotRun);
   call = harness_.MakeCall("none", 2);
   harness_.Send(n1_, call);
-  CheckError(n1_, AnswerCode::kUnknownClass, Ran::kNo);
+  CheckError(n1_, AnswerCode::kUnknownClass, RunStatus::kDidNotRun);
   call = harness_.MakeCall("buyer", 3);
   call.account = "broker";
   harness_.Send(n1_, call);
-  CheckError(n1_, AnswerCode::kClassNotAllowed, Ran::kNo);
+  CheckError(n1_, AnswerCode::kClassNotAllowed, RunStatus::kDidNotRun);
   call = harness_.MakeCall("buyer", 4);
   call.target = "none";
   harness_.Send(n1_, call);
-  CheckError(n1_, AnswerCode::kUnknownTarget, Ran::kNo);
+  CheckError(n1_, AnswerCode::kUnknownTarget, RunStatus::kDidNotRun);
   CHECK_TRUE(IsIdle(*n1_.state));
   CHECK_EQUAL(0U, n1_.sent.size());
 }
@@ -132,7 +133,7 @@
   harness_.AskSend(n1_, n1_.sent[0]);
   en::OnFirstToken(*n1_.state, 1, 1, harness_.now());
   harness_.Fail(n1_, n1_.sent[0], ep::EndKind::kFailed);
-  CheckError(n1_, AnswerCode::kEndpointFailed, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kEndpointFailed, RunStatus::kUnknown);
   CHECK_TRUE(Decided(n1_, "no_retry", NameOf(ep::RetryReason::kAnswerStarted)));
   CHECK_TRUE(IsIdle(*n1_.state));
 }
@@ -148,7 +149,7 @@
     harness_.Step(300ms);
   }
   CHECK_EQUAL(std::size_t{ep::kMaxAttempts}, n1_.sent.size());
-  CheckError(n1_, AnswerCode::kEndpointFailed, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kEndpointFailed, RunStatus::kUnknown);
   CHECK(n1_.errors[0].retry_after > 0ms);
   CHECK_EQUAL(1U, n1_.errors.size());
 }
@@ -160,13 +161,13 @@
   call.timeout = 500ms;
   harness_.Send(n1_, call);
   harness_.Step(600ms);
-  CheckError(n1_, AnswerCode::kTimeout, Ran::kNo);
+  CheckError(n1_, AnswerCode::kTimeout, RunStatus::kDidNotRun);
   CHECK_EQUAL(1U, n1_.cancels.size());
   call.id = 2;
   harness_.Send(n1_, call);
   CHECK_TRUE(harness_.AskSend(n1_, n1_.sent.back()));
   harness_.Step(600ms);
-  CheckError(n1_, AnswerCode::kTimeout, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kTimeout, RunStatus::kUnknown);
   CHECK_TRUE(IsIdle(*n1_.state));
 }
 
@@ -195,7 +196,7 @@
   CHECK_EQUAL(sent + 1, n1_.sent.size());
   for (const en::SendCall& send : n1_.sent) harness_.AskSend(n1_, send);
   harness_.Step(21s);
-  CheckError(n1_, AnswerCode::kOverloaded, Ran::kNo);
+  CheckError(n1_, AnswerCode::kOverloaded, RunStatus::kDidNotRun);
   // The log line says which bound it was, not only that the node is overloaded.
   CHECK_TRUE(Decided(n1_, "refuse", NameOf(ep::RefuseReason::kWaitedTooLong)));
 }
@@ -217,7 +218,7 @@
   harness_.Send(n1_, harness_.MakeCall("buyer", 2));
   harness_.Pause(25s);
   CHECK_FALSE(harness_.AskSend(n1_, n1_.sent.back()));
-  CheckError(n1_, AnswerCode::kTimeout, Ran::kNo);
+  CheckError(n1_, AnswerCode::kTimeout, RunStatus::kDidNotRun);
 }
 
 // A node is cut off from all others, and stops sending, since a zone may be out
@@ -275,7 +276,7 @@
     harness_.AskSend(n1_, n1_.sent[i]);
   }
   harness_.Fail(n1_, n1_.sent[1], ep::EndKind::kDied);
-  CheckError(n1_, AnswerCode::kEndpointFailed, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kEndpointFailed, RunStatus::kUnknown);
   CHECK_TRUE(Decided(n1_, "no_retry", NameOf(ep::RetryReason::kPoison)));
   CHECK_EQUAL(1U, n1_.errors.size());
   CHECK_EQUAL(1U, n1_.errors[0].call);
@@ -305,7 +306,7 @@
     again.body_hash = 1;
     harness_.Send(*node, again);
     harness_.Step(100ms);
-    CheckError(*node, AnswerCode::kQuarantined, Ran::kNo);
+    CheckError(*node, AnswerCode::kQuarantined, RunStatus::kDidNotRun);
   }
 }
 
@@ -321,7 +322,7 @@
     CHECK(address != "10.0.1.1:1");
   }
   harness_.Send(n1_, harness_.MakeCall("buyer", 2));
-  CheckError(n1_, AnswerCode::kLeaving, Ran::kNo);
+  CheckError(n1_, AnswerCode::kLeaving, RunStatus::kDidNotRun);
   CHECK_FALSE(IsIdle(*n1_.state));
   CHECK_EQUAL(0U, n1_.cancels.size());
   harness_.Answer(n1_, n1_.sent[0]);
@@ -351,6 +352,6 @@
        ++code) {
     const auto value = static_cast<AnswerCode>(code);
     CHECK(std::string(NameOf(value)) != "unknown");
-    CHECK(StatusOf(value) >= 400 && StatusOf(value) != 500);
+    CHECK(HttpStatusFor(value) >= 400 && HttpStatusFor(value) != 500);
   }
 }
--- a/node/tests/harness.h
+++ b/node/tests/harness.h
@@ -67,8 +67,8 @@
   void Pause(milliseconds span) { kernel::Advance(clock_, span); }
 
   void Step(milliseconds span) {
-    for (milliseconds done{0}; done < span; done += kNodeTick) {
-      kernel::Advance(clock_, kNodeTick);
+    for (milliseconds done{0}; done < span; done += kNodeTickInterval) {
+      kernel::Advance(clock_, kNodeTickInterval);
       for (TestNode& node : nodes_) {
         Actions out;
         if (node.running) OnTick(*node.state, now(), out);
--- a/node/tests/once_test.cc
+++ b/node/tests/once_test.cc
@@ -8,11 +8,12 @@
 namespace en = egretladder::node;
 namespace ep = egretladder::policy;
 using en::AnswerCode;
-using en::Ran;
+using en::RunStatus;
 
 namespace {
 
-void CheckError(const en::test::TestNode& node, AnswerCode code, Ran ran) {
+void CheckError(const en::test::TestNode& node, AnswerCode code,
+                RunStatus ran) {
   CHECK_FALSE(node.errors.empty());
   const en::AnswerError& error = node.errors.back();
   STRCMP_EQUAL(NameOf(code), NameOf(error.code));
@@ -40,9 +41,9 @@
 // try would pay a second time.
 TEST(Once, RefusesAPaymentWithoutLaneAndKey) {
   harness_.Send(n1_, harness_.MakeCall("pay", 1));
-  CheckError(n1_, AnswerCode::kLaneMissing, Ran::kNo);
+  CheckError(n1_, AnswerCode::kLaneMissing, RunStatus::kDidNotRun);
   harness_.Send(n1_, Payment(2, "no lane"));
-  CheckError(n1_, AnswerCode::kLaneInvalid, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kLaneInvalid, RunStatus::kUnknown);
   CHECK_EQUAL(0U, n1_.sent.size());
 }
 
@@ -73,7 +74,7 @@
   en::Call other = Payment(2, lane);
   other.body_hash = 78;
   harness_.Send(n1_, other);
-  CheckError(n1_, AnswerCode::kKeyReused, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kKeyReused, RunStatus::kUnknown);
 }
 
 // The retry reaches another node than the first copy. It is passed to the node
@@ -95,7 +96,7 @@
   // Never a second time, whatever a node believes of the others.
   harness_.Send(n2_, passed);
   CHECK_EQUAL(1U, n2_.forwards.size());
-  CheckError(n2_, AnswerCode::kLaneInvalid, Ran::kUnknown);
+  CheckError(n2_, AnswerCode::kLaneInvalid, RunStatus::kUnknown);
 }
 
 // The owner can't be reached from here. Though nothing was sent this time, the
@@ -104,7 +105,7 @@
 TEST(Once, SaysUnknownWhenTheOwnerIsOutOfReach) {
   harness_.Send(n2_, Payment(1, harness_.LaneOf(n1_)));
   harness_.Forwarded(n2_, 1, false, false);
-  CheckError(n2_, AnswerCode::kOwnerUnreachable, Ran::kUnknown);
+  CheckError(n2_, AnswerCode::kOwnerUnreachable, RunStatus::kUnknown);
 }
 
 // The owner restarted and lost its memory. A retry that comes back to it must
@@ -117,7 +118,7 @@
   const std::size_t sent = n1_.sent.size();
   harness_.Send(n1_, Payment(2, lane));
   CHECK_EQUAL(sent, n1_.sent.size());
-  CheckError(n1_, AnswerCode::kLaneInvalid, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kLaneInvalid, RunStatus::kUnknown);
 }
 
 // The connection breaks after the payment was sent. It is not tried again, and
@@ -129,10 +130,10 @@
   harness_.Send(n1_, Payment(2, lane));
   harness_.Fail(n1_, n1_.sent[0], ep::EndKind::kFailed);
   CHECK_EQUAL(2U, n1_.errors.size());
-  CheckError(n1_, AnswerCode::kEndpointFailed, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kEndpointFailed, RunStatus::kUnknown);
   harness_.Step(1s);
   harness_.Send(n1_, Payment(3, lane));
-  CheckError(n1_, AnswerCode::kOutcomeUnknown, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kOutcomeUnknown, RunStatus::kUnknown);
   CHECK_EQUAL(1U, n1_.sent.size());
 }
 
@@ -148,10 +149,10 @@
   harness_.AnswerUnkept(n1_, n1_.sent[0]);
   CHECK_EQUAL(2U, n1_.errors.size());
   CHECK_EQUAL(5U, n1_.errors[0].call + n1_.errors[1].call);
-  CheckError(n1_, AnswerCode::kOutcomeUnknown, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kOutcomeUnknown, RunStatus::kUnknown);
   CHECK_TRUE(IsIdle(*n1_.state));
   harness_.Send(n1_, Payment(4, lane));
-  CheckError(n1_, AnswerCode::kOutcomeUnknown, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kOutcomeUnknown, RunStatus::kUnknown);
   CHECK_EQUAL(1U, n1_.sent.size());
 }
 
@@ -168,10 +169,10 @@
     harness_.Step(300ms);
   }
   CHECK_EQUAL(std::size_t{ep::kMaxAttempts}, n1_.sent.size());
-  CheckError(n1_, AnswerCode::kEndpointFailed, Ran::kNo);
+  CheckError(n1_, AnswerCode::kEndpointFailed, RunStatus::kDidNotRun);
   harness_.Send(n1_, Payment(2, lane));
   CHECK_EQUAL(std::size_t{ep::kMaxAttempts}, n1_.sent.size());
-  CheckError(n1_, AnswerCode::kLaneInvalid, Ran::kNo);
+  CheckError(n1_, AnswerCode::kLaneInvalid, RunStatus::kDidNotRun);
 }
 
 // A phone's connection breaks while the payment runs. The payment goes on, and
@@ -197,7 +198,7 @@
   harness_.Send(n1_, call);
   harness_.AskSend(n1_, n1_.sent[0]);
   harness_.Step(1500ms);
-  CheckError(n1_, AnswerCode::kTimeout, Ran::kUnknown);
+  CheckError(n1_, AnswerCode::kTimeout, RunStatus::kUnknown);
   harness_.Answer(n1_, n1_.sent[0], "paid");
   harness_.Send(n1_, Payment(2, lane));
   CHECK_EQUAL(1U, n1_.stored.size());
@@ -225,7 +226,7 @@
   harness_.Pause(11min);
   CHECK_FALSE(harness_.AskSend(n1_, n1_.sent[0]));
   harness_.Step(1s);
-  CheckError(n1_, AnswerCode::kTimeout, Ran::kNo);
+  CheckError(n1_, AnswerCode::kTimeout, RunStatus::kDidNotRun);
   harness_.Send(n1_, Payment(2, call.lane));
   CHECK_EQUAL(1U, n1_.sent.size());
 }
@@ -241,7 +242,7 @@
   en::Call other = Payment(3, lane);
   other.key = "order-8";
   harness_.Send(n1_, other);
-  CheckError(n1_, AnswerCode::kLeaving, Ran::kNo);
+  CheckError(n1_, AnswerCode::kLeaving, RunStatus::kDidNotRun);
   harness_.Answer(n1_, n1_.sent[0], "paid");
   CHECK_EQUAL(1U, n1_.stored.size());
 }
