--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -131,7 +131,7 @@
   // Impatience took its retry before it gave the attempt up.
   if (!again || end == AttemptOutcome::kSilent || call.arrivals == 0)
     return step;
-  if (TakeRetry(proxy, call)) {
+  if (TryConsumeRetry(proxy, call)) {
     return step;
   }
   after.has_time_left = false;
@@ -164,10 +164,11 @@
   return passed;
 }
 
-bool TakeRetry(Proxy& proxy, const Call& call) {
+bool TryConsumeRetry(Proxy& proxy, const Call& call) {
   const Time now = NowOf(proxy);
-  return routing::TakeRetry(proxy.retry_shares[call.service->name],
-                            proxy.options.retries, RetryFleetOf(proxy), now);
+  return routing::TryConsumeRetry(proxy.retry_shares[call.service->name],
+                                  proxy.options.retries, RetryFleetOf(proxy),
+                                  now);
 }
 
 void DropAttempt(Proxy& /*proxy*/, const CallPtr& call) {
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -116,7 +116,7 @@
 void OnImpatient(Proxy& proxy, const CallPtr& call) {
   if (call->attempt == nullptr) return;
   const bool has_more = call->may_have_run + 1 < call->route->attempts;
-  if (!has_more || !TakeRetry(proxy, *call)) {
+  if (!has_more || !TryConsumeRetry(proxy, *call)) {
     return;
   }
   net::Cancel(call->attempt->exchange);
@@ -326,7 +326,7 @@
   attempt.endpoint = placement.endpoint;
   attempt.placement = placement;
   attempt.sent = now;
-  routing::OnPlaced(proxy.sides, call->demand, placement, now);
+  routing::OnRequestPlaced(proxy.sides, call->demand, placement, now);
   routing::OnAttemptSent(*placement.endpoint, call->demand, attempt.number,
                          placement, now);
   kernel::Observe(proxy.metrics, call->measures->waited, now - call->arrived);
--- a/proxy/src/attempts_p.h
+++ b/proxy/src/attempts_p.h
@@ -11,6 +11,6 @@
 net::HttpFields FieldsToPass(const net::HttpFields& fields);
 
 /// True when the call's service may get one more repeat; counts it then.
-bool TakeRetry(Proxy& proxy, const Call& call);
+bool TryConsumeRetry(Proxy& proxy, const Call& call);
 
 }  // namespace egretladder::proxy
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -188,9 +188,9 @@
 }
 
 // How much longer the request gets no endpoint, since it crashes them.
-milliseconds HeldFor(const Proxy& proxy, Call& call, Time now) {
+milliseconds RemainingHoldTime(const Proxy& proxy, Call& call, Time now) {
   if (proxy.suspects.by_request.empty()) return {};
-  return routing::HeldFor(proxy.suspects, FingerprintOf(call), now);
+  return routing::RemainingHoldTime(proxy.suspects, FingerprintOf(call), now);
 }
 
 void RefuseSuspect(Proxy& proxy, const CallPtr& call, milliseconds held) {
@@ -238,7 +238,8 @@
 
 void Dispatch(Proxy& proxy, const CallPtr& call) {
   const Time now = NowOf(proxy);
-  if (const auto held = HeldFor(proxy, *call, now); held.count() > 0) {
+  if (const auto held = RemainingHoldTime(proxy, *call, now);
+      held.count() > 0) {
     RefuseSuspect(proxy, call, held);
     return;
   }
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -173,14 +173,16 @@
   for (unsigned i = 0; i < members.size(); ++i) {
     WriteMember(told.members[i], members[i]);
   }
-  auto pulses = news.initPulses(static_cast<unsigned>(told.pulses.size()));
-  for (unsigned i = 0; i < pulses.size(); ++i) {
-    const routing::MemberHeartbeat& pulse = told.pulses[i];
-    pulses[i].setNode(pulse.node);
-    pulses[i].setLife(pulse.short_incarnation);
-    pulses[i].setHeartbeat(static_cast<std::uint32_t>(pulse.heartbeat));
-    pulses[i].setLeaving(pulse.leaving);
-    pulses[i].setStoreTroubled(pulse.store_troubled);
+  auto member_heartbeats =
+      news.initPulses(static_cast<unsigned>(told.member_heartbeats.size()));
+  for (unsigned i = 0; i < member_heartbeats.size(); ++i) {
+    const routing::MemberHeartbeat& pulse = told.member_heartbeats[i];
+    member_heartbeats[i].setNode(pulse.node);
+    member_heartbeats[i].setLife(pulse.short_incarnation);
+    member_heartbeats[i].setHeartbeat(
+        static_cast<std::uint32_t>(pulse.heartbeat));
+    member_heartbeats[i].setLeaving(pulse.leaving);
+    member_heartbeats[i].setStoreTroubled(pulse.store_troubled);
   }
   auto unknown = news.initUnknown(static_cast<unsigned>(told.unknown.size()));
   for (unsigned i = 0; i < unknown.size(); ++i) {
@@ -194,9 +196,9 @@
     told.members.push_back(ReadMember(member));
   }
   for (const auto pulse : news.getPulses()) {
-    told.pulses.push_back({pulse.getNode(), pulse.getLife(),
-                           pulse.getHeartbeat(), pulse.getLeaving(),
-                           pulse.getStoreTroubled()});
+    told.member_heartbeats.push_back({pulse.getNode(), pulse.getLife(),
+                                      pulse.getHeartbeat(), pulse.getLeaving(),
+                                      pulse.getStoreTroubled()});
   }
   return told;
 }
--- a/routing/include/egretladder/routing/engine_split.h
+++ b/routing/include/egretladder/routing/engine_split.h
@@ -36,8 +36,8 @@
 /// A request is about to be sent where it was placed. What the engine will read
 /// of it counts, with shared parts that it doesn't hold, and its stream's part
 /// of a full batch there. Requests of neither side don't count.
-void OnPlaced(SplitDemandMeter& meter, const Demand& demand,
-              const Placement& placement, Time now);
+void OnRequestPlaced(SplitDemandMeter& meter, const Demand& demand,
+                     const Placement& placement, Time now);
 
 /// The demand as of now.
 SideDemand DemandOf(const SplitDemandMeter& meter, Time now);
--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -47,7 +47,7 @@
 /// What one exchange tells of members.
 struct MemberGossip {
   std::vector<Member> members;  ///< The sender first.
-  std::vector<MemberHeartbeat> pulses;
+  std::vector<MemberHeartbeat> member_heartbeats;
   /// Nodes of which the sender heard a pulse and doesn't know who they are.
   std::vector<std::uint32_t> unknown;
 };
--- a/routing/include/egretladder/routing/retry_budget.h
+++ b/routing/include/egretladder/routing/retry_budget.h
@@ -47,8 +47,8 @@
 void OnRequest(NodeRetryBudget& share, const RetryBudgetRule& rule, Time now);
 
 /// True when one more repeat fits; counts it then.
-bool TakeRetry(NodeRetryBudget& share, const RetryBudgetRule& rule,
-               const RetryBudgetFleet& fleet, Time now);
+bool TryConsumeRetry(NodeRetryBudget& share, const RetryBudgetRule& rule,
+                     const RetryBudgetFleet& fleet, Time now);
 
 /// Repeats that still fit.
 ///
--- a/routing/include/egretladder/routing/suspects.h
+++ b/routing/include/egretladder/routing/suspects.h
@@ -50,7 +50,8 @@
 void OnRequestRan(Suspects& suspects, std::uint64_t request, Time now);
 
 /// How much longer the request gets no endpoint; 0: it may be sent.
-milliseconds HeldFor(const Suspects& suspects, std::uint64_t request, Time now);
+milliseconds RemainingHoldTime(const Suspects& suspects, std::uint64_t request,
+                               Time now);
 
 /// One suspect as nodes tell each other, by age, since clocks differ.
 struct ToldBreak {
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -110,7 +110,7 @@
   for (auto& [node, known] : members.others)
     by_key.emplace(KeyOf(node), &known);
   const std::uint32_t self = KeyOf(members.self.node);
-  for (const MemberHeartbeat& pulse : told.pulses) {
+  for (const MemberHeartbeat& pulse : told.member_heartbeats) {
     const auto at = by_key.find(pulse.node);
     const Member* known = at != by_key.end()   ? &at->second->member
                           : pulse.node == self ? &members.self
@@ -164,8 +164,8 @@
     if ((is_asked || now - known->met < kMemberNew) &&
         told.members.size() <= kMembersTold) {
       told.members.push_back(known->member);
-    } else if (told.pulses.size() < kPulsesTold) {
-      told.pulses.push_back(PulseOf(known->member));
+    } else if (told.member_heartbeats.size() < kPulsesTold) {
+      told.member_heartbeats.push_back(PulseOf(known->member));
     }
   }
   return told;
--- a/routing/src/retry_budget.cc
+++ b/routing/src/retry_budget.cc
@@ -52,8 +52,8 @@
   return std::max(0.0, allowed - repeats);
 }
 
-bool TakeRetry(NodeRetryBudget& share, const RetryBudgetRule& rule,
-               const RetryBudgetFleet& fleet, Time now) {
+bool TryConsumeRetry(NodeRetryBudget& share, const RetryBudgetRule& rule,
+                     const RetryBudgetFleet& fleet, Time now) {
   if (RetriesLeft(share, rule, fleet, now) < 1) return false;
   ++SliceAt(share, NumberAt(rule, now)).repeats;
   return true;
--- a/routing/tests/engine_split_test.cc
+++ b/routing/tests/engine_split_test.cc
@@ -51,7 +51,7 @@
 
   void ChoosePlacement(er::SplitDemandMeter & meter, const er::Demand& demand,
                        const er::Placement& placement) const {
-    er::OnPlaced(meter, demand, placement, now);
+    er::OnRequestPlaced(meter, demand, placement, now);
   }
 
   // Requests of so many a second in all, each at a node drawn at random.
--- a/routing/tests/members_test.cc
+++ b/routing/tests/members_test.cc
@@ -139,7 +139,7 @@
   er::ApplyMemberGossip(peer, met, now - 100ms);
   const er::MemberGossip told = er::MakeMemberGossip(peer, {}, random, now);
   LONGS_EQUAL(1, told.members.size());
-  LONGS_EQUAL(1, told.pulses.size());
+  LONGS_EQUAL(1, told.member_heartbeats.size());
   er::ApplyMemberGossip(late, told, now);
   CHECK_FALSE(Names(er::DirectoryFor(late, "a", random, now), "other:80"));
   const er::MemberGossip asks = er::MakeMemberGossip(late, {}, random, now);
@@ -158,7 +158,8 @@
   told.members = {Node("n1", 10)};
   er::ApplyMemberGossip(node, told, kStart);
   er::MemberGossip pulse;
-  pulse.pulses = {{static_cast<std::uint32_t>(ek::HashBytes("n1")), 11, 5}};
+  pulse.member_heartbeats = {
+      {static_cast<std::uint32_t>(ek::HashBytes("n1")), 11, 5}};
   er::ApplyMemberGossip(node, pulse, kStart + 100ms);
   LONGS_EQUAL(10, node.others.at("n1").member.incarnation);
   ek::Random random{1};
--- a/routing/tests/retry_budget_test.cc
+++ b/routing/tests/retry_budget_test.cc
@@ -26,7 +26,7 @@
   for (er::Time now = kStart; now < kStart + 60s; now += 10ms) {
     auto& share = shares[requests++ % kNodes];
     er::OnRequest(share, kRule, now);
-    if (er::TakeRetry(share, kRule, {kNodes, 1min}, now)) {
+    if (er::TryConsumeRetry(share, kRule, {kNodes, 1min}, now)) {
       repeats.push_back(now);
     }
   }
@@ -42,13 +42,13 @@
 TEST(NodeRetryBudget, AQuietNodeMayRepeatAFew) {
   er::NodeRetryBudget share;
   er::OnRequest(share, kRule, kStart);
-  CHECK(er::TakeRetry(share, kRule, {7, 1min}, kStart));
+  CHECK(er::TryConsumeRetry(share, kRule, {7, 1min}, kStart));
   int more = 0;
   for (int i = 0; i < 54; ++i) {
-    if (er::TakeRetry(share, kRule, {7, 1min}, kStart)) ++more;
+    if (er::TryConsumeRetry(share, kRule, {7, 1min}, kStart)) ++more;
   }
   CHECK(more < 54 / 7);
-  CHECK(er::TakeRetry(share, kRule, {7, 1min}, kStart + 11s));
+  CHECK(er::TryConsumeRetry(share, kRule, {7, 1min}, kStart + 11s));
 }
 
 // Guards against a fleet whose nodes are restarted in turn and each repeat,
@@ -67,7 +67,7 @@
       }
       const auto age =
           std::chrono::duration_cast<std::chrono::milliseconds>(now - started);
-      if (er::TakeRetry(share, kRule, {kNodes, age}, now)) ++repeats;
+      if (er::TryConsumeRetry(share, kRule, {kNodes, age}, now)) ++repeats;
     }
   }
   CHECK(static_cast<double>(repeats) <= kRule.slack);
@@ -76,6 +76,6 @@
 
 TEST(NodeRetryBudget, AProcessThatJustStartedMayRepeatOnce) {
   er::NodeRetryBudget share;
-  CHECK(er::TakeRetry(share, kRule, {7, 0s}, kStart));
-  CHECK_FALSE(er::TakeRetry(share, kRule, {7, 0s}, kStart));
+  CHECK(er::TryConsumeRetry(share, kRule, {7, 0s}, kStart));
+  CHECK_FALSE(er::TryConsumeRetry(share, kRule, {7, 0s}, kStart));
 }
--- a/routing/tests/suspects_test.cc
+++ b/routing/tests/suspects_test.cc
@@ -26,7 +26,7 @@
     }
   }
   bool IsHeld(er::Time now) const {
-    return er::HeldFor(suspects, kBody, now) > 0ms;
+    return er::RemainingHoldTime(suspects, kBody, now) > 0ms;
   }
   void TellOther(er::Time now) {
     for (const er::SuspectGossip& told : er::MakeSuspectGossip(suspects, now)) {
@@ -42,7 +42,8 @@
   CHECK_FALSE(IsHeld(kStart + 1s));
   CrashInTurn(3);
   CHECK_TRUE(IsHeld(kStart + 1s));
-  LONGS_EQUAL(0, er::HeldFor(suspects, kBody + 1, kStart + 1s).count());
+  LONGS_EQUAL(0,
+              er::RemainingHoldTime(suspects, kBody + 1, kStart + 1s).count());
   CHECK_FALSE(IsHeld(kStart + er::kSuspectHeld + 1s));
 }
 
@@ -72,7 +73,7 @@
   er::OnConnectionBroke(other, kBody, {2, kStart + 100ms, kStart + 120ms});
   TellOther(kStart + 200ms);
   er::OnConnectionBroke(other, kBody, {3, kStart + 300ms, kStart + 320ms});
-  CHECK(er::HeldFor(other, kBody, kStart + 400ms) > 0ms);
+  CHECK(er::RemainingHoldTime(other, kBody, kStart + 400ms) > 0ms);
   // Told again, and late, it stays as it is.
   TellOther(kStart + 500ms);
   LONGS_EQUAL(3, other.by_request.at(kBody).breaks.size());
@@ -83,10 +84,10 @@
 TEST(Suspects, AnAnswerAtOneNodeClearsItEverywhere) {
   CrashInTurn(3);
   TellOther(kStart + 500ms);
-  CHECK(er::HeldFor(other, kBody, kStart + 1s) > 0ms);
+  CHECK(er::RemainingHoldTime(other, kBody, kStart + 1s) > 0ms);
   er::OnRequestRan(suspects, kBody, kStart + 1s);
   TellOther(kStart + 2s);
-  LONGS_EQUAL(0, er::HeldFor(other, kBody, kStart + 2s).count());
+  LONGS_EQUAL(0, er::RemainingHoldTime(other, kBody, kStart + 2s).count());
 }
 
 // Ages grow on the way. Taken as news, what two nodes tell each other would go
