--- a/fleet/include/egretladder/fleet/electorate.h
+++ b/fleet/include/egretladder/fleet/electorate.h
@@ -28,10 +28,11 @@
 /// Slots of an endpoint that need no lease, summed over all nodes: a part of
 /// what it bears cold, so that they can't swamp it even when it has just
 /// started. An endpoint that bears too little to split has none.
-std::uint32_t FloorSum(const rules::Endpoint& endpoint);
+std::uint32_t TotalFloorSlots(const rules::Endpoint& endpoint);
 /// Part of `FloorSum` that belongs to `node`: each slot to one of the voters.
-std::uint32_t FloorOf(const rules::Rules& rules, rules::EndpointHandle endpoint,
-                      std::string_view node);
+std::uint32_t NodeFloorSlots(const rules::Rules& rules,
+                             rules::EndpointHandle endpoint,
+                             std::string_view node);
 
 /// Which endpoints a node sends work to: all, or a bounded few for each target
 /// when there are many, of its own region where that has any.
--- a/fleet/include/egretladder/fleet/lease.h
+++ b/fleet/include/egretladder/fleet/lease.h
@@ -49,7 +49,7 @@
 };
 
 /// What the keeper of one endpoint keeps.
-struct KeeperBook {
+struct KeeperState {
   policy::SlotState slots;
   std::uint32_t floor_sum = 0;  ///< Of all nodes; never leased.
   std::vector<Holder> holders;
@@ -68,36 +68,37 @@
 };
 
 /// Starts the book of an endpoint: as cold, whatever it was.
-void OpenBook(KeeperBook& book, const rules::Endpoint& endpoint, Time now);
+void InitKeeperState(KeeperState& book, const rules::Endpoint& endpoint,
+                     Time now);
 /// Goes on with a book after a break in which nobody else kept the endpoint.
 /// One without reports may have restarted unseen: it counts as cold.
-void ResumeBook(KeeperBook& book, const rules::Endpoint& endpoint, Time stopped,
-                Time now);
+void ResumeKeeperState(KeeperState& book, const rules::Endpoint& endpoint,
+                       Time stopped, Time now);
 /// A round of asks has passed on an endpoint without reports: each of the
 /// `silent` nodes may have a call there.
-void SuspectStrangers(KeeperBook& book, std::uint32_t silent);
+void SuspectStrangers(KeeperState& book, std::uint32_t silent);
 
 /// Takes over what a new version says the endpoint bears.
-void ChangeBears(KeeperBook& book, const rules::Endpoint& endpoint, Time now);
+void ChangeBears(KeeperState& book, const rules::Endpoint& endpoint, Time now);
 
 /// What may be leased now.
-std::uint32_t PoolOf(const KeeperBook& book);
+std::uint32_t LeasableSlots(const KeeperState& book);
 /// Most that holders may be using now, beside their floors: what they were
 /// granted or, if more, what they said to run.
-std::uint32_t GrantedSum(const KeeperBook& book);
+std::uint32_t TotalOutstandingSlots(const KeeperState& book);
 
 /// Takes an ask into account: its evidence, what it wants, what it held.
 /// Returns why the endpoint's slots changed, if they did.
-policy::SlotReason TakeAsk(KeeperBook& book, const Sender& from,
-                           std::uint64_t number, const SlotAsk& ask, Time now);
+policy::SlotReason ApplyAsk(KeeperState& book, const Sender& from,
+                            std::uint64_t number, const SlotAsk& ask, Time now);
 
 /// Grants `from` its part of the pool, never more than is left beside what the
 /// others may still use. O(holders log holders).
-std::uint32_t GrantSlots(KeeperBook& book, const Sender& from, Time now);
+std::uint32_t GrantSlots(KeeperState& book, const Sender& from, Time now);
 
 /// A report of the endpoint, or none. Returns why its slots changed.
-policy::SlotReason TakeReport(KeeperBook& book,
-                              const policy::EngineReport* report, Time now);
+policy::SlotReason ApplyReport(KeeperState& book,
+                               const policy::EngineReport* report, Time now);
 
 /// A holder that may use more than its part, and what it is told to keep.
 struct Cut {
@@ -106,7 +107,7 @@
 };
 /// Holders whose grants exceed their part by now, for instance because the
 /// endpoint turned cold: they are told at once, before their leases lapse.
-std::vector<Cut> HoldersToCut(KeeperBook& book, Time now);
+std::vector<Cut> HoldersToCut(KeeperState& book, Time now);
 
 /// What a holder knows of its own slots at one endpoint.
 struct HeldSlots {
@@ -133,7 +134,7 @@
 /// Takes a lease that answers the ask sent at `asked`; the time it has runs
 /// from there. Answers to earlier asks than the last one are ignored; of two
 /// answers to one ask the smaller counts. Returns true when it counted.
-bool TakeLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now);
+bool ApplyLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now);
 
 /// The endpoint restarted under this node's work: nothing of the lease may be
 /// used any more, nor of one that is under way.
--- a/fleet/include/egretladder/fleet/limits.h
+++ b/fleet/include/egretladder/fleet/limits.h
@@ -10,16 +10,16 @@
 
 /// How long a caller may use a lane after `/where` gave it. Long enough for the
 /// retries of a call that timed out; the table of keys grows with it.
-inline constexpr std::chrono::minutes kLaneLife{10};
+inline constexpr std::chrono::minutes kLaneLifetime{10};
 /// How long an ended call stays in the table past its lane's expiry, so that
 /// a call which began just before the expiry can still be asked for.
-inline constexpr std::chrono::seconds kAnswerLinger{60};
+inline constexpr std::chrono::seconds kAnswerRetention{60};
 /// Keys in the table. 12,000 requests a second over 390 nodes, a tenth of them
 /// not repeatable, make about 2,000 in a lane's life; this leaves room for a
 /// burst on one node of fifty times that.
 inline constexpr std::size_t kLaneKeysMost = 100'000;
 /// Bytes of stored answers and keys, a quarter of a node's 256 MB.
-inline constexpr std::size_t kLaneBytesMost = std::size_t{64} << 20U;
+inline constexpr std::size_t kMaxLaneTableBytes = std::size_t{64} << 20U;
 /// Counted for a call in progress until its answer is known, so that answers
 /// which arrive together still fit.
 inline constexpr std::size_t kAnswerReserve = std::size_t{64} << 10U;
@@ -31,7 +31,7 @@
 /// A process whose ticks stood still for longer was paused: it may hold leases
 /// that lapsed and zones that are out. Ticks come every 50 ms; a loop that is
 /// late by eight of them has something else to mend.
-inline constexpr std::chrono::milliseconds kFreshFor{400};
+inline constexpr std::chrono::milliseconds kPauseThreshold{400};
 
 /// Without a word from any peer or the platform for longer, a node sends no new
 /// work: a zone may be out since. Below the 3 s allowed, above four pings.
@@ -44,29 +44,30 @@
 /// they come from, five sixths of their size.
 inline constexpr std::chrono::milliseconds kKnownFor{1200};
 /// A peer unheard for so long is left out of `/where`.
-inline constexpr std::chrono::milliseconds kSuspectAfter{2000};
+inline constexpr std::chrono::milliseconds kSuspectTimeout{2000};
 /// How long an answered ping counts as support for a keeper, from its sending.
-inline constexpr std::chrono::milliseconds kMandate{1500};
+inline constexpr std::chrono::milliseconds kSupportLifetime{1500};
 /// Longest lease of slots, from the asking. Shorter ones cost more messages,
 /// longer ones keep a dead node's slots away from the others.
-inline constexpr std::chrono::milliseconds kLeaseLife{2500};
+inline constexpr std::chrono::milliseconds kLeaseDuration{2500};
 /// A peer unheard for so long counts as gone in votes. Above a mandate and a
 /// lease, so that nobody is voted out whose leases still run; the rest allows
 /// for clocks that differ by a fifth.
 inline constexpr std::chrono::milliseconds kGoneAfter{5000};
-static_assert(kGoneAfter * 4 >= (kMandate + kLeaseLife) * 5,
+static_assert(kGoneAfter * 4 >= (kSupportLifetime + kLeaseDuration) * 5,
               "two keepers could lease at once");
 /// A report at most so much older than a keeper's beginning shows all calls
 /// that its predecessor's leases let in: they had lapsed by then.
 inline constexpr std::chrono::milliseconds kOpeningMargin{
-    kGoneAfter - kMandate - kLeaseLife};
+    kGoneAfter - kSupportLifetime - kLeaseDuration};
 /// How long a supporter must have answered without a break before it counts:
 /// what a former keeper leased by its vote has lapsed then.
-inline constexpr std::chrono::milliseconds kSupportWait{kMandate + kLeaseLife};
+inline constexpr std::chrono::milliseconds kMinSupportDuration{
+    kSupportLifetime + kLeaseDuration};
 /// A keeper that said it leaves leased nothing since; after a lease and some
 /// more it counts as gone.
-inline constexpr std::chrono::milliseconds kLeftAfter{kLeaseLife +
-                                                      kLeaseLife / 4};
+inline constexpr std::chrono::milliseconds kLeftAfter{kLeaseDuration +
+                                                      kLeaseDuration / 4};
 
 /// Nodes that vote on the keeper of an endpoint: all of today's fleets, and a
 /// fixed few of a large one, so that pings don't grow with its size.
@@ -74,7 +75,7 @@
 /// Peers drawn at random in each round, besides the voters.
 inline constexpr std::size_t kRandomPeers = 1;
 /// Members in one message. These four bound its size.
-inline constexpr std::size_t kMembersTold = 3;
+inline constexpr std::size_t kMaxMembersPerMessage = 3;
 /// Nodes named as gone in one message.
 inline constexpr std::size_t kGoneTold = 64;
 /// Blamed bodies in one message.
@@ -149,7 +150,8 @@
 inline constexpr std::chrono::minutes kOrderLost{3};
 /// Quiet time before an engine that ignores fencing numbers gets an order:
 /// above the time in which a former keeper finds out that it is none.
-inline constexpr std::chrono::milliseconds kUnfencedWait{kGoneAfter + kMandate};
+inline constexpr std::chrono::milliseconds kUnfencedQuietTime{kGoneAfter +
+                                                              kSupportLifetime};
 /// A report older than that says nothing about what is loaded.
 inline constexpr std::chrono::milliseconds kReportFresh{3000};
 /// A process that was paused and hears nobody acts on what it knew after that,
--- a/fleet/include/egretladder/fleet/membership.h
+++ b/fleet/include/egretladder/fleet/membership.h
@@ -75,38 +75,38 @@
                    const std::vector<std::string>& voters, Time now);
 
 /// Takes one relayed member into account. Returns true when it was news.
-bool HearMember(MembershipState& state, const Member& told, bool direct,
-                Time now);
+bool ApplyMemberGossip(MembershipState& state, const Member& told, bool direct,
+                       Time now);
 
 /// Takes a peer's gossip: its members, its answer to a ping, its votes. False
 /// when it comes from a process that was replaced and must be ignored.
-bool HearGossip(MembershipState& state, const Sender& from,
-                const Gossip& gossip, Time now);
+bool ApplyGossip(MembershipState& state, const Sender& from,
+                 const Gossip& gossip, Time now);
 
 /// Takes note of a message that carries nothing of its sender. One never heard
 /// of, or whose predecessor is silent, is believed: in a large fleet a keeper
 /// hears most of its holders by their asks only. False: it was replaced.
-bool HearSender(MembershipState& state, const Sender& from, Time now);
+bool RecordSender(MembershipState& state, const Sender& from, Time now);
 
 /// True for a message from the process that runs under the name now.
 bool IsCurrent(const MembershipState& state, const Sender& from);
 
 /// Numbers a ping to `peer` and remembers when it went out.
-std::uint64_t NumberPing(MembershipState& state, Peer& peer, Time now);
+std::uint64_t RecordPing(MembershipState& state, Peer& peer, Time now);
 
 /// This process was paused: what it did not hear meanwhile is its own fault.
-void ForgivePeers(MembershipState& state, Time now);
+void ResetPeerTimeouts(MembershipState& state, Time now);
 
 /// What a peer's silence, or its own word that it leaves, makes of it by `now`.
-MemberState StateOf(const Peer& peer, Time now);
+MemberState GetMemberState(const Peer& peer, Time now);
 
 /// True when the peer may be passed over as a keeper: unheard for `kGoneAfter`,
 /// or left and its leases lapsed.
 bool CountsAsGone(const Peer& peer, Time now);
 
 /// Members worth telling: news first, then some drawn at random.
-std::vector<Member> MembersToTell(const MembershipState& state,
-                                  kernel::Random& random, Time now);
+std::vector<Member> MakeMemberGossip(const MembershipState& state,
+                                     kernel::Random& random, Time now);
 /// Names of this node's votes.
 std::vector<std::string> VotesOf(const MembershipState& state, Time now);
 
@@ -119,14 +119,14 @@
 bool SupportedSince(const MembershipState& state, std::string_view voter,
                     Time then);
 /// True when `voter` said within a mandate that `node` is gone.
-bool VotesGone(const MembershipState& state, std::string_view voter,
-               std::string_view node, Time now);
+bool HasVotedGone(const MembershipState& state, std::string_view voter,
+                  std::string_view node, Time now);
 
 /// True when this node may keep an endpoint with these voters, first choice
 /// first: a majority supports it, and for each node before it a majority says
 /// that it is gone. Two nodes can't both hold that while a lease of either
 /// runs: docs/design/slots.md. `keeping`: it did so up to now.
-bool MayKeep(const MembershipState& state,
+bool CanKeep(const MembershipState& state,
              const std::vector<std::string>& voters, bool keeping, Time now);
 
 /// True when any peer answered within `kIsolatedAfter`.
--- a/fleet/include/egretladder/fleet/orders.h
+++ b/fleet/include/egretladder/fleet/orders.h
@@ -52,15 +52,16 @@
 };
 
 /// Takes a report's models into account; closes the order that they fulfil.
-void SeeLoaded(EndpointOrders& orders,
-               const std::vector<rules::TargetHandle>& loaded, Time now);
+void ApplyLoadedModels(EndpointOrders& orders,
+                       const std::vector<rules::TargetHandle>& loaded,
+                       Time now);
 
 /// What the next order depends on besides the endpoint's own orders.
 struct OrderInput {
   std::vector<rules::TargetHandle> desired;
   std::uint32_t max_loaded_models = 1;
   bool honours_fencing = false;
-  bool store_free = false;  ///< The weight store's budget allows a load.
+  bool has_load_budget = false;  ///< The weight store's budget allows a load.
   /// Loaded models that may go: another endpoint, whose place it is to hold
   /// them, shows them loaded in a fresh report.
   std::vector<rules::TargetHandle> spare;
@@ -78,6 +79,6 @@
 
 /// The pause between two loads of one node that keeps the whole fleet within
 /// the weight store's budget.
-std::chrono::milliseconds LoadPause(std::size_t nodes);
+std::chrono::milliseconds ModelLoadInterval(std::size_t nodes);
 
 }  // namespace egretladder::fleet
--- a/fleet/src/fleet_keeper.cc
+++ b/fleet/src/fleet_keeper.cc
@@ -13,8 +13,8 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-bool MayKeep(const FleetState& state, const EndpointState& endpoint, Time now) {
-  return !state.leaving && MayKeep(state.members, endpoint.voters,
+bool CanKeep(const FleetState& state, const EndpointState& endpoint, Time now) {
+  return !state.leaving && CanKeep(state.members, endpoint.voters,
                                    endpoint.book.has_value(), now);
 }
 
@@ -35,10 +35,10 @@
   EndpointState& endpoint = state.endpoints[handle.idx];
   if (endpoint.former.has_value() && NobodyElseKept(state, endpoint)) {
     endpoint.book = std::move(endpoint.former);
-    ResumeBook(*endpoint.book, row, endpoint.stopped, now);
+    ResumeKeeperState(*endpoint.book, row, endpoint.stopped, now);
   } else {
     endpoint.book.emplace();
-    OpenBook(*endpoint.book, row, now);
+    InitKeeperState(*endpoint.book, row, now);
   }
   endpoint.former.reset();
   EndpointOrders& orders = state.orders.kept[handle];
@@ -60,7 +60,7 @@
 }
 
 /// Published nodes, this one among them, without an ask in the book.
-std::uint32_t SilentNodes(const FleetState& state, const KeeperBook& book) {
+std::uint32_t SilentNodes(const FleetState& state, const KeeperState& book) {
   const auto asked = [&](const std::string& node) {
     return std::any_of(
         book.holders.begin(), book.holders.end(),
@@ -116,20 +116,20 @@
   input.desired = state.orders.placement[handle.idx];
   input.max_loaded_models = row.max_loaded_models;
   input.honours_fencing = row.honours_fencing;
-  input.store_free = now >= state.orders.next_load;
+  input.has_load_budget = now >= state.orders.next_load;
   input.spare = SpareModels(state, handle, now);
   EndpointOrders& orders = state.orders.kept[handle];
   const auto next = DecideOrder(orders, input, now);
   if (!next.has_value()) return;
   orders.open = OpenOrder{next->kind, next->target, now};
   if (next->kind == OrderKind::kLoad) {
-    state.orders.next_load = now + LoadPause(NodesCount(state));
+    state.orders.next_load = now + ModelLoadInterval(NodesCount(state));
   }
   out.emplace_back(
       OrderEngine{handle, next->kind, next->target, VersionOf(state)});
 }
 
-void FillReport(const FleetState& state, const KeeperBook& book,
+void FillReport(const FleetState& state, const KeeperState& book,
                 SlotLease& lease, Time now) {
   if (!book.report.has_value()) return;
   const policy::EngineReport& report = *book.report;
@@ -150,10 +150,10 @@
   SlotLease lease;
   lease.endpoint = RowOf(state, handle).source.name;
   lease.slots = slots;
-  lease.left = kLeaseLife;
+  lease.left = kLeaseDuration;
   lease.ask_number = ask_number;
   // Until the keeper knows what it took over, what a former one said counts.
-  const KeeperBook& book = *state.endpoints[handle.idx].book;
+  const KeeperState& book = *state.endpoints[handle.idx].book;
   lease.total = book.ready ? book.slots.slots : 0;
   FillReport(state, book, lease, now);
   return lease;
@@ -164,7 +164,7 @@
 void LogSlots(const FleetState& state, EndpointHandle handle,
               policy::SlotReason reason) {
   if (reason == policy::SlotReason::kUnchanged) return;
-  const KeeperBook& book = *state.endpoints[handle.idx].book;
+  const KeeperState& book = *state.endpoints[handle.idx].book;
   Log(LogPart::kFleet, LogLevel::kInfo,
       "Endpoint " + RowOf(state, handle).source.name + " has " +
           std::to_string(book.slots.slots) +
@@ -175,7 +175,7 @@
   for (std::uint32_t i = 0; i < state.endpoints.size(); ++i) {
     EndpointState& endpoint = state.endpoints[i];
     const bool keeps = endpoint.book.has_value();
-    const bool may = MayKeep(state, endpoint, now);
+    const bool may = CanKeep(state, endpoint, now);
     if (may && !keeps) StartKeeping(state, {i}, now);
     if (!may && keeps) StopKeeping(state, {i}, now);
     if (!endpoint.book.has_value()) continue;
@@ -193,15 +193,15 @@
 SlotLease AnswerAsk(FleetState& state, EndpointHandle handle,
                     const Sender& from, std::uint64_t number,
                     const SlotAsk& ask, Time now) {
-  KeeperBook& book = *state.endpoints[handle.idx].book;
-  LogSlots(state, handle, TakeAsk(book, from, number, ask, now));
+  KeeperState& book = *state.endpoints[handle.idx].book;
+  LogSlots(state, handle, ApplyAsk(book, from, number, ask, now));
   const std::uint32_t slots = GrantSlots(book, from, now);
   return MakeLease(state, handle, slots, number, now);
 }
 
 void TakeAsks(FleetState& state, const Sender& from, const SlotAsks& asks,
               Time now, Actions& out) {
-  if (!HearSender(state.members, from, now)) return;
+  if (!RecordSender(state.members, from, now)) return;
   SlotLeases leases;
   for (const SlotAsk& ask : asks.asks) {
     const EndpointHandle handle =
@@ -210,11 +210,11 @@
     EndpointState& endpoint = state.endpoints[handle.idx];
     // Judged anew for each ask: this process may have been paused since its
     // last tick, and another node may keep the endpoint by now.
-    if (!endpoint.book.has_value() || !MayKeep(state, endpoint, now)) continue;
-    const std::uint32_t pool_before = PoolOf(*endpoint.book);
+    if (!endpoint.book.has_value() || !CanKeep(state, endpoint, now)) continue;
+    const std::uint32_t pool_before = LeasableSlots(*endpoint.book);
     leases.leases.push_back(
         AnswerAsk(state, handle, from, asks.number, ask, now));
-    if (PoolOf(*endpoint.book) < pool_before) {
+    if (LeasableSlots(*endpoint.book) < pool_before) {
       CutHolders(state, handle, now, out);
     }
   }
@@ -251,12 +251,12 @@
     out.emplace_back(ReportSeen{handle, *report});
   }
   if (!endpoint.book.has_value()) return;
-  const std::uint32_t pool_before = PoolOf(*endpoint.book);
-  LogSlots(state, handle, TakeReport(*endpoint.book, report, now));
+  const std::uint32_t pool_before = LeasableSlots(*endpoint.book);
+  LogSlots(state, handle, ApplyReport(*endpoint.book, report, now));
   if (report != nullptr) {
-    SeeLoaded(state.orders.kept[handle], report->loaded, now);
+    ApplyLoadedModels(state.orders.kept[handle], report->loaded, now);
   }
-  if (PoolOf(*endpoint.book) < pool_before) {
+  if (LeasableSlots(*endpoint.book) < pool_before) {
     CutHolders(state, handle, now, out);
   }
 }
--- a/fleet/src/fleet_state_p.h
+++ b/fleet/src/fleet_state_p.h
@@ -25,8 +25,8 @@
   std::vector<std::string> voters;  ///< First choice first.
   std::size_t rank = 0;             ///< Of this node; voters.size(): none.
   HeldSlots held;
-  std::optional<KeeperBook> book;    ///< While this node keeps the endpoint.
-  std::optional<KeeperBook> former;  ///< Of the last time it did.
+  std::optional<KeeperState> book;    ///< While this node keeps the endpoint.
+  std::optional<KeeperState> former;  ///< Of the last time it did.
   Time stopped{};
   std::optional<policy::EngineReport> report;  ///< Last one seen.
   Time report_at{};
--- a/fleet/src/lease_holder.cc
+++ b/fleet/src/lease_holder.cc
@@ -8,12 +8,13 @@
   return held.floor + (now < held.until ? held.leased : 0);
 }
 
-bool TakeLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now) {
+bool ApplyLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now) {
   if (lease.ask_number < held.ask_number || asked <= held.dropped) return false;
   // Counted from the asking: the keeper counts from later on, so the holder's
   // lease is over first, however long the answer was under way. The process may
   // stand still for `kFreshFor` without noticing, so it ends earlier by that.
-  const Time until = asked + std::min(lease.left, kLeaseLife) - kFreshFor;
+  const Time until =
+      asked + std::min(lease.left, kLeaseDuration) - kPauseThreshold;
   if (lease.ask_number == held.ask_number) {
     held.leased = std::min(held.leased, lease.slots);
     return true;
--- a/fleet/src/lease_keeper.cc
+++ b/fleet/src/lease_keeper.cc
@@ -14,7 +14,7 @@
   return left.node == right.node && left.incarnation == right.incarnation;
 }
 
-Holder* Find(KeeperBook& book, const Sender& process) {
+Holder* Find(KeeperState& book, const Sender& process) {
   const auto found =
       std::find_if(book.holders.begin(), book.holders.end(),
                    [&](const Holder& h) { return IsSame(h.process, process); });
@@ -34,7 +34,7 @@
 /// How long calls of a silent holder count. A report shows them within seconds;
 /// without one, or while the endpoint bears too little to risk it, they count
 /// as long as an ordinary answer may take.
-std::chrono::milliseconds SilentCallsKept(const KeeperBook& book) {
+std::chrono::milliseconds SilentCallsKept(const KeeperState& book) {
   const bool warm = book.slots.slots > book.slots.cold_max_in_flight;
   return warm && book.report.has_value()
              ? kReportFresh
@@ -43,15 +43,15 @@
 
 /// Forgets holders that have been silent for longer than a lease and what it
 /// started may last.
-void Prune(KeeperBook& book, Time now) {
-  const auto kept = std::max(SilentCallsKept(book), kLeaseLife);
+void Prune(KeeperState& book, Time now) {
+  const auto kept = std::max(SilentCallsKept(book), kLeaseDuration);
   std::erase_if(book.holders, [&](const Holder& holder) {
-    return now - holder.asked >= (holder.replaced ? kLeaseLife : kept);
+    return now - holder.asked >= (holder.replaced ? kLeaseDuration : kept);
   });
 }
 
 /// Calls at the endpoint that no holder's entry stands for.
-std::uint32_t StrangersAt(const KeeperBook& book, Time now) {
+std::uint32_t StrangersAt(const KeeperState& book, Time now) {
   if (now - book.opened >= SilentCallsKept(book)) return 0;
   if (book.report.has_value()) return book.strangers;
   // One slot stays to begin with: its answers let the endpoint grow, while none
@@ -61,7 +61,7 @@
 
 /// A report taken before a former keeper's last leases lapsed misses the calls
 /// that they let in.
-bool ShowsAllStrangers(const KeeperBook& book,
+bool ShowsAllStrangers(const KeeperState& book,
                        const policy::EngineReport& report, Time now) {
   return now - report.age >= book.opened - kOpeningMargin;
 }
@@ -70,7 +70,7 @@
 /// no proof of one: a process that was paused notices long after.) Holders that
 /// ask say so themselves, and may have calls there again already; the silent
 /// ones can't.
-void ForgetSilentCalls(KeeperBook& book, Time now) {
+void ForgetSilentCalls(KeeperState& book, Time now) {
   for (Holder& holder : book.holders) {
     if (!HasPart(holder, now)) holder.in_flight = 0;
   }
@@ -78,13 +78,13 @@
 
 /// A keeper that begins, or goes on after a break, first needs to know what
 /// runs at the endpoint and whether it restarted meanwhile.
-bool MayGrant(const KeeperBook& book) {
+bool MayGrant(const KeeperState& book) {
   return book.ready &&
          (!book.report.has_value() || book.report_at >= book.resumed);
 }
 
 /// A newer process of a node has asked: calls of its predecessor are gone.
-void ForgetCallsOf(KeeperBook& book, const Sender& newer) {
+void ForgetCallsOf(KeeperState& book, const Sender& newer) {
   for (Holder& holder : book.holders) {
     const bool older = holder.process.node == newer.node &&
                        holder.process.incarnation != newer.incarnation;
@@ -102,7 +102,7 @@
 
 /// Holders in the order of their lots. Lots are drawn anew every few seconds:
 /// with fewer slots than holders the same few would have them for ever.
-std::vector<Part> DrawLots(const KeeperBook& book, Time now) {
+std::vector<Part> DrawLots(const KeeperState& book, Time now) {
   const auto draw =
       static_cast<std::uint64_t>(now.time_since_epoch() / kLotsEvery);
   std::vector<Part> parts;
@@ -149,9 +149,9 @@
 /// (2 of 24 runs of a batch beside a burst of buyers had under 90 in 100 in
 /// time). Then what each wants, then what is left, so that an idle node can
 /// start its next call without asking.
-std::vector<Part> ShareOut(const KeeperBook& book, Time now) {
+std::vector<Part> ShareOut(const KeeperState& book, Time now) {
   std::vector<Part> parts = DrawLots(book, now);
-  std::uint32_t left = GiveUpTo(parts, UrgentOf, PoolOf(book));
+  std::uint32_t left = GiveUpTo(parts, UrgentOf, LeasableSlots(book));
   left = GiveUpTo(parts, WantedOf, left);
   GiveUpTo(parts, NoBound, left);
   return parts;
@@ -168,7 +168,7 @@
 /// its holders last heard, in place of a cold start: a node that stops would
 /// throw its warm endpoints back to the few requests they bear cold. Of several
 /// claims the lowest counts, since any of them may be old.
-void TakeOverTotal(KeeperBook& book, Holder& holder, const SlotAsk& ask,
+void TakeOverTotal(KeeperState& book, Holder& holder, const SlotAsk& ask,
                    Time now) {
   if (!book.ready || holder.claimed) return;
   holder.claimed = true;
@@ -183,14 +183,14 @@
   book.slots.since = now;
 }
 
-policy::SlotReason Restart(KeeperBook& book, std::uint64_t boot, Time now) {
+policy::SlotReason Restart(KeeperState& book, std::uint64_t boot, Time now) {
   book.take_over_until = now;
   return policy::StartSlots(book.slots, book.slots.cold_max_in_flight,
                             book.slots.max_in_flight, boot, now);
 }
 
 /// A new boot ends the calls that ran before it.
-policy::SlotReason TakeEvidence(KeeperBook& book,
+policy::SlotReason TakeEvidence(KeeperState& book,
                                 const policy::SlotEvidence& evidence,
                                 Time now) {
   const std::uint64_t boot = book.slots.boot;
@@ -203,33 +203,34 @@
 
 }  // namespace
 
-void OpenBook(KeeperBook& book, const rules::Endpoint& endpoint, Time now) {
+void InitKeeperState(KeeperState& book, const rules::Endpoint& endpoint,
+                     Time now) {
   book = {};
-  book.floor_sum = FloorSum(endpoint);
+  book.floor_sum = TotalFloorSlots(endpoint);
   book.opened = now;
   book.sign_of_life = now;
-  book.take_over_until = now + kLeaseLife;
+  book.take_over_until = now + kLeaseDuration;
   policy::StartSlots(book.slots, endpoint.cold_max_in_flight,
                      endpoint.max_in_flight, 0, now);
 }
 
-void ResumeBook(KeeperBook& book, const rules::Endpoint& endpoint, Time stopped,
-                Time now) {
+void ResumeKeeperState(KeeperState& book, const rules::Endpoint& endpoint,
+                       Time stopped, Time now) {
   ChangeBears(book, endpoint, now);
   book.resumed = now;
   const bool unseen = now - stopped > kReportLost && !book.report.has_value();
   if (unseen) Restart(book, book.slots.boot, now);
 }
 
-void SuspectStrangers(KeeperBook& book, std::uint32_t silent) {
+void SuspectStrangers(KeeperState& book, std::uint32_t silent) {
   book.ready = true;
   book.strangers = silent;
   for (Holder& holder : book.holders) holder.known = true;
 }
 
-void ChangeBears(KeeperBook& book, const rules::Endpoint& endpoint, Time now) {
+void ChangeBears(KeeperState& book, const rules::Endpoint& endpoint, Time now) {
   policy::SlotState& slots = book.slots;
-  book.floor_sum = FloorSum(endpoint);
+  book.floor_sum = TotalFloorSlots(endpoint);
   if (slots.max_in_flight == endpoint.max_in_flight &&
       slots.cold_max_in_flight == endpoint.cold_max_in_flight) {
     return;
@@ -240,19 +241,20 @@
   slots.slots = std::clamp(before, 1U, slots.max_in_flight);
 }
 
-std::uint32_t PoolOf(const KeeperBook& book) {
+std::uint32_t LeasableSlots(const KeeperState& book) {
   return book.slots.slots > book.floor_sum ? book.slots.slots - book.floor_sum
                                            : 0;
 }
 
-std::uint32_t GrantedSum(const KeeperBook& book) {
+std::uint32_t TotalOutstandingSlots(const KeeperState& book) {
   std::uint32_t sum = 0;
   for (const Holder& holder : book.holders) sum += Outstanding(holder);
   return sum;
 }
 
-policy::SlotReason TakeAsk(KeeperBook& book, const Sender& from,
-                           std::uint64_t number, const SlotAsk& ask, Time now) {
+policy::SlotReason ApplyAsk(KeeperState& book, const Sender& from,
+                            std::uint64_t number, const SlotAsk& ask,
+                            Time now) {
   Prune(book, now);
   Holder* holder = Find(book, from);
   if (holder == nullptr) {
@@ -283,13 +285,13 @@
   return TakeEvidence(book, ask.evidence, now);
 }
 
-std::uint32_t GrantSlots(KeeperBook& book, const Sender& from, Time now) {
+std::uint32_t GrantSlots(KeeperState& book, const Sender& from, Time now) {
   Prune(book, now);
   Holder* holder = Find(book, from);
   if (holder == nullptr || !MayGrant(book)) return 0;
-  const std::uint32_t others =
-      GrantedSum(book) - Outstanding(*holder) + StrangersAt(book, now);
-  const std::uint32_t pool = PoolOf(book);
+  const std::uint32_t others = TotalOutstandingSlots(book) -
+                               Outstanding(*holder) + StrangersAt(book, now);
+  const std::uint32_t pool = LeasableSlots(book);
   const std::uint32_t left = pool > others ? pool - others : 0;
   const std::uint32_t slots =
       std::min(PartOf(ShareOut(book, now), *holder), left);
@@ -297,8 +299,8 @@
   return slots;
 }
 
-policy::SlotReason TakeReport(KeeperBook& book,
-                              const policy::EngineReport* report, Time now) {
+policy::SlotReason ApplyReport(KeeperState& book,
+                               const policy::EngineReport* report, Time now) {
   if (report == nullptr) {
     const bool lost = now - book.sign_of_life > kReportLost;
     if (!lost || book.slots.slots <= book.slots.cold_max_in_flight) {
@@ -324,10 +326,10 @@
   return TakeEvidence(book, {0, 0, 0, report->boot}, now);
 }
 
-std::vector<Cut> HoldersToCut(KeeperBook& book, Time now) {
+std::vector<Cut> HoldersToCut(KeeperState& book, Time now) {
   Prune(book, now);
   std::vector<Cut> cuts;
-  if (GrantedSum(book) <= PoolOf(book)) return cuts;
+  if (TotalOutstandingSlots(book) <= LeasableSlots(book)) return cuts;
   const std::vector<Part> parts = ShareOut(book, now);
   for (const Holder& holder : book.holders) {
     const std::uint32_t part = PartOf(parts, holder);
--- a/fleet/src/orders.cc
+++ b/fleet/src/orders.cc
@@ -69,8 +69,8 @@
 /// models have stood still.
 bool MayOrder(const EndpointOrders& orders, bool honours_fencing, Time now) {
   if (honours_fencing) return true;
-  return now - orders.kept_since >= kUnfencedWait &&
-         now - orders.changed >= kUnfencedWait;
+  return now - orders.kept_since >= kUnfencedQuietTime &&
+         now - orders.changed >= kUnfencedQuietTime;
 }
 
 std::optional<TargetHandle> Removable(const EndpointOrders& orders,
@@ -100,8 +100,8 @@
   return placement;
 }
 
-void SeeLoaded(EndpointOrders& orders, const std::vector<TargetHandle>& loaded,
-               Time now) {
+void ApplyLoadedModels(EndpointOrders& orders,
+                       const std::vector<TargetHandle>& loaded, Time now) {
   std::vector<TargetHandle> sorted = loaded;
   std::sort(sorted.begin(), sorted.end());
   if (sorted != orders.loaded) {
@@ -126,7 +126,7 @@
   if (!MayOrder(orders, input.honours_fencing, now)) return std::nullopt;
   for (const TargetHandle target : input.desired) {
     if (Holds(orders.loaded, target)) continue;
-    if (!input.store_free) return std::nullopt;
+    if (!input.has_load_budget) return std::nullopt;
     if (orders.loaded.size() < input.max_loaded_models) {
       return NextOrder{OrderKind::kLoad, target};
     }
@@ -137,7 +137,7 @@
   return std::nullopt;
 }
 
-std::chrono::milliseconds LoadPause(std::size_t nodes) {
+std::chrono::milliseconds ModelLoadInterval(std::size_t nodes) {
   return std::chrono::milliseconds(std::chrono::minutes(1)) *
          static_cast<std::int64_t>(nodes) / kLoadsPerMinute;
 }
