--- a/fleet/include/egretladder/fleet/fleet.h
+++ b/fleet/include/egretladder/fleet/fleet.h
@@ -70,12 +70,12 @@
   policy::SlotReason reason = policy::SlotReason::kUnchanged;
 };
 /// An endpoint began or ceased to take new work.
-struct AvailableChanged {
+struct AvailabilityChanged {
   EndpointHandle endpoint;
   bool available = false;
 };
 /// A report that reached this node, directly or from the keeper.
-struct ReportSeen {
+struct ReportReceived {
   EndpointHandle endpoint;
   policy::EngineReport report;
 };
@@ -96,8 +96,8 @@
 /// What the driver of a fleet does for it; see each.
 using Action =
     std::variant<SendMessage, ReadRulesDocument, ReadVmList, ReadReport,
-                 RulesInForce, RulesRefused, SlotsChanged, AvailableChanged,
-                 ReportSeen, QuarantineAdded, OrderEngine>;
+                 RulesInForce, RulesRefused, SlotsChanged, AvailabilityChanged,
+                 ReportReceived, QuarantineAdded, OrderEngine>;
 /// In the order in which they are to be carried out.
 using Actions = std::vector<Action>;
 
@@ -176,6 +176,6 @@
                           std::size_t most, Time now);
 
 /// Longest pause between two calls of `OnTick`.
-inline constexpr std::chrono::milliseconds kFleetTick{50};
+inline constexpr std::chrono::milliseconds kFleetTickInterval{50};
 
 }  // namespace egretladder::fleet
--- a/fleet/include/egretladder/fleet/lane.h
+++ b/fleet/include/egretladder/fleet/lane.h
@@ -108,12 +108,12 @@
                                  const std::string& key, StoredAnswer answer,
                                  Time now);
 /// The call was sent and its answer is lost; returns the waiters.
-std::vector<WaiterId> LoseCall(LanesState& state, const Lane& lane,
-                               const std::string& key, Time now);
+std::vector<WaiterId> MarkOutcomeUnknown(LanesState& state, const Lane& lane,
+                                         const std::string& key, Time now);
 /// The call was certainly never sent and never will be; returns the waiters,
 /// which may be told "not run".
-std::vector<WaiterId> BurnCall(LanesState& state, const Lane& lane,
-                               const std::string& key, Time now);
+std::vector<WaiterId> MarkNotRun(LanesState& state, const Lane& lane,
+                                 const std::string& key, Time now);
 
 /// Forgets keys of expired lanes. Call at `kLaneSweep`.
 void SweepLanes(LanesState& state, Time now);
@@ -127,6 +127,6 @@
 LanesView ViewOf(const LanesState& state);
 
 /// Longest pause between two calls of `SweepLanes`.
-inline constexpr std::chrono::milliseconds kLaneSweep{1000};
+inline constexpr std::chrono::milliseconds kLaneSweepInterval{1000};
 
 }  // namespace egretladder::fleet
--- a/node/src/answers.cc
+++ b/node/src/answers.cc
@@ -15,9 +15,10 @@
 std::vector<CallId> EndKey(NodeState& state, const CallRecord& record,
                            RunStatus ran, Time now) {
   if (ran == RunStatus::kDidNotRun) {
-    return fleet::BurnCall(*state.lanes, *record.lane, record.call.key, now);
+    return fleet::MarkNotRun(*state.lanes, *record.lane, record.call.key, now);
   }
-  return fleet::LoseCall(*state.lanes, *record.lane, record.call.key, now);
+  return fleet::MarkOutcomeUnknown(*state.lanes, *record.lane, record.call.key,
+                                   now);
 }
 
 void AnswerWaiters(NodeState& state, CallRecord& record, RunStatus ran,
--- a/node/src/apply.cc
+++ b/node/src/apply.cc
@@ -93,14 +93,14 @@
     state.scheduler->on_slots(*state.scheduler_state, action.endpoint,
                               action.slots, now, state.pending);
   }
-  void operator()(const fleet::AvailableChanged& action) const {
+  void operator()(const fleet::AvailabilityChanged& action) const {
     DecidePlace(state, action.endpoint, "available",
                 action.available ? "takes_work" : "takes_no_work", out);
     state.endpoints[action.endpoint.idx].available = action.available;
     state.scheduler->on_available(*state.scheduler_state, action.endpoint,
                                   action.available, now, state.pending);
   }
-  void operator()(const fleet::ReportSeen& action) const {
+  void operator()(const fleet::ReportReceived& action) const {
     state.endpoints[action.endpoint.idx].evidence.boot = action.report.boot;
     state.scheduler->on_report(*state.scheduler_state, action.endpoint,
                                action.report, now);
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -29,7 +29,7 @@
 
 void OnTick(NodeState& state, Time now, Actions& out) {
   if (now >= state.next_fleet_tick) {
-    state.next_fleet_tick = now + fleet::kFleetTick;
+    state.next_fleet_tick = now + fleet::kFleetTickInterval;
     // In the same step: asks that go out in the fleet's tick must count every
     // call that has begun, or its slot is leased a second time.
     TellEvidence(state, now);
@@ -38,7 +38,7 @@
     ApplyFleet(state, actions, now, out);
   }
   if (now >= state.next_sweep) {
-    state.next_sweep = now + fleet::kLaneSweep;
+    state.next_sweep = now + fleet::kLaneSweepInterval;
     fleet::SweepLanes(*state.lanes, now);
   }
   if (state.scheduler_state == nullptr) return;
