--- a/node/include/egretladder/node/limits.h
+++ b/node/include/egretladder/node/limits.h
@@ -1,4 +1,4 @@
-// Periods and bounds of a node's calls, each with its reason.
+// Time limits and size limits of the calls that a node handles.
 #pragma once
 
 #include <chrono>
@@ -7,44 +7,50 @@
 
 namespace egretladder::node {
 
-/// Longest life of a call whose caller sets no timeout. A trace summary takes
-/// minutes; a call that hangs must not hold its slot for ever.
-inline constexpr std::chrono::minutes kCallTimeout{10};
-
-/// How long a call that may not be repeated goes on after its caller left or
-/// was told "unknown", so that a retry with its key finds the answer.
-inline constexpr std::chrono::seconds kDetachedLife{60};
-
-/// How long a call waits before it is routed again after it was held back
-/// right before its first byte; doubles with each hold in a row. Short against
-/// the targets of any class. Without a wait, a node with old knowledge would
-/// route and hold it in a tight loop; without the doubling, a node that is cut
-/// off for 20 s wrote 3,420 such decisions for a few dozen calls
-/// (scenarios/twice-platform-down-and-zone-out.lua), with it 546.
-inline constexpr std::chrono::milliseconds kHoldDelay{20};
-/// Longest such wait.
-inline constexpr std::chrono::milliseconds kHoldDelayMost{640};
-
-/// How long a caller may keep the answer to `/where`. A leaving node must stay
-/// reachable this long; callers learn of new nodes no faster.
+/// Upper bound of a call's timeout, and the timeout of a call whose caller sets
+/// none. A trace summary takes minutes; a call that hangs must not hold its
+/// slot forever.
+inline constexpr std::chrono::minutes kMaxCallTimeout{10};
+
+/// How long a call that must not be repeated continues after its caller has
+/// disconnected or was told "unknown", so that a retry with the same
+/// idempotency key finds the answer.
+inline constexpr std::chrono::seconds kDetachedCallTimeout{60};
+
+/// Initial delay before a call is routed again after it was held back right
+/// before its first byte. The delay doubles with each consecutive hold. It is
+/// short compared with the latency targets of any class. Without a delay, a
+/// node whose view of the fleet is stale would route and hold the call in a
+/// tight loop. Without the doubling, a node that was partitioned for 20 s
+/// logged 3,420 such decisions for a few dozen calls
+/// (scenarios/twice-platform-down-and-zone-out.lua); with it, 546.
+inline constexpr std::chrono::milliseconds kInitialHoldDelay{20};
+/// Upper bound of the delay that starts at `kInitialHoldDelay`.
+inline constexpr std::chrono::milliseconds kMaxHoldDelay{640};
+
+/// How long a caller may cache the answer to `/where`. A leaving node must stay
+/// reachable for this long, and a caller may take this long to learn of a new
+/// node.
 inline constexpr std::chrono::milliseconds kWhereKeep{5000};
 
-/// Addresses in that answer: one to use and two to turn to.
-inline constexpr std::size_t kWhereAddresses = 3;
+/// Maximum number of node addresses in an answer to `/where`: one to use and
+/// two to fail over to.
+inline constexpr std::size_t kMaxWhereNodes = 3;
 
-/// A node on the small side of a cut names another node of the other side after
-/// so long.
-inline constexpr std::chrono::milliseconds kWhereTurn{50};
+/// Interval after which a node on the minority side of a network partition
+/// names a different node of the majority side in its answers to `/where`.
+inline constexpr std::chrono::milliseconds kWhereRotationInterval{50};
 
-/// A target counts as in use this long after its last call: the node keeps
-/// asking for one spare slot at its endpoints, so that the next call need not
-/// wait for a lease.
-inline constexpr std::chrono::seconds kTargetInUse{10};
+/// A target counts as in use for this long after its last call. Meanwhile the
+/// node keeps requesting one spare slot at each of the target's endpoints, so
+/// that the next call doesn't have to wait for a lease.
+inline constexpr std::chrono::seconds kTargetInUseTimeout{10};
 
-/// What callers are told when nothing better is known.
-inline constexpr std::chrono::milliseconds kStandardRetryAfter{1000};
+/// The retry delay that callers are given when no better estimate is available.
+inline constexpr std::chrono::milliseconds kDefaultRetryAfter{1000};
 
-/// Preemptions of one call. Numbers of attempts stay distinct within 8 bits.
-inline constexpr std::uint8_t kAttemptNumbersMost = 200;
+/// A call with this attempt number is no longer preempted, so that the numbers
+/// of its attempts stay distinct within 8 bits.
+inline constexpr std::uint8_t kMaxAttemptNumber = 200;
 
 }  // namespace egretladder::node
--- a/node/include/egretladder/node/node.h
+++ b/node/include/egretladder/node/node.h
@@ -1,6 +1,7 @@
-// One node without I/O: the life of a call from arrival to answer, over
-// `policy` and `fleet`. Sockets drive it in `gateway`; a scenario with a paused
-// clock, or an outside test driver, drives it the same way (docs/DRIVING.md).
+// A node's logic without I/O: it takes each call from its arrival to its answer
+// on top of `policy` and `fleet`. In `gateway` it is driven by sockets;
+// scenarios with a manual clock and external test drivers drive it in the same
+// way (docs/DRIVING.md).
 #pragma once
 
 #include <chrono>
@@ -20,34 +21,38 @@
 using kernel::Time;
 using rules::EndpointHandle;
 
-/// Numbers one caller's call within a node's life.
+/// Identifies a call within one run of the node's process.
 using CallId = std::uint64_t;
 
-/// What a node is started with, from its settings.
+/// Options of a node, from its settings.
 struct NodeOptions {
   fleet::FleetOptions fleet;
   std::string scheduler{policy::kDefaultScheduler};
   std::string lane_secret;
 };
 
-/// A call as a caller sent it. Names are checked against the rules in force.
+/// A call as its caller sent it. The node checks the names in it against the
+/// rules in force.
 struct Call {
   CallId id = 0;
   std::string account;
   std::string cls;
   std::string target;      ///< Model or service.
-  std::string lane;        ///< As sent; empty: none.
-  std::string key;         ///< The caller's own; empty: none.
-  bool forwarded = false;  ///< Another node passed it here; never passed on.
+  std::string lane;        ///< Text of the lane header; empty if not sent.
+  std::string key;         ///< The caller's idempotency key; empty if not sent.
+  bool forwarded = false;  ///< Came from another node; is not forwarded again.
   std::uint64_t body_hash = 0;
   std::uint64_t prefix = 0;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t max_tokens = 0;
-  std::chrono::milliseconds timeout{};  ///< The caller's own; 0: none.
+  std::chrono::milliseconds timeout{};  ///< Set by the caller; 0 if not set.
 };
 
-/// What is certain about a call that gets no answer of an endpoint.
-enum class Ran : std::uint8_t { kNo, kUnknown };
+/// Whether a call that gets no answer from an endpoint has run there.
+enum class Ran : std::uint8_t {
+  kNo,       ///< It has certainly not run.
+  kUnknown,  ///< It may have run.
+};
 
 /// Stable codes of error answers.
 enum class AnswerCode : std::uint8_t {
@@ -58,58 +63,58 @@
   kLaneMissing,
   kLaneInvalid,
   kLaneExpired,
-  kKeyReused,   ///< The key came before with another body.
-  kOverloaded,  ///< Refused by the scheduler; see `refuse_reason`.
+  kKeyReused,   ///< The key was used before with a different body.
+  kOverloaded,  ///< Refused for lack of capacity; see `detail`.
   kQuarantined,
   kNoEndpoint,
   kEndpointFailed,
   kOwnerUnreachable,
   kTimeout,
-  kNotReady,  ///< No rules in force yet.
+  kNotReady,  ///< No rules are in force yet.
   kLeaving,
-  kOutcomeUnknown,  ///< The key was sent before and its answer was lost.
+  kOutcomeUnknown,  ///< A call with the key was sent and its answer was lost.
 };
 
-/// The code as error answers and logs show it.
+/// Returns the code as error answers and logs show it.
 const char* NameOf(AnswerCode code);
-/// The word as error answers show it.
+/// Returns the word that error answers show.
 const char* NameOf(Ran ran);
-/// The HTTP status that goes with a code.
+/// Returns the HTTP status of an error answer with this code.
 int StatusOf(AnswerCode code);
 
-/// Send the call to an endpoint now. The driver asks `MaySend` right before the
-/// first byte leaves.
+/// Sends the call to an endpoint now. The driver calls `MaySend` right before
+/// it writes the first byte.
 struct SendCall {
   CallId call = 0;
   std::uint8_t attempt = 1;
   EndpointHandle endpoint;
   std::string address;
   std::uint8_t engine_priority = 0;
-  bool keep_answer = false;  ///< Hand the whole answer to `OnAnswer`.
+  bool keep_answer = false;  ///< Pass the whole answer to `OnAnswer`.
 };
-/// Stop the call at its endpoint; nothing more of it reaches the caller unless
-/// it is sent again.
+/// Cancels the attempt at its endpoint. Nothing more of its answer reaches the
+/// caller; the call may be sent again with another `SendCall`.
 struct CancelCall {
   CallId call = 0;
   std::uint8_t attempt = 1;
 };
-/// Tell the caller that it gets no answer, and whether its call ran.
+/// Sends the caller an error answer, which also says whether its call ran.
 struct AnswerError {
   CallId call = 0;
   AnswerCode code = AnswerCode::kOverloaded;
   Ran ran = Ran::kUnknown;
   std::string detail;
-  std::chrono::milliseconds retry_after{};  ///< 0: none.
+  std::chrono::milliseconds retry_after{};  ///< 0 to send no retry delay.
 };
-/// Give the caller an answer that another call of the same key got.
+/// Sends the caller the answer to another call with the same key.
 struct AnswerStored {
   CallId call = 0;
   std::shared_ptr<const fleet::StoredAnswer> answer;
 };
-/// Pass the call to the node that owns its lane.
+/// Forwards the call to the node that owns its lane.
 struct ForwardCall {
   CallId call = 0;
-  std::string caller_address;  ///< Of that node.
+  std::string caller_address;  ///< The owner's address for callers.
 };
 /// A routing or placement decision, for the log.
 struct Decision {
@@ -124,111 +129,124 @@
   std::chrono::milliseconds waited{};
 };
 
-/// What the driver of a node does for it; see each.
+/// An action that the driver of a node carries out; see each type.
 using Action =
     std::variant<SendCall, CancelCall, AnswerError, AnswerStored, ForwardCall,
                  Decision, fleet::SendMessage, fleet::ReadRulesDocument,
                  fleet::ReadVmList, fleet::ReadReport, fleet::OrderEngine,
                  fleet::RulesInForce, fleet::RulesRefused>;
-/// In the order in which they are to be carried out.
+/// Actions in the order in which the driver must carry them out.
 using Actions = std::vector<Action>;
 
 struct NodeState;
-/// Lets `NodePtr` own a type that only the sources know.
-struct NodeDelete {
+/// Deleter that lets `NodePtr` own a type that is incomplete in this header.
+struct NodeDeleter {
   void operator()(NodeState* state) const;
 };
-/// Owns one node.
-using NodePtr = std::unique_ptr<NodeState, NodeDelete>;
+/// An owning pointer to a node.
+using NodePtr = std::unique_ptr<NodeState, NodeDeleter>;
 
-/// Fails when no scheduler has the name given.
+/// Creates a node. Fails with `kNotFound` if no scheduler is registered under
+/// the name in `options`.
 kernel::Result<NodePtr> StartNode(const NodeOptions& options, Time now,
                                   Actions& out);
 
-/// Call every `kNodeTick` or more often.
+/// Runs timers and periodic work. The driver must call it at least every
+/// `kNodeTick`.
 void OnTick(NodeState& state, Time now, Actions& out);
 
-/// A caller's call came in whole. Its end is put into `out`, now or later.
+/// Handles a call that was received completely. The action that ends it is
+/// appended to `out`, by this function or by a later one.
 void OnCall(NodeState& state, const Call& call, Time now, Actions& out);
-/// The caller went away: its work is cancelled.
+/// Cancels the work of a caller that disconnected. A call that must not be
+/// repeated continues if it was sent or if other calls wait for its answer.
 void OnCallerGone(NodeState& state, CallId call, Time now, Actions& out);
 
-/// True when the attempt may still be sent, on the clock as it is now. Asked
-/// right before the first byte, so that a process which was paused since the
-/// decision sends nothing old. False: the driver drops it; the node has already
-/// put answers into `out`.
+/// Returns true if the attempt may still be sent at `now`, and marks it as
+/// sent. The driver calls it right before the first byte, so that a process
+/// that was paused since the routing decision doesn't act on a stale one. If it
+/// returns false, the driver drops the attempt. If the call still exists, the
+/// node has then queued it again or appended its answer to `out`.
 bool MaySend(NodeState& state, CallId call, std::uint8_t attempt, Time now,
              Actions& out);
-/// The endpoint's answer began: its first token or byte.
+/// Handles the start of the endpoint's answer, its first token or byte.
 void OnFirstToken(NodeState& state, CallId call, std::uint8_t attempt,
                   Time now);
-/// `count` more tokens of the answer came from the endpoint.
+/// Handles `count` more tokens of the endpoint's answer.
 void OnTokens(NodeState& state, CallId call, std::uint8_t attempt,
               std::uint32_t count, Time now);
-/// The answer is complete. `answer` is given when `SendCall::keep_answer` was.
+/// Handles a complete answer. `answer` holds it if `SendCall::keep_answer` was
+/// set, and is null otherwise or if the answer was too large to be kept.
 void OnAnswer(NodeState& state, CallId call, std::uint8_t attempt,
               std::shared_ptr<const fleet::StoredAnswer> answer, Time now,
               Actions& out);
-/// The attempt ended without a complete answer. `detail` names step and peer.
-/// `kNotRun` before `MaySend` was asked says that there was no connection: the
-/// endpoint counts as down. `kCancelled` says that the driver dropped it.
+/// Handles an attempt that ended without a complete answer. `detail` names the
+/// step that failed and the peer. `kNotRun` before `MaySend` was called means
+/// that no connection was established, and the endpoint counts as down.
+/// `kCancelled` means that the driver dropped the attempt.
 void OnFailure(NodeState& state, CallId call, std::uint8_t attempt,
                policy::EndKind end, const std::string& detail, Time now,
                Actions& out);
-/// The owner of the lane answered a forwarded call (the driver relays it), or
-/// could not be reached. `sent`: bytes of the call may have reached it.
+/// Handles the end of a forwarded call. `answered` is true if the owner of the
+/// lane answered (the driver relays its answer), and false if the owner could
+/// not be reached. `sent` is true if bytes of the call may have reached it.
 void OnForwarded(NodeState& state, CallId call, bool answered, bool sent,
                  Time now, Actions& out);
 
-/// The four below go on to the fleet: see fleet/fleet.h for their errors.
+/// Handles a message of another node. This function and the three below pass
+/// their input to the fleet; fleet/fleet.h documents their errors.
 void OnMessage(NodeState& state, const fleet::Sender& from,
                const fleet::Message& message, Time now, Actions& out);
-/// The platform's answer to `ReadRulesDocument`.
+/// Handles the platform's answer to `ReadRulesDocument`.
 void OnRulesDocument(NodeState& state, const std::string* text, Time now,
                      Actions& out);
-/// The platform's answer to `ReadVmList`.
+/// Handles the platform's answer to `ReadVmList`.
 void OnVmList(NodeState& state, const std::vector<fleet::VmEntry>* vms,
               Time now, Actions& out);
-/// An endpoint's answer to `ReadReport`.
+/// Handles an endpoint's answer to `ReadReport`.
 void OnReport(NodeState& state, EndpointHandle endpoint,
               const policy::EngineReport* report, Time now, Actions& out);
 
-/// Ends all calls in progress, each as truthfully as its state allows: the
-/// process ends before they would.
+/// Ends all calls in progress because the process is about to exit. Each answer
+/// says that the call did not run only where that is certain.
 void EndCalls(NodeState& state, Time now, Actions& out);
 
-/// Begins a graceful leave: out of `/where` at once, new calls get `kLeaving`,
-/// calls in progress end in their own time.
+/// Begins a graceful leave: the node is removed from answers to `/where` at
+/// once, new calls are refused with `kLeaving`, and calls in progress run to
+/// their end.
 void Leave(NodeState& state, Time now, Actions& out);
-/// True when no call is in progress.
+/// Returns true if no call is in progress.
 bool IsIdle(const NodeState& state);
 
 /// The answer to `GET /where`.
 struct WhereAnswer {
-  std::vector<std::string> addresses;  ///< Best first.
-  std::chrono::milliseconds keep_for{};
-  std::string lane;  ///< Empty while the node leaves.
-  /// The node that owns the lane: a call sent there needs no passing on.
+  std::vector<std::string> addresses;    ///< Best first.
+  std::chrono::milliseconds keep_for{};  ///< How long it may be cached.
+  std::string lane;  ///< A new lane; empty if the node isn't ready.
+  /// Address of the node that owns the lane. A call that is sent there need not
+  /// be forwarded.
   std::string lane_address;
 };
-/// Answers a caller in `zone`, with a new lane when the node is ready.
+/// Returns the answer to a caller in `zone`, with a new lane if the node is
+/// ready.
 WhereAnswer Where(NodeState& state, std::string_view zone, Time now);
 
-/// Numbers for `/status`, `/readyz` and tests.
+/// A snapshot of the node for `/status`, `/readyz` and tests.
 struct NodeView {
-  bool ready = false;  ///< Rules in force, not leaving.
+  bool ready = false;  ///< Rules are in force and the node isn't leaving.
   bool leaving = false;
   fleet::FleetView fleet;
   policy::SchedulerView scheduler;
   fleet::LanesView lanes;
-  std::size_t calls = 0;
+  std::size_t calls = 0;  ///< Calls in progress.
 };
-/// Counts and copies; not for every call.
+/// Builds a snapshot of the node. It counts and copies, so it is too slow to be
+/// called for every request.
 NodeView ViewOf(const NodeState& state, Time now);
-/// The rules in force; null before the first version.
+/// Returns the rules in force, or null before the first version.
 rules::RulesPtr RulesOf(const NodeState& state);
 
-/// Longest pause between two calls of `OnTick`.
+/// Maximum interval between two calls of `OnTick`.
 inline constexpr std::chrono::milliseconds kNodeTick{10};
 
 }  // namespace egretladder::node
--- a/node/src/answers.cc
+++ b/node/src/answers.cc
@@ -1,18 +1,20 @@
-// Final answers to calls that get none of an endpoint.
+// Error answers to calls that get no answer from an endpoint.
 #include "state_p.h"
 
 namespace egretladder::node {
 namespace {
 
-void Answer(CallId call, Ran ran, const GiveUpReason& reason, Actions& out) {
+void EmitError(CallId call, Ran ran, const ErrorReason& reason, Actions& out) {
   out.emplace_back(
       AnswerError{call, reason.code, ran, reason.detail, reason.retry_after});
 }
 
-/// Ends the key: burned when no byte can have left, lost otherwise. Only a
-/// burned key allows "not run", since then no later copy runs either.
-std::vector<CallId> EndKey(NodeState& state, const CallRecord& record, Ran ran,
-                           Time now) {
+/// Records how the call's key ended, and returns the calls that wait for it.
+/// The key is burned if no byte can have been sent, and its outcome is lost
+/// otherwise. Only a burned key allows the answer "not run", since it keeps any
+/// later copy of the call from running too.
+std::vector<CallId> ResolveKey(NodeState& state, const CallRecord& record,
+                               Ran ran, Time now) {
   if (ran == Ran::kNo) {
     return fleet::BurnCall(*state.lanes, *record.lane, record.call.key, now);
   }
@@ -20,36 +22,36 @@
 }
 
 void AnswerWaiters(NodeState& state, CallRecord& record, Ran ran,
-                   const GiveUpReason& reason, Time now, Actions& out) {
+                   const ErrorReason& reason, Time now, Actions& out) {
   const CallId runner = record.call.id;
   const bool detached = record.detached;
-  for (const CallId waiter : EndKey(state, record, ran, now)) {
+  for (const CallId waiter : ResolveKey(state, record, ran, now)) {
     if (waiter == runner || !state.calls.contains(waiter)) continue;
-    Answer(waiter, ran, reason, out);
+    EmitError(waiter, ran, reason, out);
     ForgetCall(state, waiter);
   }
-  if (!detached) Answer(runner, ran, reason, out);
+  if (!detached) EmitError(runner, ran, reason, out);
 }
 
 }  // namespace
 
-void GiveUp(NodeState& state, CallRecord& record, const GiveUpReason& reason,
-            Time now, Actions& out) {
+void EndWithError(NodeState& state, CallRecord& record,
+                  const ErrorReason& reason, Time now, Actions& out) {
   const bool may_have_run = record.may_have_run || IsSent(record.stage);
   const Ran ran = may_have_run ? Ran::kUnknown : Ran::kNo;
   const char* why = reason.why != nullptr ? reason.why : NameOf(reason.code);
-  Decide(state, record, "refuse", why, now, out);
+  EmitDecision(state, record, "refuse", why, now, out);
   if (record.lane) {
     AnswerWaiters(state, record, ran, reason, now, out);
   } else if (!record.detached) {
-    Answer(record.call.id, ran, reason, out);
+    EmitError(record.call.id, ran, reason, out);
   }
   ForgetCall(state, record.call.id);
 }
 
-void RefuseCall(const Call& call, Ran ran, const GiveUpReason& reason,
+void RefuseCall(const Call& call, Ran ran, const ErrorReason& reason,
                 Actions& out) {
-  Answer(call.id, ran, reason, out);
+  EmitError(call.id, ran, reason, out);
 }
 
 }  // namespace egretladder::node
--- a/node/src/apply.cc
+++ b/node/src/apply.cc
@@ -1,5 +1,5 @@
-// Turns what scheduler and fleet ask for into changes of calls and into actions
-// of the driver.
+// Applies the actions of the scheduler and the fleet to the calls, and turns
+// them into actions for the driver.
 #include <type_traits>
 #include <utility>
 
@@ -15,16 +15,18 @@
 
   void operator()(const policy::Dispatch& dispatch) const {
     CallRecord* record = FindCall(state, dispatch.request);
-    // The call ended after the scheduler chose; its slot must come back.
+    // The call ended after the scheduler dispatched it; its slot must be
+    // released.
     if (record == nullptr || record->stage != Stage::kWaiting) {
       state.scheduler->on_end(*state.scheduler_state, dispatch.request,
-                              policy::EndKind::kCancelled, now, state.pending);
+                              policy::EndKind::kCancelled, now,
+                              state.scheduler_actions);
       return;
     }
     const rules::RulesPtr rules = fleet::RulesOf(*state.fleet);
     record->endpoint = dispatch.endpoint;
     SetStage(state, *record, Stage::kDispatched, now);
-    Decide(state, *record, "dispatch", NameOf(dispatch.reason), now, out);
+    EmitDecision(state, *record, "dispatch", NameOf(dispatch.reason), now, out);
     out.emplace_back(
         SendCall{dispatch.request, record->attempt, dispatch.endpoint,
                  rules->endpoints[dispatch.endpoint.idx].address,
@@ -41,24 +43,25 @@
       code = AnswerCode::kNoEndpoint;
     }
     const char* why = NameOf(refuse.reason);
-    GiveUp(state, *record, {code, why, refuse.retry_after, why}, now, out);
+    EndWithError(state, *record, {code, why, refuse.retry_after, why}, now,
+                 out);
   }
 
   void operator()(const policy::Preempt& preempt) const {
     CallRecord* record = FindCall(state, preempt.request);
     if (record == nullptr || !IsAtEndpoint(record->stage)) return;
-    // What may not be repeated runs on, and so does an answer of which the
-    // caller has a part: neither can start again from its beginning.
-    const bool may = record->stage != Stage::kStarted &&
-                     (record->repeatable || !IsSent(record->stage)) &&
-                     record->attempt < kAttemptNumbersMost;
-    if (!may) return;
-    Decide(state, *record, "preempt", NameOf(preempt.reason), now, out);
+    // A sent call that must not be repeated continues, and so does a call
+    // whose answer has partly reached its caller: neither can be restarted.
+    const bool can_preempt = record->stage != Stage::kStarted &&
+                             (record->repeatable || !IsSent(record->stage)) &&
+                             record->attempt < kMaxAttemptNumber;
+    if (!can_preempt) return;
+    EmitDecision(state, *record, "preempt", NameOf(preempt.reason), now, out);
     out.emplace_back(CancelCall{preempt.request, record->attempt});
     record->may_have_run |= IsSent(record->stage);
     ++record->attempt;
     EndAttempt(state, *record, policy::EndKind::kCancelled, now);
-    Queue(state, *record, now, out);
+    Enqueue(state, *record, now, out);
   }
 };
 
@@ -81,24 +84,27 @@
     if (state.scheduler_state == nullptr) StartScheduler(state, *rules);
     out.emplace_back(std::move(action));
     state.scheduler->on_rules(*state.scheduler_state, rules, now,
-                              state.pending);
+                              state.scheduler_actions);
     for (const auto& [fingerprint, until] :
-         std::exchange(state.early_quarantine, {})) {
+         std::exchange(state.early_quarantines, {})) {
       state.scheduler->on_quarantine(*state.scheduler_state, fingerprint, until,
-                                     now, state.pending);
+                                     now, state.scheduler_actions);
     }
   }
   void operator()(const fleet::SlotsChanged& action) const {
-    DecidePlace(state, action.endpoint, "slots", NameOf(action.reason), out);
+    EmitPlacementDecision(state, action.endpoint, "slots",
+                          NameOf(action.reason), out);
     state.scheduler->on_slots(*state.scheduler_state, action.endpoint,
-                              action.slots, now, state.pending);
+                              action.slots, now, state.scheduler_actions);
   }
   void operator()(const fleet::AvailableChanged& action) const {
-    DecidePlace(state, action.endpoint, "available",
-                action.available ? "takes_work" : "takes_no_work", out);
+    EmitPlacementDecision(state, action.endpoint, "available",
+                          action.available ? "takes_work" : "takes_no_work",
+                          out);
     state.endpoints[action.endpoint.idx].available = action.available;
     state.scheduler->on_available(*state.scheduler_state, action.endpoint,
-                                  action.available, now, state.pending);
+                                  action.available, now,
+                                  state.scheduler_actions);
   }
   void operator()(const fleet::ReportSeen& action) const {
     state.endpoints[action.endpoint.idx].evidence.boot = action.report.boot;
@@ -108,16 +114,16 @@
   void operator()(const fleet::QuarantineAdded& action) const {
     const Time until = now + action.left;
     if (state.scheduler_state == nullptr) {
-      state.early_quarantine.emplace_back(action.fingerprint, until);
+      state.early_quarantines.emplace_back(action.fingerprint, until);
       return;
     }
     state.scheduler->on_quarantine(*state.scheduler_state, action.fingerprint,
-                                   until, now, state.pending);
+                                   until, now, state.scheduler_actions);
   }
   void operator()(fleet::OrderEngine& action) const {
-    DecidePlace(state, action.endpoint, "order",
-                action.kind == fleet::OrderKind::kLoad ? "load" : "unload",
-                out);
+    EmitPlacementDecision(
+        state, action.endpoint, "order",
+        action.kind == fleet::OrderKind::kLoad ? "load" : "unload", out);
     out.emplace_back(action);
   }
   template <typename Other>
@@ -128,14 +134,14 @@
 }  // namespace
 
 void ApplyScheduler(NodeState& state, Time now, Actions& out) {
-  if (state.applying) return;  // The outer call goes on with what was added.
-  state.applying = true;
-  for (std::size_t i = 0; i < state.pending.size(); ++i) {
-    const policy::Action action = state.pending[i];
+  if (state.is_applying) return;  // The outer call applies what was added.
+  state.is_applying = true;
+  for (std::size_t i = 0; i < state.scheduler_actions.size(); ++i) {
+    const policy::Action action = state.scheduler_actions[i];
     std::visit(SchedulerApplier{state, now, out}, action);
   }
-  state.pending.clear();
-  state.applying = false;
+  state.scheduler_actions.clear();
+  state.is_applying = false;
 }
 
 void ApplyFleet(NodeState& state, fleet::Actions& actions, Time now,
--- a/node/src/attempts.cc
+++ b/node/src/attempts.cc
@@ -1,5 +1,5 @@
-// Attempts at endpoints: the last check before the first byte, progress, and
-// how they end.
+// Attempts at endpoints: the last check before the first byte, their progress
+// and their end.
 #include <algorithm>
 #include <string>
 
@@ -14,9 +14,9 @@
   return IsAtEndpoint(record->stage) ? record : nullptr;
 }
 
-/// Why an attempt may not be sent now; null when it may.
-const char* HoldReason(const NodeState& state, const CallRecord& record,
-                       const rules::Rules& rules, Time now) {
+/// Returns why an attempt must not be sent now, or null if it may be sent.
+const char* FindHoldReason(const NodeState& state, const CallRecord& record,
+                           const rules::Rules& rules, Time now) {
   if (!fleet::KnowledgeIsFresh(*state.fleet, now)) return "knowledge_old";
   const rules::Endpoint& endpoint = rules.endpoints[record.endpoint.idx];
   const bool takes_work = state.endpoints[record.endpoint.idx].available &&
@@ -26,41 +26,43 @@
   return nullptr;
 }
 
-/// Routes a call again that was held back before its first byte.
-void Hold(NodeState& state, CallRecord& record, const char* why, Time now,
-          Actions& out) {
-  Decide(state, record, "hold", why, now, out);
+/// Holds a call back before its first byte, to route it again after a delay.
+void HoldBack(NodeState& state, CallRecord& record, const char* why, Time now,
+              Actions& out) {
+  EmitDecision(state, record, "hold", why, now, out);
   EndAttempt(state, record, policy::EndKind::kCancelled, now);
-  const auto delay = kHoldDelay * (1U << std::min<unsigned>(record.holds, 16U));
-  if (record.holds < 16U) ++record.holds;
-  QueueLater(state, record,
-             std::min<std::chrono::milliseconds>(delay, kHoldDelayMost), now);
+  const auto delay = kInitialHoldDelay *
+                     (1U << std::min<unsigned>(record.consecutive_holds, 16U));
+  if (record.consecutive_holds < 16U) ++record.consecutive_holds;
+  EnqueueAfter(state, record,
+               std::min<std::chrono::milliseconds>(delay, kMaxHoldDelay), now);
   ApplyScheduler(state, now, out);
 }
 
-/// Ends an attempt, and its call, that came too late to be sent.
-void DropLate(NodeState& state, CallRecord& record, std::string detail,
-              Time now, Actions& out) {
+/// Ends an attempt that is too late to be sent, and its call.
+void DropExpired(NodeState& state, CallRecord& record, std::string detail,
+                 Time now, Actions& out) {
   EndAttempt(state, record, policy::EndKind::kCancelled, now);
   SetStage(state, record, Stage::kDelayed, now);
-  GiveUp(state, record,
-         {AnswerCode::kTimeout, std::move(detail), kStandardRetryAfter}, now,
-         out);
+  EndWithError(state, record,
+               {AnswerCode::kTimeout, std::move(detail), kDefaultRetryAfter},
+               now, out);
   ApplyScheduler(state, now, out);
 }
 
-/// An endpoint died: each body that was running on it may be the cause. One
-/// death is seen by every call on it; it is put to them once, by the first.
-/// `record` is no longer counted as being there.
-void BlameDeath(NodeState& state, CallRecord& record, Time now, Actions& out) {
-  if (record.blamed) return;
-  record.blamed = true;
+/// Reports an endpoint's crash to the fleet, with the bodies that were running
+/// there, since each of them may be the cause. Every call on the endpoint sees
+/// the same crash; only the first one reports it, for all of them. `record` is
+/// no longer in a stage at the endpoint, so its body is added here.
+void ReportDeath(NodeState& state, CallRecord& record, Time now, Actions& out) {
+  if (record.death_reported) return;
+  record.death_reported = true;
   std::vector<std::uint64_t> running{record.request.fingerprint};
   for (auto& [id, other] : state.calls) {
-    const bool there = other.endpoint == record.endpoint &&
-                       IsSent(other.stage) && !other.blamed;
-    if (!there) continue;
-    other.blamed = true;
+    const bool was_running = other.endpoint == record.endpoint &&
+                             IsSent(other.stage) && !other.death_reported;
+    if (!was_running) continue;
+    other.death_reported = true;
     running.push_back(other.request.fingerprint);
   }
   fleet::Actions actions;
@@ -68,55 +70,58 @@
   ApplyFleet(state, actions, now, out);
 }
 
-/// An endpoint that takes no connection is down, and what comes back is cold. A
-/// plain service sends no reports: unless its keeper is told of this, a service
-/// that restarted between two calls gets what it bore when it was warm.
-void MarkDown(NodeState& state, EndpointHandle endpoint, Time now,
-              Actions& out) {
+/// Reports an endpoint that accepts no connection as down; it is cold when it
+/// comes back. A plain service sends no load reports. If its keeper were not
+/// told, a service that restarted between two calls would be sent as much work
+/// as it could handle when it was warm.
+void ReportDown(NodeState& state, EndpointHandle endpoint, Time now,
+                Actions& out) {
   fleet::Actions actions;
   fleet::OnEndpointDied(*state.fleet, endpoint, {}, now, actions);
   ApplyFleet(state, actions, now, out);
 }
 
-policy::RetryDecision AskRetry(NodeState& state, const CallRecord& record,
-                               policy::EndKind end, bool started, Time now) {
-  policy::RetryContext question;
-  question.end = end;
-  question.repeatable = record.repeatable;
-  question.answer_started = started;
-  question.blamed = end == policy::EndKind::kDied;
-  question.attempt = record.tries;
-  question.deadline = record.give_up;
-  return policy::DecideRetry(state.retry_budget, question,
+policy::RetryDecision DecideRetryOf(NodeState& state, const CallRecord& record,
+                                    policy::EndKind end, bool started,
+                                    Time now) {
+  policy::RetryContext context;
+  context.end = end;
+  context.repeatable = record.repeatable;
+  context.answer_started = started;
+  context.blamed = end == policy::EndKind::kDied;
+  context.attempt = record.counted_attempts;
+  context.deadline = record.expires_at;
+  return policy::DecideRetry(state.retry_budget, context,
                              kernel::RandomFraction(state.random), now);
 }
 
-void TryAgain(NodeState& state, CallRecord& record,
-              const policy::RetryDecision& answer, Time now, Actions& out) {
-  Decide(state, record, "retry", NameOf(answer.reason), now, out);
+void ScheduleRetry(NodeState& state, CallRecord& record,
+                   const policy::RetryDecision& decision, Time now,
+                   Actions& out) {
+  EmitDecision(state, record, "retry", NameOf(decision.reason), now, out);
   record.request.avoid = record.endpoint;
-  record.blamed = false;
+  record.death_reported = false;
   ++record.attempt;
-  ++record.tries;
-  QueueLater(state, record, answer.delay, now);
+  ++record.counted_attempts;
+  EnqueueAfter(state, record, decision.delay, now);
 }
 
 void FailCall(NodeState& state, CallRecord& record,
-              const policy::RetryDecision& answer, const std::string& detail,
+              const policy::RetryDecision& decision, const std::string& detail,
               Time now, Actions& out) {
-  Decide(state, record, "no_retry", NameOf(answer.reason), now, out);
-  const bool poison = answer.reason == policy::RetryReason::kPoison;
+  EmitDecision(state, record, "no_retry", NameOf(decision.reason), now, out);
+  const bool poison = decision.reason == policy::RetryReason::kPoison;
   const auto retry_after = record.repeatable && !poison
-                               ? kStandardRetryAfter
+                               ? kDefaultRetryAfter
                                : std::chrono::milliseconds{0};
-  GiveUp(state, record, {AnswerCode::kEndpointFailed, detail, retry_after}, now,
-         out);
+  EndWithError(state, record,
+               {AnswerCode::kEndpointFailed, detail, retry_after}, now, out);
 }
 
-/// Hands the answer to the calls that joined this one.
-void AnswerJoined(NodeState& state, const CallRecord& record,
-                  const std::shared_ptr<const fleet::StoredAnswer>& answer,
-                  Time now, Actions& out) {
+/// Sends the answer to the calls that joined this one.
+void AnswerJoinedCalls(NodeState& state, const CallRecord& record,
+                       const std::shared_ptr<const fleet::StoredAnswer>& answer,
+                       Time now, Actions& out) {
   const CallId runner = record.call.id;
   const auto waiters = fleet::FinishCall(*state.lanes, *record.lane,
                                          record.call.key, *answer, now);
@@ -127,19 +132,19 @@
   }
 }
 
-/// The answer was too large to keep, so the calls that joined this one get none
-/// of it. Each holds its caller's connection: without this they would hang
-/// until their time is up.
-void RefuseJoined(NodeState& state, const CallRecord& record, Time now,
-                  Actions& out) {
+/// Refuses the calls that joined this one when the answer was too large to
+/// keep. Each of them holds its caller's connection; without a refusal they
+/// would hang until they time out.
+void RefuseJoinedCalls(NodeState& state, const CallRecord& record, Time now,
+                       Actions& out) {
   const CallId runner = record.call.id;
-  const GiveUpReason reason{
+  const ErrorReason reason{
       AnswerCode::kOutcomeUnknown, "it ran and its answer was not kept", {}};
   for (const CallId id :
        fleet::LoseCall(*state.lanes, *record.lane, record.call.key, now)) {
     const CallRecord* waiter = FindCall(state, id);
     if (id == runner || waiter == nullptr) continue;
-    Decide(state, *waiter, "refuse", NameOf(reason.code), now, out);
+    EmitDecision(state, *waiter, "refuse", NameOf(reason.code), now, out);
     RefuseCall(waiter->call, Ran::kUnknown, reason, out);
     ForgetCall(state, id);
   }
@@ -150,7 +155,7 @@
 void EndAttempt(NodeState& state, CallRecord& record, policy::EndKind end,
                 Time now) {
   state.scheduler->on_end(*state.scheduler_state, record.call.id, end, now,
-                          state.pending);
+                          state.scheduler_actions);
 }
 
 bool MaySend(NodeState& state, CallId call, std::uint8_t attempt, Time now,
@@ -158,31 +163,32 @@
   CallRecord* record = FindAttempt(state, call, attempt);
   if (record == nullptr || record->stage != Stage::kDispatched) return false;
   const rules::RulesPtr rules = fleet::RulesOf(*state.fleet);
-  // A process that was paused wakes up with its old decisions in hand. Unless
-  // they are checked on the clock as it is now, callers that have long given up
-  // get their payment made, and a zone that is out gets new work.
-  if (now >= record->give_up) {
-    DropLate(state, *record, "the call's time is up", now, out);
+  // After a pause of the process, its routing decisions are stale. Unless they
+  // are checked against the current time, a payment is made whose caller gave
+  // up long ago, or new work is sent to a zone that was taken out.
+  if (now >= record->expires_at) {
+    DropExpired(state, *record, "the call's time is up", now, out);
     return false;
   }
-  const auto max_wait = ClassOf(*rules, *record).max_wait;
+  const auto max_wait = GetClass(*rules, *record).max_wait;
   if (record->waited + (now - record->stage_since) > max_wait) {
-    DropLate(state, *record, "it waited longer than its class may", now, out);
+    DropExpired(state, *record, "it waited longer than its class may", now,
+                out);
     return false;
   }
-  const char* why = HoldReason(state, *record, *rules, now);
+  const char* why = FindHoldReason(state, *record, *rules, now);
   if (why != nullptr) {
-    Hold(state, *record, why, now, out);
+    HoldBack(state, *record, why, now, out);
     return false;
   }
-  const bool lane_holds =
+  const bool is_lane_valid =
       !record->lane ||
       fleet::MaySend(*state.lanes, *record->lane, record->call.key, now);
-  if (!lane_holds) {
-    DropLate(state, *record, "its lane expired", now, out);
+  if (!is_lane_valid) {
+    DropExpired(state, *record, "its lane expired", now, out);
     return false;
   }
-  record->holds = 0;
+  record->consecutive_holds = 0;
   SetStage(state, *record, Stage::kSent, now);
   return true;
 }
@@ -191,7 +197,7 @@
                   Time now) {
   CallRecord* record = FindAttempt(state, call, attempt);
   if (record == nullptr || record->stage != Stage::kSent) return;
-  NoteFirstToken(state, *record, now);
+  RecordFirstToken(state, *record, now);
   SetStage(state, *record, Stage::kStarted, now);
   state.scheduler->on_first_token(*state.scheduler_state, call, now);
 }
@@ -212,9 +218,9 @@
   fleet::ClearSuspect(*state.fleet, record->request.fingerprint);
   EndAttempt(state, *record, policy::EndKind::kDone, now);
   if (record->lane && answer != nullptr) {
-    AnswerJoined(state, *record, answer, now, out);
+    AnswerJoinedCalls(state, *record, answer, now, out);
   } else if (record->lane) {
-    RefuseJoined(state, *record, now, out);
+    RefuseJoinedCalls(state, *record, now, out);
   }
   ForgetCall(state, call);
   ApplyScheduler(state, now, out);
@@ -227,24 +233,24 @@
   if (record == nullptr) return;
   const bool no_connection =
       record->stage == Stage::kDispatched && end == policy::EndKind::kNotRun;
-  // Without the leave of `MaySend` no byte was sent.
+  // No byte is sent before `MaySend` allows it.
   if (!IsSent(record->stage)) end = policy::EndKind::kNotRun;
   const bool started = record->stage == Stage::kStarted;
-  NoteFailure(state, *record);
-  // From here on the scheduler can't preempt it any more.
+  RecordFailure(state, *record);
+  // In this stage the scheduler can't preempt the call.
   SetStage(state, *record, Stage::kDelayed, now);
-  if (end == policy::EndKind::kDied) BlameDeath(state, *record, now, out);
-  if (no_connection) MarkDown(state, record->endpoint, now, out);
+  if (end == policy::EndKind::kDied) ReportDeath(state, *record, now, out);
+  if (no_connection) ReportDown(state, record->endpoint, now, out);
   EndAttempt(state, *record, end, now);
   if (end != policy::EndKind::kNotRun) record->may_have_run = true;
   if (end == policy::EndKind::kNotRun && record->lane) {
     fleet::MarkUnsent(*state.lanes, *record->lane, record->call.key);
   }
-  const auto answer = AskRetry(state, *record, end, started, now);
-  if (answer.should_retry) {
-    TryAgain(state, *record, answer, now, out);
+  const auto decision = DecideRetryOf(state, *record, end, started, now);
+  if (decision.should_retry) {
+    ScheduleRetry(state, *record, decision, now, out);
   } else {
-    FailCall(state, *record, answer, detail, now, out);
+    FailCall(state, *record, decision, detail, now, out);
   }
   ApplyScheduler(state, now, out);
 }
--- a/node/src/calls.cc
+++ b/node/src/calls.cc
@@ -1,5 +1,5 @@
-// Calls from their arrival to the queue, their timers, and callers that go
-// away.
+// Calls from their arrival to the queue, their timers, and callers that
+// disconnect.
 #include <algorithm>
 
 #include "state_p.h"
@@ -9,12 +9,13 @@
 
 void Reject(NodeState& state, CallRecord& record, AnswerCode code,
             std::string detail, Time now, Actions& out) {
-  GiveUp(state, record, {code, std::move(detail), {}}, now, out);
+  EndWithError(state, record, {code, std::move(detail), {}}, now, out);
 }
 
-/// Checks the names against the rules in force. A call that carries a key has
-/// been recorded before this, so that "not run" burns the key: a first copy of
-/// it may have come while the rules still allowed it.
+/// Checks the names in a call against the rules in force, and refuses the call
+/// if one isn't valid. A call with a key must be recorded before this check, so
+/// that the answer "not run" burns the key: an earlier copy of the call may
+/// have arrived while the rules still allowed it.
 bool CheckNames(NodeState& state, CallRecord& record, const rules::Rules& rules,
                 Time now, Actions& out) {
   const Call& call = record.call;
@@ -74,16 +75,17 @@
   record.stage_since = now;
   const auto timeout =
       call.timeout.count() > 0
-          ? std::min<std::chrono::milliseconds>(call.timeout, kCallTimeout)
-          : kCallTimeout;
-  record.give_up = now + timeout;
-  SetWake(state, record, record.give_up);
+          ? std::min<std::chrono::milliseconds>(call.timeout, kMaxCallTimeout)
+          : kMaxCallTimeout;
+  record.expires_at = now + timeout;
+  SetTimer(state, record, record.expires_at);
   return record;
 }
 
-/// True when lane and key decide the call: its class runs at most once, or is
-/// not known here, though it may be to the owner.
-bool IsOnce(const CallRecord& record) {
+/// Returns true if the call's lane and key decide whether it runs: its class
+/// runs at most once, or is unknown to this node, though the owner of the lane
+/// may know it.
+bool IsAtMostOnce(const CallRecord& record) {
   const Call& call = record.call;
   if (call.lane.empty() || call.key.empty()) return false;
   return !record.repeatable || !rules::IsValid(record.request.cls);
@@ -93,21 +95,24 @@
   const Ran ran = call.key.empty() ? Ran::kNo : Ran::kUnknown;
   RefuseCall(
       call, ran,
-      {AnswerCode::kNotReady, "no rules in force yet", kStandardRetryAfter},
+      {AnswerCode::kNotReady, "no rules in force yet", kDefaultRetryAfter},
       out);
 }
 
-GiveUpReason LeavingReason() {
-  return {AnswerCode::kLeaving, "ask /where of another node", kHoldDelay};
+ErrorReason LeavingReason() {
+  return {AnswerCode::kLeaving, "ask /where of another node",
+          kInitialHoldDelay};
 }
 
-/// Time is up. A call that may not be repeated goes on at its endpoint, so that
-/// a retry with its key can learn the outcome.
-void TimeOut(NodeState& state, CallRecord& record, const GiveUpReason& reason,
+/// Ends a call whose timeout expired. A call that must not be repeated
+/// continues at its endpoint without its caller, so that a retry with its key
+/// can learn the outcome.
+void TimeOut(NodeState& state, CallRecord& record, const ErrorReason& reason,
              Time now, Actions& out) {
-  const bool goes_on = IsSent(record.stage) && record.lane && !record.detached;
-  if (goes_on) {
-    Decide(state, record, "detach", "timeout", now, out);
+  const bool is_detaching =
+      IsSent(record.stage) && record.lane && !record.detached;
+  if (is_detaching) {
+    EmitDecision(state, record, "detach", "timeout", now, out);
     for (const CallId waiter :
          fleet::LoseCall(*state.lanes, *record.lane, record.call.key, now)) {
       if (!state.calls.contains(waiter)) continue;
@@ -115,12 +120,12 @@
       if (waiter != record.call.id) ForgetCall(state, waiter);
     }
     record.detached = true;
-    record.give_up = now + kDetachedLife;
-    SetWake(state, record, record.give_up);
+    record.expires_at = now + kDetachedCallTimeout;
+    SetTimer(state, record, record.expires_at);
     return;
   }
   if (record.stage == Stage::kJoined || record.stage == Stage::kForwarded) {
-    Decide(state, record, "refuse", "timeout", now, out);
+    EmitDecision(state, record, "refuse", "timeout", now, out);
     RefuseCall(record.call, Ran::kUnknown, reason, out);
     return ForgetCall(state, record.call.id);
   }
@@ -128,20 +133,21 @@
     state.scheduler->on_caller_gone(*state.scheduler_state, record.call.id,
                                     now);
   }
-  const bool was_at_endpoint = IsAtEndpoint(record.stage);
-  if (was_at_endpoint) {
+  const bool is_at_endpoint = IsAtEndpoint(record.stage);
+  if (is_at_endpoint) {
     out.emplace_back(CancelCall{record.call.id, record.attempt});
     record.may_have_run |= IsSent(record.stage);
-    // A caller's own short timeout is no fault of the endpoint.
+    // A timeout that the caller set shorter than the class's target for the
+    // first token is no failure of the endpoint.
     const auto rules = fleet::RulesOf(*state.fleet);
     const bool late =
-        now - record.stage_since > ClassOf(*rules, record).first_token;
-    if (late) NoteFailure(state, record);
+        now - record.stage_since > GetClass(*rules, record).first_token;
+    if (late) RecordFailure(state, record);
     EndAttempt(state, record,
                late ? policy::EndKind::kFailed : policy::EndKind::kCancelled,
                now);
   }
-  GiveUp(state, record, reason, now, out);
+  EndWithError(state, record, reason, now, out);
   ApplyScheduler(state, now, out);
 }
 
@@ -153,25 +159,25 @@
 }
 
 void SetStage(NodeState& state, CallRecord& record, Stage stage, Time now) {
-  if (!IsSent(record.stage)) record.waited += Millis(now - record.stage_since);
+  if (!IsSent(record.stage)) record.waited += ToMs(now - record.stage_since);
   const std::uint32_t urgent = record.urgent ? 1 : 0;
   if (record.stage == Stage::kWaiting) {
-    TargetNote& target = state.targets[record.request.target.idx];
+    TargetRecord& target = state.targets[record.request.target.idx];
     --target.waiting;
     target.urgent_waiting -= urgent;
   }
   if (stage == Stage::kWaiting) {
-    TargetNote& target = state.targets[record.request.target.idx];
+    TargetRecord& target = state.targets[record.request.target.idx];
     ++target.waiting;
     target.urgent_waiting += urgent;
   }
   if (IsAtEndpoint(record.stage) && !IsAtEndpoint(stage)) {
-    EndpointNote& endpoint = state.endpoints[record.endpoint.idx];
+    EndpointRecord& endpoint = state.endpoints[record.endpoint.idx];
     --endpoint.in_flight;
     endpoint.urgent_in_flight -= urgent;
   }
   if (!IsAtEndpoint(record.stage) && IsAtEndpoint(stage)) {
-    EndpointNote& endpoint = state.endpoints[record.endpoint.idx];
+    EndpointRecord& endpoint = state.endpoints[record.endpoint.idx];
     ++endpoint.in_flight;
     endpoint.urgent_in_flight += urgent;
   }
@@ -179,69 +185,72 @@
   record.stage_since = now;
 }
 
-void SetWake(NodeState& state, CallRecord& record, Time wake) {
-  state.wakes.erase({record.wake, record.call.id});
-  record.wake = wake;
-  state.wakes.insert({wake, record.call.id});
+void SetTimer(NodeState& state, CallRecord& record, Time timer) {
+  state.timers.erase({record.timer, record.call.id});
+  record.timer = timer;
+  state.timers.insert({timer, record.call.id});
 }
 
 void ForgetCall(NodeState& state, CallId call) {
   CallRecord* record = FindCall(state, call);
   if (record == nullptr) return;
   SetStage(state, *record, Stage::kDelayed, record->stage_since);
-  state.wakes.erase({record->wake, call});
+  state.timers.erase({record->timer, call});
   if (record->lane) {
-    const auto runner = state.runners.find(RunnerKey(*record));
-    if (runner != state.runners.end() && runner->second == call) {
-      state.runners.erase(runner);
+    const auto runner = state.runner_by_key.find(RunnerKey(*record));
+    if (runner != state.runner_by_key.end() && runner->second == call) {
+      state.runner_by_key.erase(runner);
     }
   }
   state.calls.erase(call);
 }
 
-void Queue(NodeState& state, CallRecord& record, Time now, Actions& out) {
+void Enqueue(NodeState& state, CallRecord& record, Time now, Actions& out) {
   const rules::RulesPtr rules = fleet::RulesOf(*state.fleet);
   policy::Request& request = record.request;
-  // A call that is held back again and again would else wait for ever, and its
-  // caller with it: on a node that is cut off, for as long as the cut lasts.
-  if (record.waited > ClassOf(*rules, record).max_wait) {
-    return GiveUp(
+  // Without this limit, a call that is held back repeatedly would wait without
+  // end. On a partitioned node it would wait for as long as the partition
+  // lasts.
+  if (record.waited > GetClass(*rules, record).max_wait) {
+    return EndWithError(
         state, record,
         {AnswerCode::kOverloaded, NameOf(policy::RefuseReason::kWaitedTooLong),
-         kStandardRetryAfter},
+         kDefaultRetryAfter},
         now, out);
   }
-  // Time at an endpoint is no waiting: a long call whose endpoint died would
-  // otherwise count as overdue on its return.
+  // Time spent at an endpoint doesn't count as waiting. Otherwise a long call
+  // whose endpoint crashed would be overdue as soon as it is queued again.
   request.arrived = now - record.waited;
-  request.deadline = std::min<Time>(
-      request.arrived + ClassOf(*rules, record).first_token, record.give_up);
-  request.attempt = record.tries;
+  request.deadline =
+      std::min<Time>(request.arrived + GetClass(*rules, record).first_token,
+                     record.expires_at);
+  request.attempt = record.counted_attempts;
   request.suspect = fleet::IsSuspect(*state.fleet, request.fingerprint, now);
-  SetWake(state, record, record.give_up);
+  SetTimer(state, record, record.expires_at);
   SetStage(state, record, Stage::kWaiting, now);
   const policy::Request copy = request;
-  state.scheduler->on_arrival(*state.scheduler_state, copy, now, state.pending);
+  state.scheduler->on_arrival(*state.scheduler_state, copy, now,
+                              state.scheduler_actions);
   ApplyScheduler(state, now, out);
 }
 
-void QueueLater(NodeState& state, CallRecord& record,
-                std::chrono::milliseconds delay, Time now) {
+void EnqueueAfter(NodeState& state, CallRecord& record,
+                  std::chrono::milliseconds delay, Time now) {
   SetStage(state, record, Stage::kDelayed, now);
-  SetWake(state, record, std::min(now + delay, record.give_up));
+  SetTimer(state, record, std::min(now + delay, record.expires_at));
 }
 
-void OnWakes(NodeState& state, Time now, Actions& out) {
-  while (!state.wakes.empty() && state.wakes.begin()->first <= now) {
-    const CallId call = state.wakes.begin()->second;
+void OnTimers(NodeState& state, Time now, Actions& out) {
+  while (!state.timers.empty() && state.timers.begin()->first <= now) {
+    const CallId call = state.timers.begin()->second;
     CallRecord* record = FindCall(state, call);
     if (record == nullptr) {
-      state.wakes.erase(state.wakes.begin());
-    } else if (record->give_up <= now) {
+      state.timers.erase(state.timers.begin());
+    } else if (record->expires_at <= now) {
       TimeOut(state, *record,
               {AnswerCode::kTimeout, "the call's time is up", {}}, now, out);
     } else {
-      Queue(state, *record, now, out);
+      Enqueue(state, *record, now, out);
     }
   }
 }
@@ -252,15 +261,15 @@
   if (state.calls.contains(call.id)) return;
   CallRecord& record = AddRecord(state, call, now);
   FillRequest(record, *rules);
-  if (IsOnce(record) && !BeginOnce(state, record, now, out)) return;
+  if (IsAtMostOnce(record) && !BeginAtMostOnce(state, record, now, out)) return;
   if (!CheckNames(state, record, *rules, now, out)) return;
   if (state.leaving) {
-    return GiveUp(state, record, LeavingReason(), now, out);
+    return EndWithError(state, record, LeavingReason(), now, out);
   }
-  TargetNote& target = state.targets[record.request.target.idx];
+  TargetRecord& target = state.targets[record.request.target.idx];
   target.last_call = now;
   target.called = true;
-  Queue(state, record, now, out);
+  Enqueue(state, record, now, out);
 }
 
 void EndCalls(NodeState& state, Time now, Actions& out) {
@@ -270,11 +279,12 @@
   for (const CallId call : calls) {
     CallRecord* record = FindCall(state, call);
     if (record == nullptr || record->detached) continue;
-    const bool waits =
+    const bool is_waiting =
         record->stage == Stage::kWaiting || record->stage == Stage::kDelayed;
-    const bool ran = record->may_have_run || !waits;
+    const bool may_have_run = record->may_have_run || !is_waiting;
     TimeOut(state, *record,
-            ran ? GiveUpReason{AnswerCode::kTimeout, "the node stops", {}}
+            may_have_run
+                ? ErrorReason{AnswerCode::kTimeout, "the node stops", {}}
                 : LeavingReason(),
             now, out);
   }
@@ -283,13 +293,14 @@
 void OnCallerGone(NodeState& state, CallId call, Time now, Actions& out) {
   CallRecord* record = FindCall(state, call);
   if (record == nullptr || record->detached) return;
-  // The outcome of a call that may not be repeated is wanted even when its
-  // caller's connection broke: the retry asks for it.
-  if (record->lane && (IsSent(record->stage) || record->joined > 0)) {
+  // A call that must not be repeated continues after its caller's connection
+  // broke, because the caller's retry asks for its outcome.
+  if (record->lane && (IsSent(record->stage) || record->waiters > 0)) {
     record->detached = true;
-    record->give_up = std::min(record->give_up, now + kDetachedLife);
-    SetWake(state, *record, std::min(record->wake, record->give_up));
-    return Decide(state, *record, "detach", "caller_gone", now, out);
+    record->expires_at =
+        std::min(record->expires_at, now + kDetachedCallTimeout);
+    SetTimer(state, *record, std::min(record->timer, record->expires_at));
+    return EmitDecision(state, *record, "detach", "caller_gone", now, out);
   }
   if (record->stage == Stage::kWaiting) {
     state.scheduler->on_caller_gone(*state.scheduler_state, call, now);
@@ -297,7 +308,7 @@
     out.emplace_back(CancelCall{call, record->attempt});
     EndAttempt(state, *record, policy::EndKind::kCancelled, now);
   }
-  Decide(state, *record, "cancel", "caller_gone", now, out);
+  EmitDecision(state, *record, "cancel", "caller_gone", now, out);
   if (record->lane && record->stage != Stage::kJoined) {
     fleet::BurnCall(*state.lanes, *record->lane, record->call.key, now);
   }
--- a/node/src/decisions.cc
+++ b/node/src/decisions.cc
@@ -1,4 +1,4 @@
-// Routing and placement decisions, for the log.
+// Emits routing and placement decisions for the log.
 #include "state_p.h"
 
 namespace egretladder::node {
@@ -14,27 +14,28 @@
 
 }  // namespace
 
-void Decide(const NodeState& state, const CallRecord& record, const char* kind,
-            const char* reason, Time now, Actions& out) {
+void EmitDecision(const NodeState& state, const CallRecord& record,
+                  const char* kind, const char* reason, Time now,
+                  Actions& out) {
   Decision decision;
   decision.kind = kind;
   decision.reason = reason;
   decision.call = record.call.id;
   decision.cls = record.call.cls;
   decision.account = record.call.account;
-  decision.waited = Millis(now - record.arrived);
+  decision.waited = ToMs(now - record.arrived);
   const rules::RulesPtr rules = fleet::RulesOf(*state.fleet);
   if (rules != nullptr) {
     if (rules::IsValid(record.request.cls)) {
-      decision.tier = ClassOf(*rules, record).tier;
+      decision.tier = GetClass(*rules, record).tier;
     }
     NameEndpoint(*rules, record.endpoint, decision);
   }
   out.emplace_back(std::move(decision));
 }
 
-void DecidePlace(const NodeState& state, EndpointHandle endpoint,
-                 const char* kind, const char* reason, Actions& out) {
+void EmitPlacementDecision(const NodeState& state, EndpointHandle endpoint,
+                           const char* kind, const char* reason, Actions& out) {
   Decision decision;
   decision.kind = kind;
   decision.reason = reason;
--- a/node/src/evidence.cc
+++ b/node/src/evidence.cc
@@ -1,5 +1,6 @@
-// What this node tells the fleet of its endpoints: answers in time or late, and
-// how many slots it could use.
+// Reports to the fleet on this node's endpoints: the number of answers that
+// were in time, late or failed, and the number of slots that the node could
+// use.
 #include <algorithm>
 
 #include "state_p.h"
@@ -7,51 +8,56 @@
 namespace egretladder::node {
 namespace {
 
-/// Calls that wait at this node count at each endpoint as if they were spread
-/// evenly over those that serve their target. Asking each endpoint for all of
-/// them would make every node look starved, and a keeper could not tell a burst
-/// from a trickle.
-struct Servers {
-  std::vector<std::uint32_t> available;  ///< By target.
+/// Number of available endpoints for each target. The demand of waiting calls
+/// is divided evenly among the endpoints that serve their target. If a node
+/// requested slots for all of them at each endpoint, every node would look
+/// starved, and a keeper could not tell a burst from light load.
+struct AvailableEndpointCounts {
+  std::vector<std::uint32_t> by_target;  ///< By target index.
 };
 
-Servers CountServers(const NodeState& state, const rules::Rules& rules) {
-  Servers servers;
-  servers.available.resize(rules.targets.size());
+AvailableEndpointCounts CountAvailableEndpoints(const NodeState& state,
+                                                const rules::Rules& rules) {
+  AvailableEndpointCounts counts;
+  counts.by_target.resize(rules.targets.size());
   for (std::uint32_t i = 0; i < state.endpoints.size(); ++i) {
     if (!state.endpoints[i].available) continue;
     for (const auto target : rules.endpoints[i].serves) {
-      ++servers.available[target.idx];
+      ++counts.by_target[target.idx];
     }
   }
-  return servers;
+  return counts;
 }
 
-std::uint32_t EvenPart(std::uint32_t calls, std::uint32_t servers) {
-  return (calls + servers - 1) / servers;
+std::uint32_t DivideRoundingUp(std::uint32_t calls, std::uint32_t endpoints) {
+  return (calls + endpoints - 1) / endpoints;
 }
 
-fleet::SlotDemand DemandAt(const NodeState& state, const rules::Rules& rules,
-                           const Servers& servers, std::uint32_t idx,
-                           Time now) {
-  const EndpointNote& note = state.endpoints[idx];
+fleet::SlotDemand ComputeSlotDemand(const NodeState& state,
+                                    const rules::Rules& rules,
+                                    const AvailableEndpointCounts& counts,
+                                    std::uint32_t idx, Time now) {
+  const EndpointRecord& endpoint = state.endpoints[idx];
   fleet::SlotDemand demand;
-  demand.in_flight = note.in_flight;
-  if (!note.available) return demand;
-  demand.wanted = note.in_flight;
-  demand.urgent = note.urgent_in_flight;
+  demand.in_flight = endpoint.in_flight;
+  if (!endpoint.available) return demand;
+  demand.wanted = endpoint.in_flight;
+  demand.urgent = endpoint.urgent_in_flight;
   bool in_use = false;
   for (const auto target : rules.endpoints[idx].serves) {
-    const TargetNote& target_note = state.targets[target.idx];
-    const std::uint32_t among = std::max(servers.available[target.idx], 1U);
-    demand.wanted += EvenPart(target_note.waiting, among);
-    demand.urgent += EvenPart(target_note.urgent_waiting, among);
-    in_use |= target_note.called && now - target_note.last_call < kTargetInUse;
+    const TargetRecord& target_record = state.targets[target.idx];
+    const std::uint32_t endpoint_count =
+        std::max(counts.by_target[target.idx], 1U);
+    demand.wanted += DivideRoundingUp(target_record.waiting, endpoint_count);
+    demand.urgent +=
+        DivideRoundingUp(target_record.urgent_waiting, endpoint_count);
+    in_use |= target_record.called &&
+              now - target_record.last_call < kTargetInUseTimeout;
   }
   if (in_use) ++demand.wanted;
-  const std::uint32_t most = rules.endpoints[idx].max_in_flight;
-  demand.wanted = std::min(demand.wanted, most);
-  demand.urgent = std::min(demand.urgent, most);
+  const std::uint32_t capacity = rules.endpoints[idx].max_in_flight;
+  demand.wanted = std::min(demand.wanted, capacity);
+  demand.urgent = std::min(demand.urgent, capacity);
   return demand;
 }
 
@@ -61,32 +67,33 @@
 
 }  // namespace
 
-void NoteFirstToken(NodeState& state, const CallRecord& record, Time now) {
+void RecordFirstToken(NodeState& state, const CallRecord& record, Time now) {
   const rules::RulesPtr rules = fleet::RulesOf(*state.fleet);
   auto& evidence = state.endpoints[record.endpoint.idx].evidence;
   const bool in_time =
-      now - record.stage_since <= ClassOf(*rules, record).first_token;
+      now - record.stage_since <= GetClass(*rules, record).first_token;
   ++(in_time ? evidence.in_time : evidence.late);
 }
 
-void NoteFailure(NodeState& state, const CallRecord& record) {
+void RecordFailure(NodeState& state, const CallRecord& record) {
   ++state.endpoints[record.endpoint.idx].evidence.failed;
 }
 
-void TellEvidence(NodeState& state, Time now) {
+void ReportEvidence(NodeState& state, Time now) {
   const rules::RulesPtr rules = fleet::RulesOf(*state.fleet);
   if (rules == nullptr) return;
-  const Servers servers = CountServers(state, *rules);
+  const AvailableEndpointCounts counts = CountAvailableEndpoints(state, *rules);
   for (std::uint32_t i = 0; i < state.endpoints.size(); ++i) {
-    EndpointNote& note = state.endpoints[i];
-    const fleet::SlotDemand demand = DemandAt(state, *rules, servers, i, now);
-    const bool idle = IsEmpty(note.evidence) && note.in_flight == 0 &&
-                      demand.wanted == 0 && note.wanted == 0;
+    EndpointRecord& endpoint = state.endpoints[i];
+    const fleet::SlotDemand demand =
+        ComputeSlotDemand(state, *rules, counts, i, now);
+    const bool idle = IsEmpty(endpoint.evidence) && endpoint.in_flight == 0 &&
+                      demand.wanted == 0 && endpoint.reported_demand == 0;
     if (idle) continue;
-    fleet::OnEvidence(*state.fleet, EndpointHandle{i}, note.evidence, demand,
-                      now);
-    note.wanted = demand.wanted;
-    note.evidence = {.boot = note.evidence.boot};
+    fleet::OnEvidence(*state.fleet, EndpointHandle{i}, endpoint.evidence,
+                      demand, now);
+    endpoint.reported_demand = demand.wanted;
+    endpoint.evidence = {.boot = endpoint.evidence.boot};
   }
 }
 
--- a/node/src/lanes.cc
+++ b/node/src/lanes.cc
@@ -1,4 +1,4 @@
-// Calls that may not be repeated: at most once by lane and key.
+// Runs calls that must not be repeated at most once per lane and key.
 #include "state_p.h"
 
 namespace egretladder::node {
@@ -7,17 +7,18 @@
 constexpr const char* kKeyAdvice =
     "retry with the same lane and key to learn the outcome";
 
-/// Answers a call whose key has no record of this call's own. Whatever an
-/// earlier copy of it did is not known here, hence never "not run".
-void AnswerUnknown(NodeState& state, const CallRecord& record,
-                   const GiveUpReason& reason, Time now, Actions& out) {
-  Decide(state, record, "refuse", NameOf(reason.code), now, out);
+/// Refuses a call whose lane this node can't use, or whose key has lost its
+/// outcome. The answer never says "not run", since an earlier copy of the call
+/// may have run.
+void RefuseAsUnknown(NodeState& state, const CallRecord& record,
+                     const ErrorReason& reason, Time now, Actions& out) {
+  EmitDecision(state, record, "refuse", NameOf(reason.code), now, out);
   RefuseCall(record.call, Ran::kUnknown, reason, out);
   ForgetCall(state, record.call.id);
 }
 
-std::string AddressOfOwner(const NodeState& state, const std::string& node,
-                           Time now) {
+std::string FindOwnerAddress(const NodeState& state, const std::string& node,
+                             Time now) {
   for (const fleet::Member& member : fleet::ViewOf(*state.fleet, now).members) {
     if (member.node == node) return member.caller_address;
   }
@@ -27,33 +28,34 @@
   return rules->nodes[handle.idx].caller_address;
 }
 
-/// Another node's lane: only that node may run the call. A call is passed on
-/// once at most, so that two nodes with different views make no loop.
+/// Forwards a call whose lane belongs to another node, because only that node
+/// may run it. A call is forwarded at most once, so that two nodes with
+/// different views of the fleet don't forward it in a loop.
 void Forward(NodeState& state, CallRecord& record, const fleet::Lane& lane,
              Time now, Actions& out) {
-  const bool earlier_process = lane.node == state.options.fleet.node;
-  if (record.call.forwarded || earlier_process) {
-    return AnswerUnknown(state, record,
-                         {AnswerCode::kLaneInvalid,
-                          "the lane is not of this process of the node",
-                          {}},
-                         now, out);
+  const bool is_earlier_incarnation = lane.node == state.options.fleet.node;
+  if (record.call.forwarded || is_earlier_incarnation) {
+    return RefuseAsUnknown(state, record,
+                           {AnswerCode::kLaneInvalid,
+                            "the lane is not of this process of the node",
+                            {}},
+                           now, out);
   }
-  std::string address = AddressOfOwner(state, lane.node, now);
+  std::string address = FindOwnerAddress(state, lane.node, now);
   if (address.empty()) {
-    return AnswerUnknown(
+    return RefuseAsUnknown(
         state, record,
         {AnswerCode::kOwnerUnreachable,
          "node '" + lane.node + "', which owns the lane, is not known",
-         kStandardRetryAfter},
+         kDefaultRetryAfter},
         now, out);
   }
   SetStage(state, record, Stage::kForwarded, now);
-  Decide(state, record, "forward", "lane_of_other_node", now, out);
+  EmitDecision(state, record, "forward", "lane_of_other_node", now, out);
   out.emplace_back(ForwardCall{record.call.id, std::move(address)});
 }
 
-AnswerCode CodeOf(fleet::LaneRefusal why) {
+AnswerCode AnswerCodeFor(fleet::LaneRefusal why) {
   switch (why) {
     case fleet::LaneRefusal::kExpired:
       return AnswerCode::kLaneExpired;
@@ -69,23 +71,24 @@
 }
 
 void Join(NodeState& state, CallRecord& record, Time now, Actions& out) {
-  const auto runner = state.runners.find(RunnerKey(record));
-  if (runner != state.runners.end()) {
-    if (CallRecord* run = FindCall(state, runner->second)) ++run->joined;
+  const auto found = state.runner_by_key.find(RunnerKey(record));
+  if (found != state.runner_by_key.end()) {
+    if (CallRecord* runner = FindCall(state, found->second)) ++runner->waiters;
   }
   SetStage(state, record, Stage::kJoined, now);
-  Decide(state, record, "join", "key_in_progress", now, out);
+  EmitDecision(state, record, "join", "key_in_progress", now, out);
 }
 
-/// Takes the owner's decision on a key. Returns true when the call is to run.
-struct DecisionTaker {
+/// Applies the decision of the lane's owner on a key. Returns true if the call
+/// is to run.
+struct LaneDecisionApplier {
   NodeState& state;
   CallRecord& record;
   Time now;
   Actions& out;
 
   bool operator()(const fleet::RunCall&) const {
-    state.runners[RunnerKey(record)] = record.call.id;
+    state.runner_by_key[RunnerKey(record)] = record.call.id;
     return true;
   }
   bool operator()(const fleet::JoinCall&) const {
@@ -93,22 +96,22 @@
     return false;
   }
   bool operator()(const fleet::RepeatAnswer& repeat) const {
-    Decide(state, record, "repeat_answer", "key_answered", now, out);
+    EmitDecision(state, record, "repeat_answer", "key_answered", now, out);
     out.emplace_back(AnswerStored{record.call.id, repeat.answer});
     ForgetCall(state, record.call.id);
     return false;
   }
   bool operator()(const fleet::OutcomeUnknown&) const {
-    AnswerUnknown(state, record,
-                  {AnswerCode::kOutcomeUnknown,
-                   "it was sent and its answer was lost",
-                   {}},
-                  now, out);
+    RefuseAsUnknown(state, record,
+                    {AnswerCode::kOutcomeUnknown,
+                     "it was sent and its answer was lost",
+                     {}},
+                    now, out);
     return false;
   }
   bool operator()(const fleet::RefuseCall& refusal) const {
-    const AnswerCode code = CodeOf(refusal.why);
-    Decide(state, record, "refuse", NameOf(refusal.why), now, out);
+    const AnswerCode code = AnswerCodeFor(refusal.why);
+    EmitDecision(state, record, "refuse", NameOf(refusal.why), now, out);
     RefuseCall(record.call, refusal.not_run ? Ran::kNo : Ran::kUnknown,
                {code, NameOf(refusal.why), {}}, out);
     ForgetCall(state, record.call.id);
@@ -122,12 +125,13 @@
   return std::to_string(record.lane->number) + '/' + record.call.key;
 }
 
-bool BeginOnce(NodeState& state, CallRecord& record, Time now, Actions& out) {
+bool BeginAtMostOnce(NodeState& state, CallRecord& record, Time now,
+                     Actions& out) {
   const auto lane = fleet::DecodeLane(record.call.lane);
   if (!lane.has_value()) {
-    AnswerUnknown(state, record,
-                  {AnswerCode::kLaneInvalid, "not a lane of /where", {}}, now,
-                  out);
+    RefuseAsUnknown(state, record,
+                    {AnswerCode::kLaneInvalid, "not a lane of /where", {}}, now,
+                    out);
     return false;
   }
   if (!fleet::OwnsLane(*state.lanes, lane.value())) {
@@ -138,7 +142,7 @@
   const fleet::LaneDecision decision =
       fleet::BeginCall(*state.lanes, *record.lane, record.call.key,
                        record.call.body_hash, record.call.id, now);
-  return std::visit(DecisionTaker{state, record, now, out}, decision);
+  return std::visit(LaneDecisionApplier{state, record, now, out}, decision);
 }
 
 void OnForwarded(NodeState& state, CallId call, bool answered, bool /*sent*/,
@@ -146,11 +150,11 @@
   CallRecord* record = FindCall(state, call);
   if (record == nullptr || record->stage != Stage::kForwarded) return;
   if (answered) return ForgetCall(state, call);
-  // Even when nothing was sent this time, an earlier copy of the call may have
-  // reached the owner by another way and run.
-  AnswerUnknown(
+  // Even if nothing was sent this time, an earlier copy of the call may have
+  // reached the owner by another path and run there.
+  RefuseAsUnknown(
       state, *record,
-      {AnswerCode::kOwnerUnreachable, kKeyAdvice, kStandardRetryAfter}, now,
+      {AnswerCode::kOwnerUnreachable, kKeyAdvice, kDefaultRetryAfter}, now,
       out);
 }
 
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -1,11 +1,11 @@
-// A node as a whole: its start, its ticks, and what reaches it from peers,
+// A node's start, its periodic work, its leave, and its input from peers, the
 // platform and endpoints.
 #include "egretladder/kernel/registry.h"
 #include "state_p.h"
 
 namespace egretladder::node {
 
-void NodeDelete::operator()(NodeState* state) const { delete state; }
+void NodeDeleter::operator()(NodeState* state) const { delete state; }
 
 kernel::Result<NodePtr> StartNode(const NodeOptions& options, Time now,
                                   Actions& out) {
@@ -30,9 +30,10 @@
 void OnTick(NodeState& state, Time now, Actions& out) {
   if (now >= state.next_fleet_tick) {
     state.next_fleet_tick = now + fleet::kFleetTick;
-    // In the same step: asks that go out in the fleet's tick must count every
-    // call that has begun, or its slot is leased a second time.
-    TellEvidence(state, now);
+    // The evidence must be current when the fleet's tick requests slots. If a
+    // request left out a call in flight, the call's slot would be leased a
+    // second time.
+    ReportEvidence(state, now);
     fleet::Actions actions;
     fleet::OnTick(*state.fleet, now, actions);
     ApplyFleet(state, actions, now, out);
@@ -42,8 +43,9 @@
     fleet::SweepLanes(*state.lanes, now);
   }
   if (state.scheduler_state == nullptr) return;
-  OnWakes(state, now, out);
-  state.scheduler->on_tick(*state.scheduler_state, now, state.pending);
+  OnTimers(state, now, out);
+  state.scheduler->on_tick(*state.scheduler_state, now,
+                           state.scheduler_actions);
   ApplyScheduler(state, now, out);
 }
 
--- a/node/src/where.cc
+++ b/node/src/where.cc
@@ -1,4 +1,4 @@
-// The answer to `GET /where`.
+// Builds the answer to `GET /where`.
 #include <chrono>
 
 #include "state_p.h"
@@ -6,48 +6,52 @@
 namespace egretladder::node {
 namespace {
 
-/// Published nodes as this one sees them.
-struct Sides {
-  std::size_t published = 0;
-  std::size_t heard = 0;             ///< This one among them.
-  std::vector<std::string> unheard;  ///< Callers' addresses.
+/// The nodes declared in the rules that aren't leaving, as this node sees them.
+struct PublishedNodes {
+  std::size_t total = 0;
+  std::size_t reachable = 0;                       ///< Includes this node.
+  std::vector<std::string> unreachable_addresses;  ///< For callers.
 };
 
-Sides FindSides(const NodeState& state, const rules::Rules& rules, Time now) {
-  Sides sides;
-  std::set<std::string> heard{state.options.fleet.node};
+PublishedNodes ClassifyPublishedNodes(const NodeState& state,
+                                      const rules::Rules& rules, Time now) {
+  PublishedNodes nodes;
+  std::set<std::string> known{state.options.fleet.node};
   for (const fleet::Member& member : fleet::ViewOf(*state.fleet, now).members) {
-    if (member.state != fleet::MemberState::kGone) heard.insert(member.node);
+    if (member.state != fleet::MemberState::kGone) known.insert(member.node);
   }
   for (const rules::Node& node : rules.nodes) {
     if (!node.source.present || node.leaving) continue;
-    ++sides.published;
-    if (heard.contains(node.source.name)) {
-      ++sides.heard;
+    ++nodes.total;
+    if (known.contains(node.source.name)) {
+      ++nodes.reachable;
     } else {
-      sides.unheard.push_back(node.caller_address);
+      nodes.unreachable_addresses.push_back(node.caller_address);
     }
   }
-  return sides;
+  return nodes;
 }
 
-/// A node that hears less than half of the fleet holds no leases, so it can
-/// serve little, while the other side of a cut serves as ever. Without this,
-/// callers who asked on the small side stay there and are turned away until the
-/// cut heals; measured with scenarios/fails-partition.lua
-/// (docs/design/where.md). Callers who can't reach the other side either lose
-/// one attempt to connect.
-void PreferOtherSide(const NodeState& state, const rules::Rules& rules,
-                     Time now, std::vector<std::string>& addresses) {
-  const Sides sides = FindSides(state, rules, now);
-  const bool minority = sides.heard * 2 < sides.published;
-  if (!minority || sides.unheard.empty()) return;
-  // Another one each time, so that they share what comes over.
-  const auto turn = static_cast<std::size_t>(
-      Millis(now.time_since_epoch()).count() / kWhereTurn.count());
-  addresses.insert(addresses.begin(),
-                   sides.unheard[turn % sides.unheard.size()]);
-  if (addresses.size() > kWhereAddresses) addresses.resize(kWhereAddresses);
+/// Puts a node of the majority side first if this node is on the minority side
+/// of a network partition. A node that hears from less than half of the fleet
+/// holds no leases, so it can serve little, while the majority side serves as
+/// before. Without this, callers that asked a node of the minority stay there
+/// and are refused until the partition heals (scenarios/fails-partition.lua,
+/// docs/design/where.md). A caller that can't reach the other side either loses
+/// one connection attempt.
+void PreferMajorityNode(const NodeState& state, const rules::Rules& rules,
+                        Time now, std::vector<std::string>& addresses) {
+  const PublishedNodes nodes = ClassifyPublishedNodes(state, rules, now);
+  const bool is_minority = nodes.reachable * 2 < nodes.total;
+  if (!is_minority || nodes.unreachable_addresses.empty()) return;
+  // The address rotates, so that the nodes of the majority share the callers.
+  const auto rotation = static_cast<std::size_t>(
+      ToMs(now.time_since_epoch()).count() / kWhereRotationInterval.count());
+  addresses.insert(
+      addresses.begin(),
+      nodes.unreachable_addresses[rotation %
+                                  nodes.unreachable_addresses.size()]);
+  if (addresses.size() > kMaxWhereNodes) addresses.resize(kMaxWhereNodes);
 }
 
 }  // namespace
@@ -56,12 +60,12 @@
   WhereAnswer answer;
   answer.keep_for = kWhereKeep;
   for (const fleet::Member& member :
-       fleet::Where(*state.fleet, zone, kWhereAddresses, now)) {
+       fleet::Where(*state.fleet, zone, kMaxWhereNodes, now)) {
     answer.addresses.push_back(member.caller_address);
   }
   const rules::RulesPtr rules = fleet::RulesOf(*state.fleet);
   if (rules == nullptr || state.leaving) return answer;
-  PreferOtherSide(state, *rules, now, answer.addresses);
+  PreferMajorityNode(state, *rules, now, answer.addresses);
   answer.lane = fleet::Encode(fleet::IssueLane(*state.lanes, now));
   answer.lane_address = state.options.fleet.caller_address;
   return answer;
--- a/node/tests/harness.h
+++ b/node/tests/harness.h
@@ -1,5 +1,6 @@
-// Nodes wired together on one paused clock, with endpoints and platform played
-// by the test.
+// Connects two nodes on one manual clock. The harness plays the platform and
+// the endpoints' reports; the tests play the callers and the endpoints'
+// answers.
 #pragma once
 
 #include <chrono>
@@ -16,8 +17,11 @@
 
 using std::chrono::milliseconds;
 
-/// Two nodes, two endpoints and one class of each kind.
-inline std::string RulesText(int version = 1, const std::string& bole = "") {
+/// Returns rules with two nodes, two endpoints, two repeatable classes and one
+/// class that runs at most once. `bole` holds settings of the zone of that
+/// name.
+inline std::string MakeRulesText(int version = 1,
+                                 const std::string& bole = "") {
   return "[document]\nversion = " + std::to_string(version) +
          " ; H\n[zone]\nbole = " + bole + " ; H\nyeka = ; H\n" +
          "[model]\ntrace = ; H\n[service]\nseats = ; H\n"
@@ -37,6 +41,7 @@
          "n2 = callers=10.0.1.2:1 peers=10.0.1.2:2 zone=yeka ; H\n";
 }
 
+/// A node with the actions that it has emitted.
 struct TestNode {
   std::string name;
   std::uint64_t incarnation = 0;
@@ -52,32 +57,34 @@
 
 class Harness {
  public:
-  Harness() : text_(RulesText()) {
-    for (const char* name : {"n1", "n2"}) StartOne(name);
-    Step(milliseconds(12000));  // Leases of slots are out by then.
+  Harness() : text_(MakeRulesText()) {
+    for (const char* name : {"n1", "n2"}) AddNode(name);
+    RunFor(milliseconds(12000));  // Slots are leased by then.
   }
 
-  TestNode& n1() { return nodes_[0]; }
-  TestNode& n2() { return nodes_[1]; }
+  TestNode& node1() { return nodes_[0]; }
+  TestNode& node2() { return nodes_[1]; }
   kernel::Time now() const { return clock_.now; }
 
+  /// Sets the rules document that the platform returns from now on.
   void Publish(const std::string& text) { text_ = text; }
 
-  /// Moves the clock without a tick, as a paused process sees it.
-  void Pause(milliseconds span) { kernel::Advance(clock_, span); }
+  /// Advances the clock without a tick, like a pause of the whole process.
+  void PauseFor(milliseconds span) { kernel::Advance(clock_, span); }
 
-  void Step(milliseconds span) {
-    for (milliseconds done{0}; done < span; done += kNodeTick) {
+  /// Advances the clock by `span`, with a tick of each running node.
+  void RunFor(milliseconds span) {
+    for (milliseconds elapsed{0}; elapsed < span; elapsed += kNodeTick) {
       kernel::Advance(clock_, kNodeTick);
       for (TestNode& node : nodes_) {
         Actions out;
         if (node.running) OnTick(*node.state, now(), out);
-        Take(node, out);
+        Apply(node, out);
       }
     }
   }
 
-  /// A call of account `abay`; its body is its number.
+  /// Makes a call of account `abay` with `id` as the hash of its body.
   Call MakeCall(const std::string& cls, CallId id) const {
     Call call;
     call.id = id;
@@ -91,13 +98,15 @@
   void Send(TestNode& node, const Call& call) {
     Actions out;
     OnCall(*node.state, call, now(), out);
-    Take(node, out);
+    Apply(node, out);
   }
-  bool AskSend(TestNode& node, const SendCall& send) {
+  /// Returns what the node answers to `MaySend`.
+  bool TrySend(TestNode& node, const SendCall& send) {
     Actions out;
-    const bool may = MaySend(*node.state, send.call, send.attempt, now(), out);
-    Take(node, out);
-    return may;
+    const bool may_send =
+        MaySend(*node.state, send.call, send.attempt, now(), out);
+    Apply(node, out);
+    return may_send;
   }
   void Answer(TestNode& node, const SendCall& send,
               const std::string& body = "") {
@@ -106,119 +115,132 @@
     answer->status = 200;
     answer->body = body;
     OnAnswer(*node.state, send.call, send.attempt, answer, now(), out);
-    Take(node, out);
+    Apply(node, out);
   }
-  /// An answer that was too large to be kept.
-  void AnswerUnkept(TestNode& node, const SendCall& send) {
+  /// Ends an attempt with an answer that was too large to be kept.
+  void AnswerWithoutStoring(TestNode& node, const SendCall& send) {
     Actions out;
     OnAnswer(*node.state, send.call, send.attempt, nullptr, now(), out);
-    Take(node, out);
+    Apply(node, out);
   }
+  /// Ends an attempt without an answer.
   void Fail(TestNode& node, const SendCall& send, policy::EndKind end) {
     Actions out;
     OnFailure(*node.state, send.call, send.attempt, end, "connect: e", now(),
               out);
-    Take(node, out);
+    Apply(node, out);
   }
-  void Gone(TestNode& node, CallId call) {
+  void DisconnectCaller(TestNode& node, CallId call) {
     Actions out;
     OnCallerGone(*node.state, call, now(), out);
-    Take(node, out);
+    Apply(node, out);
   }
-  void LeaveNode(TestNode& node) {
+  void BeginLeave(TestNode& node) {
     Actions out;
     Leave(*node.state, now(), out);
-    Take(node, out);
+    Apply(node, out);
   }
-  void Forwarded(TestNode& node, CallId call, bool answered, bool sent) {
+  void EndForward(TestNode& node, CallId call, bool answered, bool sent) {
     Actions out;
     OnForwarded(*node.state, call, answered, sent, now(), out);
-    Take(node, out);
+    Apply(node, out);
   }
-  std::string LaneOf(TestNode& node) {
+  std::string IssueLane(TestNode& node) {
     return Where(*node.state, "bole", now()).lane;
   }
-  /// Starts the node anew, without memory.
+  /// Restarts the node's process without its memory.
   void Restart(TestNode& node) {
     ++node.incarnation;
-    StartState(node);
-    Step(milliseconds(12000));
+    StartNodeState(node);
+    RunFor(milliseconds(12000));
   }
 
  private:
-  void StartOne(const char* name) {
+  void AddNode(const char* name) {
     TestNode& node = nodes_.emplace_back();
     node.name = name;
     node.incarnation = 100 * nodes_.size();
-    StartState(node);
+    StartNodeState(node);
   }
 
-  void StartState(TestNode& node) {
-    const bool first = node.name == "n1";
+  void StartNodeState(TestNode& node) {
+    const bool is_first = node.name == "n1";
     NodeOptions options;
     options.fleet.node = node.name;
-    options.fleet.caller_address = first ? "10.0.1.1:1" : "10.0.1.2:1";
-    options.fleet.peer_address = first ? "10.0.1.1:2" : "10.0.1.2:2";
-    options.fleet.zone = first ? "bole" : "yeka";
+    options.fleet.caller_address = is_first ? "10.0.1.1:1" : "10.0.1.2:1";
+    options.fleet.peer_address = is_first ? "10.0.1.1:2" : "10.0.1.2:2";
+    options.fleet.zone = is_first ? "bole" : "yeka";
     options.fleet.incarnation = node.incarnation;
     options.fleet.started = node.incarnation;
     options.lane_secret = "secret of " + node.name;
     options.scheduler = "least";
     Actions out;
     node.state = StartNode(options, now(), out).value();
-    Take(node, out);
+    Apply(node, out);
   }
 
-  void Take(TestNode& node, Actions& out) {
+  void Apply(TestNode& node, Actions& out) {
     for (Action& action : out) {
-      std::visit([&](auto& a) { TakeOne(node, a); }, action);
+      std::visit([&](auto& each) { ApplyAction(node, each); }, action);
     }
   }
 
-  void TakeOne(TestNode& node, SendCall& a) { node.sent.push_back(a); }
-  void TakeOne(TestNode& node, CancelCall& a) { node.cancels.push_back(a); }
-  void TakeOne(TestNode& node, AnswerError& a) { node.errors.push_back(a); }
-  void TakeOne(TestNode& node, AnswerStored& a) { node.stored.push_back(a); }
-  void TakeOne(TestNode& node, ForwardCall& a) { node.forwards.push_back(a); }
-  void TakeOne(TestNode& node, Decision& a) { node.decisions.push_back(a); }
-  void TakeOne(TestNode& from, fleet::SendMessage& a) {
+  void ApplyAction(TestNode& node, SendCall& action) {
+    node.sent.push_back(action);
+  }
+  void ApplyAction(TestNode& node, CancelCall& action) {
+    node.cancels.push_back(action);
+  }
+  void ApplyAction(TestNode& node, AnswerError& action) {
+    node.errors.push_back(action);
+  }
+  void ApplyAction(TestNode& node, AnswerStored& action) {
+    node.stored.push_back(action);
+  }
+  void ApplyAction(TestNode& node, ForwardCall& action) {
+    node.forwards.push_back(action);
+  }
+  void ApplyAction(TestNode& node, Decision& action) {
+    node.decisions.push_back(action);
+  }
+  void ApplyAction(TestNode& from, fleet::SendMessage& action) {
     for (TestNode& to : nodes_) {
-      const bool is_to =
-          a.peer_address == (to.name == "n1" ? "10.0.1.1:2" : "10.0.1.2:2");
-      if (!is_to || !to.running || !to.state) continue;
+      const bool is_receiver = action.peer_address ==
+                               (to.name == "n1" ? "10.0.1.1:2" : "10.0.1.2:2");
+      if (!is_receiver || !to.running || !to.state) continue;
       Actions out;
-      node::OnMessage(*to.state, {from.name, from.incarnation}, a.message,
+      node::OnMessage(*to.state, {from.name, from.incarnation}, action.message,
                       now(), out);
-      Take(to, out);
+      Apply(to, out);
     }
   }
-  void TakeOne(TestNode& node, fleet::ReadRulesDocument& a) {
+  void ApplyAction(TestNode& node, fleet::ReadRulesDocument& action) {
     const auto in_force = RulesOf(*node.state);
-    const bool same = in_force != nullptr && in_force->text == text_;
-    // A watch that ends without news gives an empty document, not none.
-    const std::string nothing;
+    const bool is_unchanged = in_force != nullptr && in_force->text == text_;
+    // A watch that ends without a change returns an empty document, not null.
+    const std::string empty;
     Actions out;
-    OnRulesDocument(*node.state, a.watch && same ? &nothing : &text_, now(),
-                    out);
-    Take(node, out);
+    OnRulesDocument(*node.state, action.watch && is_unchanged ? &empty : &text_,
+                    now(), out);
+    Apply(node, out);
   }
-  void TakeOne(TestNode& node, fleet::ReadVmList&) {
+  void ApplyAction(TestNode& node, fleet::ReadVmList&) {
     const std::vector<fleet::VmEntry> vms = {
         {"n1", false}, {"n2", false}, {"e1", false}, {"e2", false}};
     Actions out;
     OnVmList(*node.state, &vms, now(), out);
-    Take(node, out);
+    Apply(node, out);
   }
-  void TakeOne(TestNode& node, fleet::ReadReport& a) {
+  void ApplyAction(TestNode& node, fleet::ReadReport& action) {
     policy::EngineReport report;
     report.boot = 1;
     Actions out;
-    OnReport(*node.state, a.endpoint, &report, now(), out);
-    Take(node, out);
+    OnReport(*node.state, action.endpoint, &report, now(), out);
+    Apply(node, out);
   }
-  void TakeOne(TestNode&, fleet::OrderEngine&) {}
-  void TakeOne(TestNode&, fleet::RulesInForce&) {}
-  void TakeOne(TestNode&, fleet::RulesRefused&) {}
+  void ApplyAction(TestNode&, fleet::OrderEngine&) {}
+  void ApplyAction(TestNode&, fleet::RulesInForce&) {}
+  void ApplyAction(TestNode&, fleet::RulesRefused&) {}
 
   kernel::ManualClock clock_;
   std::string text_;
