--- a/node/include/egretladder/node/limits.h
+++ b/node/include/egretladder/node/limits.h
@@ -31,7 +31,7 @@
 /// How long a caller may cache the answer to `/where`. A leaving node must stay
 /// reachable for this long, and a caller may take this long to learn of a new
 /// node.
-inline constexpr std::chrono::milliseconds kWhereKeep{5000};
+inline constexpr std::chrono::milliseconds kWhereAnswerTtl{5000};
 
 /// Maximum number of node addresses in an answer to `/where`: one to use and
 /// two to fail over to.
--- a/node/include/egretladder/node/node.h
+++ b/node/include/egretladder/node/node.h
@@ -49,9 +49,9 @@
 };
 
 /// Whether a call that gets no answer from an endpoint has run there.
-enum class Ran : std::uint8_t {
-  kNo,       ///< It has certainly not run.
-  kUnknown,  ///< It may have run.
+enum class RunStatus : std::uint8_t {
+  kDidNotRun,  ///< It has certainly not run.
+  kUnknown,    ///< It may have run.
 };
 
 /// Stable codes of error answers.
@@ -78,9 +78,9 @@
 /// Returns the code as error answers and logs show it.
 const char* NameOf(AnswerCode code);
 /// Returns the word that error answers show.
-const char* NameOf(Ran ran);
+const char* NameOf(RunStatus ran);
 /// Returns the HTTP status of an error answer with this code.
-int StatusOf(AnswerCode code);
+int HttpStatusFor(AnswerCode code);
 
 /// Sends the call to an endpoint now. The driver calls `MaySend` right before
 /// it writes the first byte.
@@ -102,7 +102,7 @@
 struct AnswerError {
   CallId call = 0;
   AnswerCode code = AnswerCode::kOverloaded;
-  Ran ran = Ran::kUnknown;
+  RunStatus ran = RunStatus::kUnknown;
   std::string detail;
   std::chrono::milliseconds retry_after{};  ///< 0 to send no retry delay.
 };
@@ -247,6 +247,6 @@
 rules::RulesPtr RulesOf(const NodeState& state);
 
 /// Maximum interval between two calls of `OnTick`.
-inline constexpr std::chrono::milliseconds kNodeTick{10};
+inline constexpr std::chrono::milliseconds kNodeTickInterval{10};
 
 }  // namespace egretladder::node
--- a/node/src/answers.cc
+++ b/node/src/answers.cc
@@ -4,7 +4,8 @@
 namespace egretladder::node {
 namespace {
 
-void EmitError(CallId call, Ran ran, const ErrorReason& reason, Actions& out) {
+void EmitError(CallId call, RunStatus ran, const ErrorReason& reason,
+               Actions& out) {
   out.emplace_back(
       AnswerError{call, reason.code, ran, reason.detail, reason.retry_after});
 }
@@ -14,14 +15,14 @@
 /// otherwise. Only a burned key allows the answer "not run", since it keeps any
 /// later copy of the call from running too.
 std::vector<CallId> ResolveKey(NodeState& state, const CallRecord& record,
-                               Ran ran, Time now) {
-  if (ran == Ran::kNo) {
+                               RunStatus ran, Time now) {
+  if (ran == RunStatus::kDidNotRun) {
     return fleet::BurnCall(*state.lanes, *record.lane, record.call.key, now);
   }
   return fleet::LoseCall(*state.lanes, *record.lane, record.call.key, now);
 }
 
-void AnswerWaiters(NodeState& state, CallRecord& record, Ran ran,
+void AnswerWaiters(NodeState& state, CallRecord& record, RunStatus ran,
                    const ErrorReason& reason, Time now, Actions& out) {
   const CallId runner = record.call.id;
   const bool detached = record.detached;
@@ -38,7 +39,8 @@
 void EndWithError(NodeState& state, CallRecord& record,
                   const ErrorReason& reason, Time now, Actions& out) {
   const bool may_have_run = record.may_have_run || IsSent(record.stage);
-  const Ran ran = may_have_run ? Ran::kUnknown : Ran::kNo;
+  const RunStatus ran =
+      may_have_run ? RunStatus::kUnknown : RunStatus::kDidNotRun;
   const char* why = reason.why != nullptr ? reason.why : NameOf(reason.code);
   EmitDecision(state, record, "refuse", why, now, out);
   if (record.lane) {
@@ -49,7 +51,7 @@
   ForgetCall(state, record.call.id);
 }
 
-void RefuseCall(const Call& call, Ran ran, const ErrorReason& reason,
+void RefuseCall(const Call& call, RunStatus ran, const ErrorReason& reason,
                 Actions& out) {
   EmitError(call.id, ran, reason, out);
 }
--- a/node/src/attempts.cc
+++ b/node/src/attempts.cc
@@ -145,7 +145,7 @@
     const CallRecord* waiter = FindCall(state, id);
     if (id == runner || waiter == nullptr) continue;
     EmitDecision(state, *waiter, "refuse", NameOf(reason.code), now, out);
-    RefuseCall(waiter->call, Ran::kUnknown, reason, out);
+    RefuseCall(waiter->call, RunStatus::kUnknown, reason, out);
     ForgetCall(state, id);
   }
 }
--- a/node/src/calls.cc
+++ b/node/src/calls.cc
@@ -92,7 +92,8 @@
 }
 
 void RefuseNotReady(const Call& call, Actions& out) {
-  const Ran ran = call.key.empty() ? Ran::kNo : Ran::kUnknown;
+  const RunStatus ran =
+      call.key.empty() ? RunStatus::kDidNotRun : RunStatus::kUnknown;
   RefuseCall(
       call, ran,
       {AnswerCode::kNotReady, "no rules in force yet", kDefaultRetryAfter},
@@ -116,7 +117,7 @@
     for (const CallId waiter :
          fleet::LoseCall(*state.lanes, *record.lane, record.call.key, now)) {
       if (!state.calls.contains(waiter)) continue;
-      RefuseCall(state.calls[waiter].call, Ran::kUnknown, reason, out);
+      RefuseCall(state.calls[waiter].call, RunStatus::kUnknown, reason, out);
       if (waiter != record.call.id) ForgetCall(state, waiter);
     }
     record.detached = true;
@@ -126,7 +127,7 @@
   }
   if (record.stage == Stage::kJoined || record.stage == Stage::kForwarded) {
     EmitDecision(state, record, "refuse", "timeout", now, out);
-    RefuseCall(record.call, Ran::kUnknown, reason, out);
+    RefuseCall(record.call, RunStatus::kUnknown, reason, out);
     return ForgetCall(state, record.call.id);
   }
   if (record.stage == Stage::kWaiting) {
--- a/node/src/lanes.cc
+++ b/node/src/lanes.cc
@@ -13,7 +13,7 @@
 void RefuseAsUnknown(NodeState& state, const CallRecord& record,
                      const ErrorReason& reason, Time now, Actions& out) {
   EmitDecision(state, record, "refuse", NameOf(reason.code), now, out);
-  RefuseCall(record.call, Ran::kUnknown, reason, out);
+  RefuseCall(record.call, RunStatus::kUnknown, reason, out);
   ForgetCall(state, record.call.id);
 }
 
@@ -112,7 +112,8 @@
   bool operator()(const fleet::RefuseCall& refusal) const {
     const AnswerCode code = AnswerCodeFor(refusal.why);
     EmitDecision(state, record, "refuse", NameOf(refusal.why), now, out);
-    RefuseCall(record.call, refusal.not_run ? Ran::kNo : Ran::kUnknown,
+    RefuseCall(record.call,
+               refusal.not_run ? RunStatus::kDidNotRun : RunStatus::kUnknown,
                {code, NameOf(refusal.why), {}}, out);
     ForgetCall(state, record.call.id);
     return false;
--- a/node/src/names.cc
+++ b/node/src/names.cc
@@ -42,9 +42,11 @@
   return "unknown";
 }
 
-const char* NameOf(Ran ran) { return ran == Ran::kNo ? "no" : "unknown"; }
+const char* NameOf(RunStatus ran) {
+  return ran == RunStatus::kDidNotRun ? "no" : "unknown";
+}
 
-int StatusOf(AnswerCode code) {
+int HttpStatusFor(AnswerCode code) {
   switch (code) {
     case AnswerCode::kLaneMissing:
     case AnswerCode::kLaneInvalid:
--- a/node/src/state_p.h
+++ b/node/src/state_p.h
@@ -155,7 +155,7 @@
 void EndWithError(NodeState& state, CallRecord& record,
                   const ErrorReason& reason, Time now, Actions& out);
 /// Emits an error answer; changes neither the call's record nor its key.
-void RefuseCall(const Call& call, Ran ran, const ErrorReason& reason,
+void RefuseCall(const Call& call, RunStatus ran, const ErrorReason& reason,
                 Actions& out);
 
 // lanes.cc
--- a/node/src/where.cc
+++ b/node/src/where.cc
@@ -58,7 +58,7 @@
 
 WhereAnswer Where(NodeState& state, std::string_view zone, Time now) {
   WhereAnswer answer;
-  answer.keep_for = kWhereKeep;
+  answer.keep_for = kWhereAnswerTtl;
   for (const fleet::Member& member :
        fleet::Where(*state.fleet, zone, kMaxWhereNodes, now)) {
     answer.addresses.push_back(member.caller_address);
--- a/node/tests/calls_test.cc
+++ b/node/tests/calls_test.cc
@@ -8,11 +8,12 @@
 namespace en = egretladder::node;
 namespace ep = egretladder::policy;
 using en::AnswerCode;
-using en::Ran;
+using en::RunStatus;
 
 namespace {
 
-void CheckError(const en::test::TestNode& node, AnswerCode code, Ran ran) {
+void CheckError(const en::test::TestNode& node, AnswerCode code,
+                RunStatus ran) {
   CHECK_FALSE(node.errors.empty());
   const en::AnswerError& error = node.errors.back();
   STRCMP_EQUAL(NameOf(code), NameOf(error.code));
@@ -41,18 +42,18 @@
   en::Call call = harness_.MakeCall("buyer", 1);
   call.account = "nobody";
   harness_.Send(node1_, call);
-  CheckError(node1_, AnswerCode::kUnknownAccount, Ran::kNo);
+  CheckError(node1_, AnswerCode::kUnknownAccount, RunStatus::kDidNotRun);
   call = harness_.MakeCall("none", 2);
   harness_.Send(node1_, call);
-  CheckError(node1_, AnswerCode::kUnknownClass, Ran::kNo);
+  CheckError(node1_, AnswerCode::kUnknownClass, RunStatus::kDidNotRun);
   call = harness_.MakeCall("buyer", 3);
   call.account = "broker";
   harness_.Send(node1_, call);
-  CheckError(node1_, AnswerCode::kClassNotAllowed, Ran::kNo);
+  CheckError(node1_, AnswerCode::kClassNotAllowed, RunStatus::kDidNotRun);
   call = harness_.MakeCall("buyer", 4);
   call.target = "none";
   harness_.Send(node1_, call);
-  CheckError(node1_, AnswerCode::kUnknownTarget, Ran::kNo);
+  CheckError(node1_, AnswerCode::kUnknownTarget, RunStatus::kDidNotRun);
   CHECK_TRUE(IsIdle(*node1_.state));
   CHECK_EQUAL(0U, node1_.sent.size());
 }
@@ -134,7 +135,7 @@
   harness_.TrySend(node1_, node1_.sent[0]);
   en::OnFirstToken(*node1_.state, 1, 1, harness_.now());
   harness_.Fail(node1_, node1_.sent[0], ep::EndKind::kFailed);
-  CheckError(node1_, AnswerCode::kEndpointFailed, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kEndpointFailed, RunStatus::kUnknown);
   CHECK_TRUE(
       HasDecision(node1_, "no_retry", NameOf(ep::RetryReason::kAnswerStarted)));
   CHECK_TRUE(IsIdle(*node1_.state));
@@ -151,7 +152,7 @@
     harness_.RunFor(300ms);
   }
   CHECK_EQUAL(std::size_t{ep::kMaxAttempts}, node1_.sent.size());
-  CheckError(node1_, AnswerCode::kEndpointFailed, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kEndpointFailed, RunStatus::kUnknown);
   CHECK(node1_.errors[0].retry_after > 0ms);
   CHECK_EQUAL(1U, node1_.errors.size());
 }
@@ -163,13 +164,13 @@
   call.timeout = 500ms;
   harness_.Send(node1_, call);
   harness_.RunFor(600ms);
-  CheckError(node1_, AnswerCode::kTimeout, Ran::kNo);
+  CheckError(node1_, AnswerCode::kTimeout, RunStatus::kDidNotRun);
   CHECK_EQUAL(1U, node1_.cancels.size());
   call.id = 2;
   harness_.Send(node1_, call);
   CHECK_TRUE(harness_.TrySend(node1_, node1_.sent.back()));
   harness_.RunFor(600ms);
-  CheckError(node1_, AnswerCode::kTimeout, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kTimeout, RunStatus::kUnknown);
   CHECK_TRUE(IsIdle(*node1_.state));
 }
 
@@ -198,7 +199,7 @@
   CHECK_EQUAL(sent + 1, node1_.sent.size());
   for (const en::SendCall& send : node1_.sent) harness_.TrySend(node1_, send);
   harness_.RunFor(21s);
-  CheckError(node1_, AnswerCode::kOverloaded, Ran::kNo);
+  CheckError(node1_, AnswerCode::kOverloaded, RunStatus::kDidNotRun);
   // The log line names the limit, not only that the node is overloaded.
   CHECK_TRUE(
       HasDecision(node1_, "refuse", NameOf(ep::RefuseReason::kWaitedTooLong)));
@@ -221,7 +222,7 @@
   harness_.Send(node1_, harness_.MakeCall("buyer", 2));
   harness_.PauseFor(25s);
   CHECK_FALSE(harness_.TrySend(node1_, node1_.sent.back()));
-  CheckError(node1_, AnswerCode::kTimeout, Ran::kNo);
+  CheckError(node1_, AnswerCode::kTimeout, RunStatus::kDidNotRun);
 }
 
 // A partitioned node stops sending, since a zone may have been taken out
@@ -280,7 +281,7 @@
     harness_.TrySend(node1_, node1_.sent[i]);
   }
   harness_.Fail(node1_, node1_.sent[1], ep::EndKind::kDied);
-  CheckError(node1_, AnswerCode::kEndpointFailed, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kEndpointFailed, RunStatus::kUnknown);
   CHECK_TRUE(HasDecision(node1_, "no_retry", NameOf(ep::RetryReason::kPoison)));
   CHECK_EQUAL(1U, node1_.errors.size());
   CHECK_EQUAL(1U, node1_.errors[0].call);
@@ -310,7 +311,7 @@
     again.body_hash = 1;
     harness_.Send(*node, again);
     harness_.RunFor(100ms);
-    CheckError(*node, AnswerCode::kQuarantined, Ran::kNo);
+    CheckError(*node, AnswerCode::kQuarantined, RunStatus::kDidNotRun);
   }
 }
 
@@ -328,7 +329,7 @@
     CHECK(address != "10.0.1.1:1");
   }
   harness_.Send(node1_, harness_.MakeCall("buyer", 2));
-  CheckError(node1_, AnswerCode::kLeaving, Ran::kNo);
+  CheckError(node1_, AnswerCode::kLeaving, RunStatus::kDidNotRun);
   CHECK_FALSE(IsIdle(*node1_.state));
   CHECK_EQUAL(0U, node1_.cancels.size());
   harness_.Answer(node1_, node1_.sent[0]);
@@ -359,6 +360,6 @@
        ++code) {
     const auto value = static_cast<AnswerCode>(code);
     CHECK(std::string(NameOf(value)) != "unknown");
-    CHECK(StatusOf(value) >= 400 && StatusOf(value) != 500);
+    CHECK(HttpStatusFor(value) >= 400 && HttpStatusFor(value) != 500);
   }
 }
--- a/node/tests/harness.h
+++ b/node/tests/harness.h
@@ -74,8 +74,9 @@
 
   /// Advances the clock by `span`, with a tick of each running node.
   void RunFor(milliseconds span) {
-    for (milliseconds elapsed{0}; elapsed < span; elapsed += kNodeTick) {
-      kernel::Advance(clock_, kNodeTick);
+    for (milliseconds elapsed{0}; elapsed < span;
+         elapsed += kNodeTickInterval) {
+      kernel::Advance(clock_, kNodeTickInterval);
       for (TestNode& node : nodes_) {
         Actions out;
         if (node.running) OnTick(*node.state, now(), out);
--- a/node/tests/once_test.cc
+++ b/node/tests/once_test.cc
@@ -8,11 +8,12 @@
 namespace en = egretladder::node;
 namespace ep = egretladder::policy;
 using en::AnswerCode;
-using en::Ran;
+using en::RunStatus;
 
 namespace {
 
-void CheckError(const en::test::TestNode& node, AnswerCode code, Ran ran) {
+void CheckError(const en::test::TestNode& node, AnswerCode code,
+                RunStatus ran) {
   CHECK_FALSE(node.errors.empty());
   const en::AnswerError& error = node.errors.back();
   STRCMP_EQUAL(NameOf(code), NameOf(error.code));
@@ -40,9 +41,9 @@
 // retry would pay a second time.
 TEST(AtMostOnce, RefusesAPaymentWithoutLaneAndKey) {
   harness_.Send(node1_, harness_.MakeCall("pay", 1));
-  CheckError(node1_, AnswerCode::kLaneMissing, Ran::kNo);
+  CheckError(node1_, AnswerCode::kLaneMissing, RunStatus::kDidNotRun);
   harness_.Send(node1_, Payment(2, "no lane"));
-  CheckError(node1_, AnswerCode::kLaneInvalid, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kLaneInvalid, RunStatus::kUnknown);
   CHECK_EQUAL(0U, node1_.sent.size());
 }
 
@@ -73,7 +74,7 @@
   en::Call other = Payment(2, lane);
   other.body_hash = 78;
   harness_.Send(node1_, other);
-  CheckError(node1_, AnswerCode::kKeyReused, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kKeyReused, RunStatus::kUnknown);
 }
 
 // A retry reaches a node that doesn't own its lane. It must be forwarded to the
@@ -95,7 +96,7 @@
   // A forwarded call is never forwarded again, whatever the node's view is.
   harness_.Send(node2_, forwarded);
   CHECK_EQUAL(1U, node2_.forwards.size());
-  CheckError(node2_, AnswerCode::kLaneInvalid, Ran::kUnknown);
+  CheckError(node2_, AnswerCode::kLaneInvalid, RunStatus::kUnknown);
 }
 
 // The owner of the lane can't be reached from this node. Though nothing was
@@ -104,7 +105,7 @@
 TEST(AtMostOnce, SaysUnknownWhenTheOwnerIsUnreachable) {
   harness_.Send(node2_, Payment(1, harness_.IssueLane(node1_)));
   harness_.EndForward(node2_, 1, false, false);
-  CheckError(node2_, AnswerCode::kOwnerUnreachable, Ran::kUnknown);
+  CheckError(node2_, AnswerCode::kOwnerUnreachable, RunStatus::kUnknown);
 }
 
 // The owner of the lane restarted and lost its records. A retry must not run
@@ -117,7 +118,7 @@
   const std::size_t sent = node1_.sent.size();
   harness_.Send(node1_, Payment(2, lane));
   CHECK_EQUAL(sent, node1_.sent.size());
-  CheckError(node1_, AnswerCode::kLaneInvalid, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kLaneInvalid, RunStatus::kUnknown);
 }
 
 // The connection breaks after a payment was sent. It must not be retried, and
@@ -129,10 +130,10 @@
   harness_.Send(node1_, Payment(2, lane));
   harness_.Fail(node1_, node1_.sent[0], ep::EndKind::kFailed);
   CHECK_EQUAL(2U, node1_.errors.size());
-  CheckError(node1_, AnswerCode::kEndpointFailed, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kEndpointFailed, RunStatus::kUnknown);
   harness_.RunFor(1s);
   harness_.Send(node1_, Payment(3, lane));
-  CheckError(node1_, AnswerCode::kOutcomeUnknown, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kOutcomeUnknown, RunStatus::kUnknown);
   CHECK_EQUAL(1U, node1_.sent.size());
 }
 
@@ -148,10 +149,10 @@
   harness_.AnswerWithoutStoring(node1_, node1_.sent[0]);
   CHECK_EQUAL(2U, node1_.errors.size());
   CHECK_EQUAL(5U, node1_.errors[0].call + node1_.errors[1].call);
-  CheckError(node1_, AnswerCode::kOutcomeUnknown, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kOutcomeUnknown, RunStatus::kUnknown);
   CHECK_TRUE(IsIdle(*node1_.state));
   harness_.Send(node1_, Payment(4, lane));
-  CheckError(node1_, AnswerCode::kOutcomeUnknown, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kOutcomeUnknown, RunStatus::kUnknown);
   CHECK_EQUAL(1U, node1_.sent.size());
 }
 
@@ -168,10 +169,10 @@
     harness_.RunFor(300ms);
   }
   CHECK_EQUAL(std::size_t{ep::kMaxAttempts}, node1_.sent.size());
-  CheckError(node1_, AnswerCode::kEndpointFailed, Ran::kNo);
+  CheckError(node1_, AnswerCode::kEndpointFailed, RunStatus::kDidNotRun);
   harness_.Send(node1_, Payment(2, lane));
   CHECK_EQUAL(std::size_t{ep::kMaxAttempts}, node1_.sent.size());
-  CheckError(node1_, AnswerCode::kLaneInvalid, Ran::kNo);
+  CheckError(node1_, AnswerCode::kLaneInvalid, RunStatus::kDidNotRun);
 }
 
 // A caller's connection breaks while its payment runs. The payment must
@@ -197,7 +198,7 @@
   harness_.Send(node1_, call);
   harness_.TrySend(node1_, node1_.sent[0]);
   harness_.RunFor(1500ms);
-  CheckError(node1_, AnswerCode::kTimeout, Ran::kUnknown);
+  CheckError(node1_, AnswerCode::kTimeout, RunStatus::kUnknown);
   harness_.Answer(node1_, node1_.sent[0], "paid");
   harness_.Send(node1_, Payment(2, lane));
   CHECK_EQUAL(1U, node1_.stored.size());
@@ -226,7 +227,7 @@
   harness_.PauseFor(11min);
   CHECK_FALSE(harness_.TrySend(node1_, node1_.sent[0]));
   harness_.RunFor(1s);
-  CheckError(node1_, AnswerCode::kTimeout, Ran::kNo);
+  CheckError(node1_, AnswerCode::kTimeout, RunStatus::kDidNotRun);
   harness_.Send(node1_, Payment(2, call.lane));
   CHECK_EQUAL(1U, node1_.sent.size());
 }
@@ -242,7 +243,7 @@
   en::Call other = Payment(3, lane);
   other.key = "order-8";
   harness_.Send(node1_, other);
-  CheckError(node1_, AnswerCode::kLeaving, Ran::kNo);
+  CheckError(node1_, AnswerCode::kLeaving, RunStatus::kDidNotRun);
   harness_.Answer(node1_, node1_.sent[0], "paid");
   CHECK_EQUAL(1U, node1_.stored.size());
 }
