--- a/node/include/egretladder/node/node.h
+++ b/node/include/egretladder/node/node.h
@@ -152,7 +152,7 @@
                                   Actions& out);
 
 /// Runs timers and periodic work. The driver must call it at least every
-/// `kNodeTick`.
+/// `kNodeTickInterval`.
 void OnTick(NodeState& state, Time now, Actions& out);
 
 /// Handles a call that was received completely. The action that ends it is
--- a/node/src/attempts.cc
+++ b/node/src/attempts.cc
@@ -81,9 +81,9 @@
   ApplyFleet(state, actions, now, out);
 }
 
-policy::RetryDecision DecideRetryOf(NodeState& state, const CallRecord& record,
-                                    policy::EndKind end, bool started,
-                                    Time now) {
+policy::RetryDecision DecideRetryFor(NodeState& state, const CallRecord& record,
+                                     policy::EndKind end, bool started,
+                                     Time now) {
   policy::RetryContext context;
   context.end = end;
   context.repeatable = record.repeatable;
@@ -246,7 +246,7 @@
   if (end == policy::EndKind::kNotRun && record->lane) {
     fleet::MarkUnsent(*state.lanes, *record->lane, record->call.key);
   }
-  const auto decision = DecideRetryOf(state, *record, end, started, now);
+  const auto decision = DecideRetryFor(state, *record, end, started, now);
   if (decision.should_retry) {
     ScheduleRetry(state, *record, decision, now, out);
   } else {
--- a/node/src/calls.cc
+++ b/node/src/calls.cc
@@ -100,7 +100,7 @@
       out);
 }
 
-ErrorReason LeavingReason() {
+ErrorReason MakeLeavingReason() {
   return {AnswerCode::kLeaving, "ask /where of another node",
           kInitialHoldDelay};
 }
@@ -265,7 +265,7 @@
   if (IsAtMostOnce(record) && !BeginAtMostOnce(state, record, now, out)) return;
   if (!CheckNames(state, record, *rules, now, out)) return;
   if (state.leaving) {
-    return EndWithError(state, record, LeavingReason(), now, out);
+    return EndWithError(state, record, MakeLeavingReason(), now, out);
   }
   TargetRecord& target = state.targets[record.request.target.idx];
   target.last_call = now;
@@ -286,7 +286,7 @@
     TimeOut(state, *record,
             may_have_run
                 ? ErrorReason{AnswerCode::kTimeout, "the node stops", {}}
-                : LeavingReason(),
+                : MakeLeavingReason(),
             now, out);
   }
 }
