--- a/node/src/answers.cc
+++ b/node/src/answers.cc
@@ -17,9 +17,10 @@
 std::vector<CallId> ResolveKey(NodeState& state, const CallRecord& record,
                                RunStatus ran, Time now) {
   if (ran == RunStatus::kDidNotRun) {
-    return fleet::BurnCall(*state.lanes, *record.lane, record.call.key, now);
+    return fleet::MarkNotRun(*state.lanes, *record.lane, record.call.key, now);
   }
-  return fleet::LoseCall(*state.lanes, *record.lane, record.call.key, now);
+  return fleet::MarkOutcomeUnknown(*state.lanes, *record.lane, record.call.key,
+                                   now);
 }
 
 void AnswerWaiters(NodeState& state, CallRecord& record, RunStatus ran,
--- a/node/src/apply.cc
+++ b/node/src/apply.cc
@@ -97,7 +97,7 @@
     state.scheduler->on_slots(*state.scheduler_state, action.endpoint,
                               action.slots, now, state.scheduler_actions);
   }
-  void operator()(const fleet::AvailableChanged& action) const {
+  void operator()(const fleet::AvailabilityChanged& action) const {
     EmitPlacementDecision(state, action.endpoint, "available",
                           action.available ? "takes_work" : "takes_no_work",
                           out);
@@ -106,7 +106,7 @@
                                   action.available, now,
                                   state.scheduler_actions);
   }
-  void operator()(const fleet::ReportSeen& action) const {
+  void operator()(const fleet::ReportReceived& action) const {
     state.endpoints[action.endpoint.idx].evidence.boot = action.report.boot;
     state.scheduler->on_report(*state.scheduler_state, action.endpoint,
                                action.report, now);
--- a/node/src/attempts.cc
+++ b/node/src/attempts.cc
@@ -140,8 +140,8 @@
   const CallId runner = record.call.id;
   const ErrorReason reason{
       AnswerCode::kOutcomeUnknown, "it ran and its answer was not kept", {}};
-  for (const CallId id :
-       fleet::LoseCall(*state.lanes, *record.lane, record.call.key, now)) {
+  for (const CallId id : fleet::MarkOutcomeUnknown(*state.lanes, *record.lane,
+                                                   record.call.key, now)) {
     const CallRecord* waiter = FindCall(state, id);
     if (id == runner || waiter == nullptr) continue;
     EmitDecision(state, *waiter, "refuse", NameOf(reason.code), now, out);
--- a/node/src/calls.cc
+++ b/node/src/calls.cc
@@ -114,8 +114,8 @@
       IsSent(record.stage) && record.lane && !record.detached;
   if (is_detaching) {
     EmitDecision(state, record, "detach", "timeout", now, out);
-    for (const CallId waiter :
-         fleet::LoseCall(*state.lanes, *record.lane, record.call.key, now)) {
+    for (const CallId waiter : fleet::MarkOutcomeUnknown(
+             *state.lanes, *record.lane, record.call.key, now)) {
       if (!state.calls.contains(waiter)) continue;
       RefuseCall(state.calls[waiter].call, RunStatus::kUnknown, reason, out);
       if (waiter != record.call.id) ForgetCall(state, waiter);
@@ -311,7 +311,7 @@
   }
   EmitDecision(state, *record, "cancel", "caller_gone", now, out);
   if (record->lane && record->stage != Stage::kJoined) {
-    fleet::BurnCall(*state.lanes, *record->lane, record->call.key, now);
+    fleet::MarkNotRun(*state.lanes, *record->lane, record->call.key, now);
   }
   ForgetCall(state, call);
   ApplyScheduler(state, now, out);
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -29,7 +29,7 @@
 
 void OnTick(NodeState& state, Time now, Actions& out) {
   if (now >= state.next_fleet_tick) {
-    state.next_fleet_tick = now + fleet::kFleetTick;
+    state.next_fleet_tick = now + fleet::kFleetTickInterval;
     // The evidence must be current when the fleet's tick requests slots. If a
     // request left out a call in flight, the call's slot would be leased a
     // second time.
@@ -39,7 +39,7 @@
     ApplyFleet(state, actions, now, out);
   }
   if (now >= state.next_sweep) {
-    state.next_sweep = now + fleet::kLaneSweep;
+    state.next_sweep = now + fleet::kLaneSweepInterval;
     fleet::SweepLanes(*state.lanes, now);
   }
   if (state.scheduler_state == nullptr) return;
