--- a/policy/tests/load_run_engines.h
+++ b/policy/tests/load_run_engines.h
@@ -1,108 +1,114 @@
-// What happens to engines: slots, reports, cold starts, crashes, zones out.
+// Simulation of engines: slots, reports, cold starts, crashes and zones out.
 #pragma once
 
 #include "load_run.h"
 
 namespace egretladder::policy::load {
 
-inline void Run::SetZonesOut(const std::vector<std::uint32_t>& zones) {
+inline void Simulation::SetZonesOut(const std::vector<std::uint32_t>& zones) {
   for (std::uint32_t i = 0; i < engines_.size(); ++i) {
-    engines_[i].takes_work = std::find(zones.begin(), zones.end(),
-                                       i % load_.fleet.zones) == zones.end();
+    engines_[i].takes_work =
+        std::find(zones.begin(), zones.end(), i % workload_.fleet.zones) ==
+        zones.end();
   }
-  Act([&](Actions& out) {
-    plugin_->on_rules(*state_, MakeRules(load_, ++version_, zones), now_, out);
+  CallScheduler([&](Actions& out) {
+    plugin_->on_rules(*state_, MakeRules(workload_, ++version_, zones), now_,
+                      out);
   });
 }
 
-inline void Run::TurnCold(std::uint32_t engine, bool boot) {
-  Engine& cold = engines_[engine];
-  cold.cold_answers = kAnswersToWarm;
-  cold.cached.clear();
+inline void Simulation::MakeCold(std::uint32_t engine, bool boot) {
+  Engine& cold_engine = engines_[engine];
+  cold_engine.answers_until_warm = kAnswersToWarm;
+  cold_engine.cached.clear();
   if (!boot) return;
-  ++cold.boot;
-  Restart(engine);
+  ++cold_engine.boot;
+  RestartSlots(engine);
 }
 
-inline void Run::Crash(std::uint32_t engine, DoubleSeconds away) {
+inline void Simulation::Crash(std::uint32_t engine, DoubleSeconds downtime) {
   engines_[engine].takes_work = false;
   SetAvailable(engine, false);
   std::vector<std::uint64_t> ids;
-  for (const auto& [id, life] : lives_) {
-    if (life.running && life.engine == engine) ids.push_back(id);
+  for (const auto& [id, sim_request] : sim_requests_) {
+    if (sim_request.running && sim_request.engine == engine) ids.push_back(id);
   }
   std::sort(ids.begin(), ids.end());
-  for (const std::uint64_t id : ids) BreakOff(id, EndKind::kDied);
-  changes_.emplace_back(DoubleSeconds(now_ - kStart) + away,
-                        [engine](Run& run) {
-                          run.engines_[engine].takes_work = true;
-                          run.TurnCold(engine, true);
-                          run.SetAvailable(engine, true);
+  for (const std::uint64_t id : ids) AbortAttempt(id, EndKind::kDied);
+  changes_.emplace_back(DoubleSeconds(now_ - kStart) + downtime,
+                        [engine](Simulation& simulation) {
+                          simulation.engines_[engine].takes_work = true;
+                          simulation.MakeCold(engine, true);
+                          simulation.SetAvailable(engine, true);
                         });
-  Add(now_ + Cast(away), StepKind::kChange, changes_.size() - 1);
+  AddEvent(now_ + ToNanoseconds(downtime), EventKind::kPlannedChange,
+           changes_.size() - 1);
 }
 
-// One body crashes every engine that runs it, and its caller sends it again.
-inline void Run::Poison(std::uint64_t id) {
-  const std::uint32_t engine = lives_[id].engine;
+// Crashes the engine that runs the poison body, and quarantines the bodies that
+// are identified by this.
+inline void Simulation::HandlePoison(std::uint64_t id) {
+  const std::uint32_t engine = sim_requests_[id].engine;
   ++result_.poison_deaths;
   std::vector<std::uint64_t> running;
-  for (const auto& [other, life] : lives_) {
-    if (life.running && life.engine == engine) {
-      running.push_back(life.planned.request.fingerprint);
+  for (const auto& [other, sim_request] : sim_requests_) {
+    if (sim_request.running && sim_request.engine == engine) {
+      running.push_back(sim_request.planned.request.fingerprint);
     }
   }
-  for (const QuarantineNotice& held : OnEndpointDied(poison_, running, now_)) {
-    const bool innocent = held.fingerprint != kPoisonBody;
-    Check(!innocent, "an innocent body was quarantined");
-    Act([&](Actions& out) {
-      plugin_->on_quarantine(*state_, held.fingerprint, now_ + held.left, now_,
-                             out);
+  for (const QuarantineNotice& notice :
+       OnEndpointDied(poison_, running, now_)) {
+    const bool is_innocent = notice.fingerprint != kPoisonBody;
+    Check(!is_innocent, "an innocent body was quarantined");
+    CallScheduler([&](Actions& out) {
+      plugin_->on_quarantine(*state_, notice.fingerprint, now_ + notice.left,
+                             now_, out);
     });
   }
   Crash(engine, DoubleSeconds(10));
 }
 
-inline void Run::SetAvailable(std::uint32_t engine, bool available) {
-  Act([&](Actions& out) {
+inline void Simulation::SetAvailable(std::uint32_t engine, bool available) {
+  CallScheduler([&](Actions& out) {
     plugin_->on_available(*state_, EndpointHandle{engine}, available, now_,
                           out);
   });
 }
 
-// The keeper's part: slots from evidence, reports a second old.
-inline void Run::Fleet() {
+// Plays the part of the other nodes: updates the slots of each engine from its
+// evidence, and delivers reports that are one second old.
+inline void Simulation::UpdateFleet() {
   for (std::uint32_t i = 0; i < engines_.size(); ++i) {
     Engine& engine = engines_[i];
     engine.evidence.boot = engine.boot;
     const SlotReason reason = OnEvidence(engine.slots, engine.evidence, now_);
     engine.evidence = {};
-    if (reason != SlotReason::kUnchanged) Lease(i);
+    if (reason != SlotReason::kUnchanged) UpdateLease(i);
     EngineReport report;
     report.age = 1000ms;
     report.boot = engine.boot;
-    report.running = engine.in_flight + engine.others;
+    report.running = engine.in_flight + engine.other_nodes_in_flight;
     report.loaded = {TargetHandle{0}};
     plugin_->on_report(*state_, EndpointHandle{i}, report, now_);
   }
 }
 
-inline void Run::Restart(std::uint32_t engine) {
+inline void Simulation::RestartSlots(std::uint32_t engine) {
   Engine& started = engines_[engine];
-  const std::uint32_t cold = started.cold_answers > 0
-                                 ? load_.fleet.cold_max_in_flight
-                                 : load_.fleet.max_in_flight;
-  (void)StartSlots(started.slots, cold, load_.fleet.max_in_flight, started.boot,
-                   now_);
-  started.slots.cold_max_in_flight = load_.fleet.cold_max_in_flight;
-  Lease(engine);
+  const std::uint32_t initial_slots = started.answers_until_warm > 0
+                                          ? workload_.fleet.cold_max_in_flight
+                                          : workload_.fleet.max_in_flight;
+  (void)StartSlots(started.slots, initial_slots, workload_.fleet.max_in_flight,
+                   started.boot, now_);
+  started.slots.cold_max_in_flight = workload_.fleet.cold_max_in_flight;
+  UpdateLease(engine);
 }
 
-inline void Run::Lease(std::uint32_t engine) {
-  engines_[engine].leased = engines_[engine].slots.slots;
-  Act([&](Actions& out) {
-    plugin_->on_slots(*state_, EndpointHandle{engine}, engines_[engine].leased,
-                      now_, out);
+inline void Simulation::UpdateLease(std::uint32_t engine) {
+  engines_[engine].leased_slots = engines_[engine].slots.slots;
+  CallScheduler([&](Actions& out) {
+    plugin_->on_slots(*state_, EndpointHandle{engine},
+                      engines_[engine].leased_slots, now_, out);
   });
 }
 
--- a/policy/tests/stopping_test.cc
+++ b/policy/tests/stopping_test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-ep::StopPlan Plan() {
+ep::StopPlan MakePlan() {
   ep::StopPlan plan;
   plan.address_ttl = 3000ms;
   plan.settle = 200ms;
@@ -23,36 +23,36 @@
 TEST_GROUP(Stopping){};
 
 TEST(Stopping, PhasesFollowEachOther) {
-  CHECK(ep::GetStopPhase(Plan(), -1ms) == StopPhase::kTaking);
-  CHECK(ep::GetStopPhase(Plan(), 2999ms) == StopPhase::kTaking);
-  CHECK(ep::GetStopPhase(Plan(), 3000ms) == StopPhase::kSettling);
-  CHECK(ep::GetStopPhase(Plan(), 3200ms) == StopPhase::kFinishing);
-  CHECK(ep::GetStopPhase(Plan(), 7300ms) == StopPhase::kCutting);
-  CHECK(ep::GetStopPhase(Plan(), 7800ms) == StopPhase::kOver);
-  CHECK(ep::TimeUntilCut(Plan(), 3000ms) == 4300ms);
+  CHECK(ep::GetStopPhase(MakePlan(), -1ms) == StopPhase::kTaking);
+  CHECK(ep::GetStopPhase(MakePlan(), 2999ms) == StopPhase::kTaking);
+  CHECK(ep::GetStopPhase(MakePlan(), 3000ms) == StopPhase::kSettling);
+  CHECK(ep::GetStopPhase(MakePlan(), 3200ms) == StopPhase::kFinishing);
+  CHECK(ep::GetStopPhase(MakePlan(), 7300ms) == StopPhase::kCutting);
+  CHECK(ep::GetStopPhase(MakePlan(), 7800ms) == StopPhase::kOver);
+  CHECK(ep::TimeUntilCut(MakePlan(), 3000ms) == 4300ms);
 }
 
-// An idle process that ended at once would leave callers that still keep its
-// address with a closed port.
-TEST(Stopping, AnIdleProcessStaysUntilCallersAreGone) {
+// If an idle process exited at once, callers that still use its address would
+// find a closed port.
+TEST(Stopping, IdleProcessStaysUntilCallersAreGone) {
   CHECK_FALSE(ep::CanExit(StopPhase::kTaking, true));
   CHECK_FALSE(ep::CanExit(StopPhase::kSettling, true));
   CHECK(ep::CanExit(StopPhase::kFinishing, true));
 }
 
-// A caller on a slow link still takes its answer. Ended now, the process would
-// cut it; not ended before the kill, it would be cut all the same, and nothing
-// would say so in the log.
-TEST(Stopping, AnswersAreDeliveredUntilTheTimeIsUp) {
+// A caller on a slow link is still reading its answer. If the process exited
+// now, the answer would be truncated. If it did not exit before the kill, the
+// answer would be truncated as well, but without a log line that says so.
+TEST(Stopping, DeliversAnswersUntilTheExitTime) {
   CHECK_FALSE(ep::CanExit(StopPhase::kFinishing, false));
   CHECK_FALSE(ep::CanExit(StopPhase::kCutting, false));
   CHECK(ep::CanExit(StopPhase::kCutting, true));
   CHECK(ep::CanExit(StopPhase::kOver, false));
 }
 
-TEST(Stopping, TheShortestGraceHoldsAllPhases) {
-  CHECK(ep::MinGracePeriod(Plan()) == 3900ms);
-  ep::StopPlan plan = Plan();
+TEST(Stopping, ShortestGraceHoldsAllPhases) {
+  CHECK(ep::MinGracePeriod(MakePlan()) == 3900ms);
+  ep::StopPlan plan = MakePlan();
   plan.grace = ep::MinGracePeriod(plan);
   CHECK(ep::GetStopPhase(plan, 3199ms) == StopPhase::kSettling);
   CHECK(ep::GetStopPhase(plan, 3200ms) == StopPhase::kCutting);
