--- a/routing/include/egretladder/routing/after_attempt.h
+++ b/routing/include/egretladder/routing/after_attempt.h
@@ -60,11 +60,11 @@
 
 /// Sends that endpoints turned away, before a request is refused. Each meets
 /// another endpoint; more would let one request knock at a whole full fleet.
-inline constexpr std::uint32_t kNotRunMost = 3;
+inline constexpr std::uint32_t kMaxNotRunAttempts = 3;
 /// Connections that were refused before a request is. They cost no endpoint
 /// anything and take a millisecond; with a third of the endpoints gone one
 /// request in 6,000 meets eight of these in a row, and one in 27 three.
-inline constexpr std::uint32_t kNotSentMost = 8;
+inline constexpr std::uint32_t kMaxNotSentAttempts = 8;
 
 /// Decides. When it says `kSendAgain` or `kResume`, the caller of this function
 /// still has to find room in the retry share; without it, ask again with
--- a/routing/include/egretladder/routing/catalog.h
+++ b/routing/include/egretladder/routing/catalog.h
@@ -59,7 +59,7 @@
 };
 
 /// How long a removal is kept to be told to peers.
-inline constexpr std::chrono::seconds kRemovalsKept{60};
+inline constexpr std::chrono::seconds kTombstoneRetention{60};
 
 /// Changes of one feed, as one node tells another.
 struct Changes {
@@ -85,7 +85,7 @@
 /// since.
 bool TakeProgress(Catalog& catalog, Feed feed, const FeedProgress& peer);
 
-/// Forgets removals older than `kRemovalsKept`.
+/// Forgets removals older than `kTombstoneRetention`.
 void ForgetRemovals(Catalog& catalog, Time now);
 
 /// State of one feed.
--- a/routing/include/egretladder/routing/endpoints.h
+++ b/routing/include/egretladder/routing/endpoints.h
@@ -37,7 +37,7 @@
 };
 
 /// A limit that an endpoint names for all nodes together.
-struct NamedLimit {
+struct AdvertisedLimit {
   double per_second = 0;  ///< 0: none.
   Time named{};           ///< When it last said so.
   Time began{};           ///< When this node first heard of it.
@@ -57,14 +57,14 @@
 
 /// How far this node trusts an endpoint, from its own requests only: reports
 /// and health checks may be wrong either way.
-struct Trust {
+struct EndpointHealth {
   double failing = 0;  ///< Share of failures, smoothed.
-  Time failing_at{};
+  Time failure_rate_at{};
   std::uint32_t refused = 0;  ///< Connections, in a row.
   Time avoid_until{};
   Time full_until{};
-  double drift_ms = 0;  ///< First events later than expected, smoothed.
-  double mean_ms = 0;   ///< Time of a whole answer, smoothed; 0: unknown.
+  double drift_ms = 0;        ///< First events later than expected, smoothed.
+  double mean_answer_ms = 0;  ///< Time of a whole answer, smoothed; 0: unknown.
 };
 
 /// Ranks are few; what is less urgent shares the last place.
@@ -83,14 +83,14 @@
   EndpointPhase phase = EndpointPhase::kServing;
   Time lapsed_until{};
   Time cold_until{};
-  NamedLimit limit;
+  AdvertisedLimit limit;
   Time rated_sent{};  ///< Last request of this node under a shared rate.
   std::uint32_t in_flight = 0;  ///< Of this node.
   Time heard_at{};              ///< Last sign of life to this node.
   TokensByTier waiting_tokens{};
   double others_in_flight = 0;
   double others_tokens = 0;
-  Trust trust;
+  EndpointHealth trust;
   EnginePace pace;
   /// Requests of this node without an answer so far: when sent, and until when
   /// an answer was expected.
@@ -102,9 +102,9 @@
 using EndpointPtr = std::shared_ptr<Endpoint>;
 
 /// Parts of the decision where a request goes; see `Mechanism` in place.h.
-inline constexpr std::size_t kMechanisms = 11;
+inline constexpr std::size_t kMechanismCount = 11;
 /// Mechanisms that settings switch off.
-using MechanismsOff = std::bitset<kMechanisms>;
+using MechanismsOff = std::bitset<kMechanismCount>;
 
 /// All endpoints that may get work, and those that just went.
 struct EndpointSet {
@@ -114,7 +114,7 @@
   std::map<std::string, bool, std::less<>> zones_out;
   std::set<std::string> limited;  ///< By id; those of which peers are told.
   std::unordered_map<std::string, ServicePace> paces;  ///< By service.
-  double tight_part = kTightPartUnknown;               ///< See sides.h.
+  double tight_part = kDefaultTightFraction;           ///< See sides.h.
   MechanismsOff off;
 };
 
@@ -157,7 +157,7 @@
 
 /// Evidence of this node's own requests.
 void OnHeard(Endpoint& endpoint, Time now);
-/// True when it gave a sign of life within `kHeardLately`.
+/// True when it gave a sign of life within `kRecentlyHeardWindow`.
 bool IsHeardLately(const Endpoint& endpoint, Time now);
 void OnConnectFailed(Endpoint& endpoint, Time now);
 /// It broke off, or gave what is no answer.
@@ -169,14 +169,14 @@
 /// It answered whole, after `took`.
 void OnAnswered(Endpoint& endpoint, milliseconds took, Time now);
 /// Share of failures as of now.
-double FailingOf(const Trust& trust, Time now);
+double FailureRate(const EndpointHealth& trust, Time now);
 /// How much longer than expected its oldest request waits for a first byte.
-milliseconds SilenceOf(const Endpoint& endpoint, Time now);
+milliseconds OverdueTime(const Endpoint& endpoint, Time now);
 
 /// Remembers that it read these prompt parts.
-void NoteParts(Endpoint& endpoint, const std::vector<std::uint64_t>& parts,
-               Time now);
+void RecordPromptParts(Endpoint& endpoint,
+                       const std::vector<std::uint64_t>& parts, Time now);
 /// True when it is expected to hold the part.
-bool HoldsPart(const Endpoint& endpoint, std::uint64_t part, Time now);
+bool HasCachedPart(const Endpoint& endpoint, std::uint64_t part, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -57,7 +57,7 @@
   Member member;
   Time heard{};              ///< When its heartbeat last rose here.
   Time met{};                ///< When this life of it was first heard of.
-  Time heard_itself{};       ///< Last message from it; default: none.
+  Time last_message_at{};    ///< Last message from it; default: none.
   bool unreachable = false;  ///< Refused a connection since.
 };
 
@@ -69,8 +69,8 @@
   std::map<std::string, KnownMember> others;
   Time started{};
   Time exchanged{};  ///< Last time a peer answered; default: never.
-  std::size_t most_nodes = 1;
-  Time most_nodes_at{};
+  std::size_t max_nodes = 1;
+  Time max_nodes_at{};
   std::size_t seed_turn = 0;
   std::vector<std::uint32_t> unknown;  ///< As in `MemberNews`.
 };
@@ -112,12 +112,12 @@
 std::size_t PeersToTry(std::size_t hanging);
 
 /// How long a member may be silent, by the size of the fleet.
-std::chrono::milliseconds SilenceAllowed(const Members& members);
+std::chrono::milliseconds MaxMemberSilence(const Members& members);
 
 /// True for a member that callers may use.
 bool IsThere(const Members& members, const KnownMember& known, Time now);
 
-/// True when the fleet is small; see `kSmallFleet`.
+/// True when the fleet is small; see `kMaxSmallFleetNodes`.
 bool IsSmallFleet(const Members& members);
 
 /// Addresses for a caller in `zone`: nodes that are there, this one last
@@ -133,7 +133,7 @@
 /// losses the fleet counts as large as it was known to be.
 FleetPart PartOf(Members& members, Time now);
 
-/// Forgets members unheard for `kMemberForgotten`. Returns their names.
+/// Forgets members unheard for `kMemberRetention`. Returns their names.
 std::vector<std::string> ForgetMembers(Members& members, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/named_limits.h
+++ b/routing/include/egretladder/routing/named_limits.h
@@ -23,7 +23,7 @@
 
 /// Takes the limit that an answer names, nothing if it names none. Returns true
 /// when the endpoint's limit began, ended or changed by more than
-/// `kLimitChange`.
+/// `kMinLoggedLimitChangeRatio`.
 bool OnLimit(EndpointSet& set, Endpoint& endpoint,
              std::optional<double> per_second, Time now);
 
--- a/routing/include/egretladder/routing/pace.h
+++ b/routing/include/egretladder/routing/pace.h
@@ -18,8 +18,8 @@
 /// Of one engine.
 struct EnginePace {
   /// Between two events with nothing else running, in ms, smoothed.
-  double alone_ms = 0;
-  /// Samples so far, `kPaceSamplesMost` at most; few of them say little.
+  double unloaded_event_ms = 0;
+  /// Samples so far, `kMaxPaceSamples` at most; few of them say little.
   double samples = 0;
 };
 
@@ -30,13 +30,13 @@
   /// Events of about the longest in thirty. Lengths of one route differ by a
   /// factor of ten and more, so that the mean says little of how long one may
   /// last.
-  double longest = kEventsMostUnknown;
+  double longest = kDefaultLongStreamEvents;
 };
 
 /// What the engines of one service have in common.
 struct ServicePace {
-  /// Mean of the engines' `alone_ms`; a prior for those not seen yet.
-  double alone_ms = 0;
+  /// Mean of the engines' `unloaded_event_ms`; a prior for those not seen yet.
+  double unloaded_event_ms = 0;
   std::unordered_map<std::string, StreamLength> lengths;  ///< By route.
 };
 
@@ -65,7 +65,7 @@
 
 /// Expected time between two events at an engine that runs `running` requests,
 /// in ms.
-double EventMs(const EnginePace& engine, const ServicePace& service,
-               double running);
+double ExpectedEventMs(const EnginePace& engine, const ServicePace& service,
+                       double running);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/place.h
+++ b/routing/include/egretladder/routing/place.h
@@ -52,7 +52,7 @@
 };
 
 /// Why a request goes where it goes, or nowhere.
-enum class PlaceReason : std::uint8_t {
+enum class PlacementReason : std::uint8_t {
   kSession,   ///< Preferred by its session's hash.
   kCached,    ///< Read its shared parts before.
   kCheapest,  ///< The smallest expected wait.
@@ -65,7 +65,7 @@
   kAllTried,
 };
 /// As logs show it.
-const char* NameOf(PlaceReason reason);
+const char* NameOf(PlacementReason reason);
 
 /// What takes part in the decision: the terms of a placement's cost in the
 /// order of the table in place_cost.cc, and two that choose among whom it is
@@ -74,35 +74,35 @@
 enum class Mechanism : std::uint8_t {
   kQueue,    ///< What is read or run before it.
   kReading,  ///< Its own prompt.
-  kAgain,    ///< Shared parts that another endpoint holds.
+  kReread,   ///< Shared parts that another endpoint holds.
   kPace,     ///< The length of its own stream at the pace there.
   kDrift,    ///< First events that came later than expected.
   kFailing,
   kSilence,
   kZone,
   kCold,
-  kSides,     ///< Tight streams and long prompts at engines of their own.
-  kSessions,  ///< Endpoints preferred by the hash of the shared part.
+  kEngineSplit,  ///< Tight streams and long prompts at engines of their own.
+  kSessionAffinity,  ///< Endpoints preferred by the hash of the shared part.
 };
 
 /// The figure of each term, in ms; 0 for a mechanism that is no term.
-struct Costs {
-  std::array<double, kMechanisms> ms{};
+struct PlacementCosts {
+  std::array<double, kMechanismCount> ms{};
   double Total() const;
   /// Of the terms that delay the request's first event.
-  double UntilFirst() const;
+  double UntilFirstEvent() const;
 };
 
 /// The choice.
 struct Placement {
   EndpointPtr endpoint;  ///< Null: none.
-  PlaceReason reason = PlaceReason::kNoneKnown;
+  PlacementReason reason = PlacementReason::kNoneKnown;
   double expected_ms = 0;      ///< Until the first event.
   double uncached_tokens = 0;  ///< That it will read.
-  Costs costs;
+  PlacementCosts costs;
   /// Until this node's next turn, where all endpoints name limits; nothing: not
   /// known.
-  std::optional<milliseconds> room_in;
+  std::optional<milliseconds> next_turn_in;
 };
 
 /// Chooses among the endpoints of the demand's service, leaving out those in
--- a/routing/include/egretladder/routing/place_cost.h
+++ b/routing/include/egretladder/routing/place_cost.h
@@ -17,17 +17,17 @@
 namespace egretladder::routing {
 
 /// What a request reads before its first event, in tokens.
-struct Uncached {
+struct UncachedTokens {
   double shared = 0;  ///< Parts that other requests share.
   double own = 0;
   double Sum() const { return shared + own; }
 };
 
 /// What the terms depend on.
-struct CostAsk {
+struct CostInput {
   const Endpoint& endpoint;
   const Demand& demand;
-  const Uncached& uncached;
+  const UncachedTokens& uncached;
   const ServicePace& pace;
   const FleetPart& fleet;
   bool preferred = false;  ///< By the session's hash.
@@ -35,7 +35,7 @@
 };
 
 /// All terms that aren't switched off.
-Costs CostsOf(const CostAsk& ask, const MechanismsOff& off);
+PlacementCosts ComputeCosts(const CostInput& ask, const MechanismsOff& off);
 
 /// The name of a mechanism as settings and logs show it.
 const char* NameOf(Mechanism mechanism);
@@ -44,6 +44,6 @@
 /// All names, separated by commas.
 std::string MechanismNames();
 /// The terms with their figures, `queue=3 pace=912`; for logs.
-std::string Describe(const Costs& costs);
+std::string Describe(const PlacementCosts& costs);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/readers.h
+++ b/routing/include/egretladder/routing/readers.h
@@ -4,7 +4,8 @@
 // Load: a large fleet in which every node watches. Each change of the store is
 // then answered once to every node, and the calls cost more than all else. The
 // same while the store is away, if each node took the place of a reader that
-// failed: only the first `kReadersAble` by a hash of their names ever read.
+// failed: only the first `kMaxReaderCandidates` by a hash of their names ever
+// read.
 #pragma once
 
 #include <string>
@@ -16,7 +17,7 @@
 namespace egretladder::routing {
 
 /// True when this node should read the store: it is among the first
-/// `kReadersMost` nodes of those that can.
+/// `kMaxReaders` nodes of those that can.
 bool IsReader(const Members& members, Time now);
 
 /// Peer addresses of the nodes that take the place of this reader once it falls
--- a/routing/include/egretladder/routing/route_table.h
+++ b/routing/include/egretladder/routing/route_table.h
@@ -88,8 +88,8 @@
   IngressLimits limits;
   /// Whether keys are asked for at all.
   bool has_accounts = false;
-  std::unordered_map<std::string, std::vector<std::uint32_t>> routes_of_host;
-  std::unordered_map<std::string, std::uint32_t> service_of_name;
+  std::unordered_map<std::string, std::vector<std::uint32_t>> routes_by_host;
+  std::unordered_map<std::string, std::uint32_t> service_by_name;
   /// By the route's tier and the account's.
   std::map<std::pair<Tier, Tier>, Tier> ranks;
 };
--- a/routing/include/egretladder/routing/shared_rate.h
+++ b/routing/include/egretladder/routing/shared_rate.h
@@ -32,15 +32,15 @@
 };
 
 /// The rate at which the endpoint may be sent to now; nothing: no bound.
-std::optional<SharedRate> SharedRateOf(const Endpoint& endpoint,
-                                       const Service& service, Time now);
+std::optional<SharedRate> FindSharedRate(const Endpoint& endpoint,
+                                         const Service& service, Time now);
 
 /// True when this node is among those that share the rate.
 bool IsSender(const Endpoint& endpoint, const SharedRate& rate,
               const FleetPart& fleet);
 
 /// When one of those may send there next.
-Time NextTurn(const Endpoint& endpoint, const SharedRate& rate,
-              const FleetPart& fleet);
+Time NextTurnTime(const Endpoint& endpoint, const SharedRate& rate,
+                  const FleetPart& fleet);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/sides.h
+++ b/routing/include/egretladder/routing/sides.h
@@ -22,14 +22,14 @@
 
 /// Engines that the requests of each side keep busy, as a mean of the last
 /// seconds.
-struct SideDemand {
+struct SplitDemand {
   double tight = 0;  ///< Streams that must not pause.
   double rest = 0;   ///< Long prompts.
 };
 
 /// Measures the demand that one node sees.
 struct SideMeter {
-  SideDemand demand;  ///< As of `at`.
+  SplitDemand demand;  ///< As of `at`.
   Time at{};
 };
 
@@ -40,7 +40,7 @@
               const Placement& placement, Time now);
 
 /// The demand as of now.
-SideDemand DemandOf(const SideMeter& meter, Time now);
+SplitDemand CurrentDemand(const SideMeter& meter, Time now);
 
 /// What nodes agree on of the mean demand of one node.
 ///
@@ -50,24 +50,24 @@
 /// Nodes that each went by a measurement of their own would set boundaries that
 /// differ by a fifth, and the engines between them would get both kinds.
 struct AgreedDemand {
-  SideDemand mean;
+  SplitDemand mean;
   bool known = false;
   Time pulled{};
 };
 
 /// A peer told its figure.
-void Agree(AgreedDemand& agreed, const SideDemand& told);
+void Agree(AgreedDemand& agreed, const SplitDemand& told);
 /// Pulls the figure towards the demand measured here; call at each exchange.
 void Pull(AgreedDemand& agreed, const SideMeter& meter, Time now);
 
 /// The part of the engines that is for tight streams.
-double TightPartOf(const SideDemand& mean);
+double TightPartOf(const SplitDemand& mean);
 
 /// True for a prompt that is read in several parts.
 bool IsLongPrompt(const Demand& demand);
 
 /// Whether the endpoint is on the demand's side; true for demands of neither.
-bool IsOnItsSide(const Endpoint& endpoint, const Demand& demand,
-                 double tight_part);
+bool IsOnDemandSide(const Endpoint& endpoint, const Demand& demand,
+                    double tight_part);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/suspects.h
+++ b/routing/include/egretladder/routing/suspects.h
@@ -52,24 +52,24 @@
 milliseconds HeldFor(const Suspects& suspects, std::uint64_t request, Time now);
 
 /// One suspect as nodes tell each other, by age, since clocks differ.
-struct ToldBreak {
+struct BreakGossip {
   std::uint64_t endpoint = 0;
   milliseconds sent_ago{};
   milliseconds broke_ago{};
 };
 struct ToldSuspect {
   std::uint64_t request = 0;
-  std::vector<ToldBreak> breaks;
+  std::vector<BreakGossip> breaks;
   milliseconds cleared_ago{};  ///< `kNeverCleared`: it never was.
 };
 /// Larger than any age that is told.
-inline constexpr milliseconds kNeverCleared = 2 * kSuspectKept;
+inline constexpr milliseconds kNeverCleared = 2 * kSuspectRetention;
 
-/// Those that changed within `kSuspectTold`, the newest first.
+/// Those that changed within `kSuspectGossipTime`, the newest first.
 std::vector<ToldSuspect> SuspectsToTell(const Suspects& suspects, Time now);
 /// Takes in what a peer told. The same news again change nothing, in any order.
 void HearSuspect(Suspects& suspects, const ToldSuspect& told, Time now);
-/// Drops what is older than `kSuspectKept`.
+/// Drops what is older than `kSuspectRetention`.
 void ForgetSuspects(Suspects& suspects, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/src/admit.cc
+++ b/routing/src/admit.cc
@@ -7,13 +7,13 @@
 namespace {
 
 // Until a caller that comes back is expected to find room.
-double RoomExpectedMs(const Placement& placement) {
+double ExpectedRoomMs(const Placement& placement) {
   // A transient fault of a few endpoints is over, or known to all nodes, within
   // a second.
   constexpr double kUnknownMs = 250;
   if (placement.endpoint != nullptr) return placement.expected_ms / 2;
-  if (!placement.room_in) return kUnknownMs;
-  return static_cast<double>(placement.room_in->count());
+  if (!placement.next_turn_in) return kUnknownMs;
+  return static_cast<double>(placement.next_turn_in->count());
 }
 
 }  // namespace
@@ -38,16 +38,16 @@
       std::chrono::duration<double, std::milli>(ask.deadline - now);
   if (placement.endpoint == nullptr) {
     const auto part =
-        std::chrono::duration_cast<milliseconds>(ask.target * kWaitPart);
+        std::chrono::duration_cast<milliseconds>(ask.target * kMaxWaitRatio);
     const auto longest =
-        std::max(part, ask.came_before ? kWaitAgain : kWaitLeast);
+        std::max(part, ask.came_before ? kMinResentWait : kMinWait);
     const auto waited = now - ask.waits_since;
-    const auto until_room = placement.room_in.value_or(milliseconds{});
+    const auto until_room = placement.next_turn_in.value_or(milliseconds{});
     const bool waited_enough =
         waited >= longest || left.count() <= 0 || waited + until_room > longest;
     return waited_enough ? AdmitVerdict::kNoEndpoint : AdmitVerdict::kWait;
   }
-  if (placement.expected_ms > left.count() * kUsefulPart) {
+  if (placement.expected_ms > left.count() * kMaxExpectedWaitRatio) {
     return AdmitVerdict::kTooLate;
   }
   return AdmitVerdict::kSend;
@@ -58,11 +58,12 @@
   const double least = static_cast<double>(target.count()) / 4;
   const double spread = 0.5 + kernel::Fraction(random);
   return milliseconds(static_cast<std::int64_t>(
-      std::max(least, RoomExpectedMs(placement)) * spread));
+      std::max(least, ExpectedRoomMs(placement)) * spread));
 }
 
 milliseconds ComeBackWhenReady(milliseconds lasted, kernel::Random& random) {
-  const auto wait = std::clamp(lasted, kReadyRetryLeast, kReadyRetryMost);
+  const auto wait =
+      std::clamp(lasted, kMinNotReadyRetryDelay, kMaxNotReadyRetryDelay);
   const double spread = 0.75 + kernel::Fraction(random) / 2;
   return std::chrono::duration_cast<milliseconds>(wait * spread);
 }
--- a/routing/src/after_attempt.cc
+++ b/routing/src/after_attempt.cc
@@ -3,17 +3,17 @@
 namespace egretladder::routing {
 namespace {
 
-bool MayTryAgain(const AfterAttempt& after) {
-  return after.time_left && after.not_run < kNotRunMost &&
-         after.not_sent < kNotSentMost;
+bool CanTryAgain(const AfterAttempt& after) {
+  return after.time_left && after.not_run < kMaxNotRunAttempts &&
+         after.not_sent < kMaxNotSentAttempts;
 }
 
-NextStep AfterNotRun(const AfterAttempt& after) {
+NextStep DecideAfterNotRun(const AfterAttempt& after) {
   if (after.answer_begun) {
-    return after.resumable && MayTryAgain(after) ? NextStep::kResume
+    return after.resumable && CanTryAgain(after) ? NextStep::kResume
                                                  : NextStep::kBreakOff;
   }
-  if (MayTryAgain(after)) return NextStep::kSendAgain;
+  if (CanTryAgain(after)) return NextStep::kSendAgain;
   // An earlier attempt may have run, so that "not run" would be untrue.
   return after.may_have_run > 0 ? NextStep::kUnknown : NextStep::kRefuse;
 }
@@ -67,7 +67,7 @@
 
 NextStep DecideNext(const AfterAttempt& after) {
   if (after.end == AttemptEnd::kSucceeded) return NextStep::kPassOn;
-  if (IsNotRun(after.end)) return AfterNotRun(after);
+  if (IsNotRun(after.end)) return DecideAfterNotRun(after);
   const bool more = after.time_left && after.may_have_run < after.attempts;
   if (after.answer_begun) {
     return after.resumable && more ? NextStep::kResume : NextStep::kBreakOff;
--- a/routing/src/catalog.cc
+++ b/routing/src/catalog.cc
@@ -101,7 +101,7 @@
 void ForgetRemovals(Catalog& catalog, Time now) {
   for (FeedState& feed : catalog.feeds) {
     std::erase_if(feed.removed_at, [&feed, now](const auto& entry) {
-      if (now - entry.second < kRemovalsKept) return false;
+      if (now - entry.second < kTombstoneRetention) return false;
       const auto at = feed.items.find(entry.first);
       feed.forgotten = std::max(feed.forgotten, at->second.rev);
       feed.items.erase(at);
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -11,7 +11,7 @@
 
 // Places by rank, not by the hash itself: with ninety engines a part of them
 // would else differ by a quarter from what was asked for.
-void SetOrder(const std::vector<EndpointPtr>& by_hash) {
+void SetHashPositions(const std::vector<EndpointPtr>& by_hash) {
   const double size = static_cast<double>(by_hash.size());
   for (std::size_t i = 0; i < by_hash.size(); ++i) {
     by_hash[i]->order = static_cast<double>(i) / size;
@@ -20,7 +20,7 @@
 
 // Each into its place: sorted anew for each of thousands of entries, a node
 // that starts is busy for seconds.
-void Enlist(EndpointSet& set, const EndpointPtr& endpoint) {
+void AddToService(EndpointSet& set, const EndpointPtr& endpoint) {
   auto& list = set.by_service[endpoint->entry.service];
   const auto at =
       std::upper_bound(list.begin(), list.end(), endpoint,
@@ -28,20 +28,20 @@
                          return left->name_hash < right->name_hash;
                        });
   list.insert(at, endpoint);
-  SetOrder(list);
+  SetHashPositions(list);
 }
 
-void Unlist(EndpointSet& set, const EndpointPtr& endpoint) {
+void RemoveFromService(EndpointSet& set, const EndpointPtr& endpoint) {
   auto& list = set.by_service[endpoint->entry.service];
   std::erase(list, endpoint);
-  SetOrder(list);
+  SetHashPositions(list);
 }
 
 void Remove(EndpointSet& set, const std::string& id) {
   const auto at = set.by_id.find(id);
   if (at == set.by_id.end()) return;
   at->second->phase = EndpointPhase::kGone;
-  Unlist(set, at->second);
+  RemoveFromService(set, at->second);
   set.by_id.erase(at);
 }
 
@@ -54,13 +54,13 @@
   endpoint->cold_until = now + entry.cold_left;
   // What peers heard of an earlier process doesn't count.
   endpoint->limit.named = now;
-  Enlist(set, endpoint);
+  AddToService(set, endpoint);
   set.by_id[entry.id] = std::move(endpoint);
   return EntryChange::kNew;
 }
 
 double Smooth(double before, double newest) {
-  return before + kNewestWeight * (newest - before);
+  return before + kNewestAnswerWeight * (newest - before);
 }
 
 }  // namespace
@@ -179,21 +179,22 @@
 void OnHeard(Endpoint& endpoint, Time now) { endpoint.heard_at = now; }
 
 bool IsHeardLately(const Endpoint& endpoint, Time now) {
-  return now - endpoint.heard_at < kHeardLately;
+  return now - endpoint.heard_at < kRecentlyHeardWindow;
 }
 
 void OnConnectFailed(Endpoint& endpoint, Time now) {
-  Trust& trust = endpoint.trust;
+  EndpointHealth& trust = endpoint.trust;
   constexpr std::uint32_t kDoublings = 5;
-  const auto pause = kAvoidFirst * (1U << std::min(trust.refused, kDoublings));
-  trust.avoid_until = now + std::min<milliseconds>(pause, kAvoidMost);
+  const auto pause =
+      kInitialConnectBackoff * (1U << std::min(trust.refused, kDoublings));
+  trust.avoid_until = now + std::min<milliseconds>(pause, kMaxConnectBackoff);
   ++trust.refused;
 }
 
 void OnFailed(Endpoint& endpoint, Time now) {
-  Trust& trust = endpoint.trust;
-  trust.failing = Smooth(FailingOf(trust, now), 1);
-  trust.failing_at = now;
+  EndpointHealth& trust = endpoint.trust;
+  trust.failing = Smooth(FailureRate(trust, now), 1);
+  trust.failure_rate_at = now;
 }
 
 void OnFull(Endpoint& endpoint, milliseconds pause, Time now) {
@@ -208,38 +209,39 @@
 }
 
 void OnAnswered(Endpoint& endpoint, milliseconds took, Time now) {
-  Trust& trust = endpoint.trust;
+  EndpointHealth& trust = endpoint.trust;
   trust.refused = 0;
   trust.avoid_until = {};
-  trust.failing = Smooth(FailingOf(trust, now), 0);
-  trust.failing_at = now;
+  trust.failing = Smooth(FailureRate(trust, now), 0);
+  trust.failure_rate_at = now;
   const auto ms = static_cast<double>(took.count());
-  trust.mean_ms = trust.mean_ms == 0 ? ms : Smooth(trust.mean_ms, ms);
+  trust.mean_answer_ms =
+      trust.mean_answer_ms == 0 ? ms : Smooth(trust.mean_answer_ms, ms);
 }
 
-double FailingOf(const Trust& trust, Time now) {
+double FailureRate(const EndpointHealth& trust, Time now) {
   const auto age =
-      std::chrono::duration<double, std::milli>(now - trust.failing_at);
+      std::chrono::duration<double, std::milli>(now - trust.failure_rate_at);
   return trust.failing *
          std::exp2(-age.count() /
                    static_cast<double>(kFailureHalfLife.count()));
 }
 
-milliseconds SilenceOf(const Endpoint& endpoint, Time now) {
+milliseconds OverdueTime(const Endpoint& endpoint, Time now) {
   if (endpoint.unanswered.empty()) return {};
   const auto& [sent, due] = endpoint.unanswered.begin()->second;
   const auto expected = std::chrono::duration<double>(due - sent);
   const auto allowed = std::max(
-      std::chrono::duration_cast<milliseconds>(expected * kSilentRatio),
-      kSilentLeast);
+      std::chrono::duration_cast<milliseconds>(expected * kSilenceFactor),
+      kMinSilence);
   const auto waited = std::chrono::duration_cast<milliseconds>(now - sent);
   return std::max(milliseconds(0), waited - allowed);
 }
 
-void NoteParts(Endpoint& endpoint, const std::vector<std::uint64_t>& parts,
-               Time now) {
+void RecordPromptParts(Endpoint& endpoint,
+                       const std::vector<std::uint64_t>& parts, Time now) {
   for (const std::uint64_t part : parts) endpoint.parts[part] = now;
-  if (endpoint.parts.size() <= kPartsMost) return;
+  if (endpoint.parts.size() <= kMaxPromptParts) return;
   // Rare: drops the older half in one go.
   std::vector<Time> uses;
   uses.reserve(endpoint.parts.size());
@@ -252,9 +254,9 @@
   });
 }
 
-bool HoldsPart(const Endpoint& endpoint, std::uint64_t part, Time now) {
+bool HasCachedPart(const Endpoint& endpoint, std::uint64_t part, Time now) {
   const auto at = endpoint.parts.find(part);
-  return at != endpoint.parts.end() && now - at->second < kPartKept;
+  return at != endpoint.parts.end() && now - at->second < kPromptPartRetention;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -15,7 +15,7 @@
 
 // A life under this node's name that others take for newer than this one: an
 // earlier process, or this one before the time of day went back.
-void HearOfSelf(Members& members, const Member& told) {
+void OutbidOwnIncarnation(Members& members, const Member& told) {
   Member& self = members.self;
   if (IsNewer(told, self)) self.incarnation = told.incarnation + 1;
 }
@@ -24,7 +24,7 @@
   return static_cast<std::uint32_t>(number);
 }
 
-std::uint32_t KeyOf(const std::string& node) {
+std::uint32_t NodeKey(const std::string& node) {
   return LowHalf(kernel::HashOf(node));
 }
 
@@ -40,11 +40,11 @@
   known.unreachable = false;
 }
 
-void HearMember(Members& members, const Member& told, Time now,
-                std::vector<std::string>& news) {
-  std::erase(members.unknown, KeyOf(told.node));
+void ApplyMember(Members& members, const Member& told, Time now,
+                 std::vector<std::string>& news) {
+  std::erase(members.unknown, NodeKey(told.node));
   if (told.node == members.self.node) {
-    HearOfSelf(members, told);
+    OutbidOwnIncarnation(members, told);
     return;
   }
   const auto at = members.others.find(told.node);
@@ -56,24 +56,24 @@
   news.push_back(told.node);
 }
 
-Member WithPulse(Member member, const Pulse& pulse) {
+Member WithHeartbeat(Member member, const Pulse& pulse) {
   member.heartbeat = pulse.heartbeat;
   member.leaving = pulse.leaving;
   member.store_troubled = pulse.store_troubled;
   return member;
 }
 
-Pulse PulseOf(const Member& member) {
-  return {KeyOf(member.node), LowHalf(member.incarnation), member.heartbeat,
+Pulse MakeHeartbeat(const Member& member) {
+  return {NodeKey(member.node), LowHalf(member.incarnation), member.heartbeat,
           member.leaving, member.store_troubled};
 }
 
 // The next peer is asked who that is. One that nobody knows any more drops out
 // as others fill the list.
-void AskFor(Members& members, std::uint32_t key) {
+void AddUnknown(Members& members, std::uint32_t key) {
   auto& unknown = members.unknown;
   if (std::find(unknown.begin(), unknown.end(), key) != unknown.end()) return;
-  if (unknown.size() >= kUnknownMost) unknown.erase(unknown.begin());
+  if (unknown.size() >= kMaxUnknownNodes) unknown.erase(unknown.begin());
   unknown.push_back(key);
 }
 
@@ -92,7 +92,7 @@
   members.self = self;
   members.seeds = seeds;
   members.started = now;
-  members.most_nodes_at = now;
+  members.max_nodes_at = now;
   return members;
 }
 
@@ -102,12 +102,12 @@
                               Time now) {
   std::vector<std::string> news;
   for (const Member& member : told.members) {
-    HearMember(members, member, now, news);
+    ApplyMember(members, member, now, news);
   }
   std::unordered_map<std::uint32_t, KnownMember*> by_key;
   for (auto& [node, known] : members.others)
-    by_key.emplace(KeyOf(node), &known);
-  const std::uint32_t self = KeyOf(members.self.node);
+    by_key.emplace(NodeKey(node), &known);
+  const std::uint32_t self = NodeKey(members.self.node);
   for (const Pulse& pulse : told.pulses) {
     const auto at = by_key.find(pulse.node);
     const Member* known = at != by_key.end()   ? &at->second->member
@@ -116,11 +116,11 @@
     // Another life may have other addresses, and of this node it may be one
     // that it has to outbid.
     if (known == nullptr || LowHalf(known->incarnation) != pulse.life) {
-      AskFor(members, pulse.node);
+      AddUnknown(members, pulse.node);
     } else if (at != by_key.end()) {
-      Refresh(members, *at->second, WithPulse(*known, pulse), now, news);
+      Refresh(members, *at->second, WithHeartbeat(*known, pulse), now, news);
     } else {
-      HearOfSelf(members, WithPulse(*known, pulse));
+      OutbidOwnIncarnation(members, WithHeartbeat(*known, pulse));
     }
   }
   return news;
@@ -130,7 +130,7 @@
 
 void OnHeardFrom(Members& members, const std::string& peers, Time now) {
   for (auto& [node, known] : members.others) {
-    if (known.member.peers == peers) known.heard_itself = now;
+    if (known.member.peers == peers) known.last_message_at = now;
   }
 }
 
@@ -146,7 +146,7 @@
   std::vector<const KnownMember*> there;
   for (const auto& [node, known] : members.others) {
     // What is silent is not told: it would look new to a node that starts.
-    if (now - known.heard < SilenceAllowed(members) && !known.unreachable) {
+    if (now - known.heard < MaxMemberSilence(members) && !known.unreachable) {
       there.push_back(&known);
     }
   }
@@ -156,12 +156,12 @@
   told.unknown = members.unknown;
   for (const KnownMember* known : there) {
     const bool is_asked = std::find(asked.begin(), asked.end(),
-                                    KeyOf(known->member.node)) != asked.end();
-    if ((is_asked || now - known->met < kMemberNew) &&
-        told.members.size() <= kMembersTold) {
+                                    NodeKey(known->member.node)) != asked.end();
+    if ((is_asked || now - known->met < kNewMemberTime) &&
+        told.members.size() <= kMaxMembersPerExchange) {
       told.members.push_back(known->member);
-    } else if (told.pulses.size() < kPulsesTold) {
-      told.pulses.push_back(PulseOf(known->member));
+    } else if (told.pulses.size() < kMaxHeartbeatsPerExchange) {
+      told.pulses.push_back(MakeHeartbeat(known->member));
     }
   }
   return told;
@@ -178,7 +178,7 @@
     }
   }
   const bool stays = !IsSmallFleet(members) && !near.empty() &&
-                     kernel::Below(random, kTurnsPerZoneLeft) != 0;
+                     kernel::Below(random, kExchangesPerOtherZone) != 0;
   if (stays) addresses = std::move(near);
   // Every eighth turn, and whenever nobody is there, a seed: two parts of a
   // fleet that started apart meet there.
@@ -194,20 +194,21 @@
 }
 
 std::size_t PeersToTry(std::size_t hanging) {
-  return std::min(1 + hanging, kPeersTriedMost);
+  return std::min(1 + hanging, kMaxPeersPerTurn);
 }
 
 bool IsSmallFleet(const Members& members) {
-  return members.others.size() < kSmallFleet;
+  return members.others.size() < kMaxSmallFleetNodes;
 }
 
-std::chrono::milliseconds SilenceAllowed(const Members& members) {
-  return IsSmallFleet(members) ? kMemberSilence : kMemberSilenceLarge;
+std::chrono::milliseconds MaxMemberSilence(const Members& members) {
+  return IsSmallFleet(members) ? kMaxMemberSilence
+                               : kLargeFleetMaxMemberSilence;
 }
 
 bool IsThere(const Members& members, const KnownMember& known, Time now) {
   return !known.member.leaving && !known.unreachable &&
-         now - known.heard < SilenceAllowed(members);
+         now - known.heard < MaxMemberSilence(members);
 }
 
 std::vector<std::string> AddressesFor(const Members& members,
@@ -220,11 +221,11 @@
   }
   if (there.empty() && members.listens) there.push_back(&members.self);
   Shuffle(there, random);
-  if (there.size() > kDirectoryMost) {
+  if (there.size() > kMaxDirectoryNodes) {
     std::stable_partition(
         there.begin(), there.end(),
         [zone](const Member* member) { return member->zone == zone; });
-    there.resize(kDirectoryMost);
+    there.resize(kMaxDirectoryNodes);
   }
   std::vector<std::string> addresses;
   addresses.reserve(there.size());
@@ -239,16 +240,16 @@
                       return IsThere(members, entry.second, now);
                     });
   const std::size_t seen = 1 + static_cast<std::size_t>(others);
-  if (seen >= members.most_nodes ||
-      now - members.most_nodes_at > kNodesRemembered) {
-    members.most_nodes = seen;
-    members.most_nodes_at = now;
+  if (seen >= members.max_nodes ||
+      now - members.max_nodes_at > kFleetSizeRetention) {
+    members.max_nodes = seen;
+    members.max_nodes_at = now;
   }
   constexpr std::chrono::seconds kSettled{3};
   if (now - members.started < kSettled || members.exchanged == Time{}) {
-    return std::max(members.most_nodes, kNodesUnknown);
+    return std::max(members.max_nodes, kDefaultFleetSize);
   }
-  return members.most_nodes;
+  return members.max_nodes;
 }
 
 FleetPart PartOf(Members& members, Time now) {
@@ -266,7 +267,7 @@
 std::vector<std::string> ForgetMembers(Members& members, Time now) {
   std::vector<std::string> gone;
   std::erase_if(members.others, [&](const auto& entry) {
-    if (now - entry.second.heard < kMemberForgotten) return false;
+    if (now - entry.second.heard < kMemberRetention) return false;
     gone.push_back(entry.first);
     return true;
   });
--- a/routing/src/named_limits.cc
+++ b/routing/src/named_limits.cc
@@ -9,21 +9,22 @@
 
 bool Take(EndpointSet& set, Endpoint& endpoint, double per_second, Time named,
           Time now) {
-  NamedLimit& limit = endpoint.limit;
+  AdvertisedLimit& limit = endpoint.limit;
   const double before = limit.per_second;
-  limit.per_second =
-      per_second > 0 ? std::clamp(per_second, kLimitLeast, kLimitMost) : 0;
+  limit.per_second = per_second > 0 ? std::clamp(per_second, kMinLimitPerSecond,
+                                                 kMaxLimitPerSecond)
+                                    : 0;
   limit.named = named;
   if (limit.per_second > 0) set.limited.insert(endpoint.entry.id);
   if (limit.per_second == 0 && before > 0) limit.ended = now;
   if (limit.per_second > 0 && before == 0) limit.began = now;
   return std::abs(limit.per_second - before) >
-         kLimitChange * std::max(limit.per_second, before);
+         kMinLoggedLimitChangeRatio * std::max(limit.per_second, before);
 }
 
-bool IsOld(const NamedLimit& limit, Time now) {
-  return limit.per_second > 0 ? now - limit.named > kLimitHeard
-                              : now - limit.ended > kLimitHeard;
+bool IsOld(const AdvertisedLimit& limit, Time now) {
+  return limit.per_second > 0 ? now - limit.named > kLimitFreshTime
+                              : now - limit.ended > kLimitFreshTime;
 }
 
 }  // namespace
@@ -32,7 +33,8 @@
              std::optional<double> per_second, Time now) {
   // One that takes nothing still gets a request now and then, by whose answer
   // the end of the limit shows.
-  const double limit = per_second ? std::max(*per_second, kLimitLeast) : 0;
+  const double limit =
+      per_second ? std::max(*per_second, kMinLimitPerSecond) : 0;
   return Take(set, endpoint, limit, now, now);
 }
 
@@ -40,7 +42,7 @@
   const auto at = set.by_id.find(told.endpoint);
   if (at == set.by_id.end()) return false;
   if (!std::isfinite(told.per_second) || told.per_second < 0) return false;
-  if (told.named_ago > kLimitHeard) return false;
+  if (told.named_ago > kLimitFreshTime) return false;
   const Time named = now - told.named_ago;
   if (named <= at->second->limit.named) return false;
   return Take(set, *at->second, told.per_second, named, now);
@@ -54,13 +56,13 @@
   });
   std::vector<ToldLimit> told;
   for (const std::string& id : set.limited) {
-    const NamedLimit& limit = set.by_id[id]->limit;
+    const AdvertisedLimit& limit = set.by_id[id]->limit;
     told.push_back(
         {id, limit.per_second,
          std::chrono::duration_cast<milliseconds>(now - limit.named)});
   }
   // Of many, others at each turn.
-  while (told.size() > kLimitsTold) {
+  while (told.size() > kMaxLimitsPerExchange) {
     std::swap(told[kernel::Below(random, told.size())], told.back());
     told.pop_back();
   }
--- a/routing/src/pace.cc
+++ b/routing/src/pace.cc
@@ -5,10 +5,12 @@
 namespace egretladder::routing {
 namespace {
 
-double AloneMs(const EnginePace& engine, const ServicePace& service) {
-  const double prior =
-      service.alone_ms > 0 ? service.alone_ms : kEventMsUnknown;
-  return (engine.samples * engine.alone_ms + kPacePriorSamples * prior) /
+double EstimateUnloadedEventMs(const EnginePace& engine,
+                               const ServicePace& service) {
+  const double prior = service.unloaded_event_ms > 0 ? service.unloaded_event_ms
+                                                     : kDefaultEventMs;
+  return (engine.samples * engine.unloaded_event_ms +
+          kPacePriorSamples * prior) /
          (engine.samples + kPacePriorSamples);
 }
 
@@ -20,20 +22,21 @@
 
 void OnPause(EnginePace& engine, ServicePace& service, double running,
              std::chrono::duration<double, std::milli> pause) {
-  const double alone = pause.count() / (1 + kPacePerRunning * running);
-  Smooth(engine.alone_ms, alone, kPaceWeight);
-  engine.samples = std::min(engine.samples + 1, kPaceSamplesMost);
-  Smooth(service.alone_ms, alone, kPaceWeightOfService);
+  const double alone = pause.count() / (1 + kPaceFactorPerRunning * running);
+  Smooth(engine.unloaded_event_ms, alone, kEnginePaceWeight);
+  engine.samples = std::min(engine.samples + 1, kMaxPaceSamples);
+  Smooth(service.unloaded_event_ms, alone, kServicePaceWeight);
 }
 
 void OnStreamEnded(ServicePace& service, const std::string& route,
                    double events,
                    std::chrono::duration<double, std::milli> lasted) {
   StreamLength& length = service.lengths[route];
-  Smooth(length.events, events, kEventsWeight);
-  Smooth(length.ms, lasted.count(), kEventsWeight);
-  length.longest = std::max(
-      events, length.longest - kLongestForgets * (length.longest - events));
+  Smooth(length.events, events, kStreamLengthWeight);
+  Smooth(length.ms, lasted.count(), kStreamLengthWeight);
+  length.longest =
+      std::max(events, length.longest -
+                           kLongStreamDecayWeight * (length.longest - events));
 }
 
 void OnStreamRunning(ServicePace& service, const std::string& route,
@@ -45,23 +48,25 @@
 
 double EventsExpected(const ServicePace& service, const std::string& route) {
   const auto at = service.lengths.find(route);
-  return at != service.lengths.end() ? at->second.events : kEventsUnknown;
+  return at != service.lengths.end() ? at->second.events : kDefaultStreamEvents;
 }
 
 double EventsAtMost(const ServicePace& service, const std::string& route) {
   const auto at = service.lengths.find(route);
-  return at != service.lengths.end() ? at->second.longest : kEventsMostUnknown;
+  return at != service.lengths.end() ? at->second.longest
+                                     : kDefaultLongStreamEvents;
 }
 
 double LengthExpected(const ServicePace& service, const std::string& route) {
   const auto at = service.lengths.find(route);
   return at != service.lengths.end() ? at->second.ms
-                                     : kEventsUnknown * kEventMsUnknown;
+                                     : kDefaultStreamEvents * kDefaultEventMs;
 }
 
-double EventMs(const EnginePace& engine, const ServicePace& service,
-               double running) {
-  return AloneMs(engine, service) * (1 + kPacePerRunning * running);
+double ExpectedEventMs(const EnginePace& engine, const ServicePace& service,
+                       double running) {
+  return EstimateUnloadedEventMs(engine, service) *
+         (1 + kPaceFactorPerRunning * running);
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/place.cc
+++ b/routing/src/place.cc
@@ -11,35 +11,38 @@
 namespace egretladder::routing {
 namespace {
 
-std::uint64_t SessionOf(const Demand& demand) {
+std::uint64_t SessionHash(const Demand& demand) {
   const auto& parts = demand.parts;
-  if (parts.empty() || SharedTokens(demand) < kSessionTokens) return 0;
+  if (parts.empty() || SharedTokens(demand) < kMinSessionTokens) return 0;
   // The last part is the request's own where there are several.
   return parts[parts.size() > 1 ? parts.size() - 2 : 0].id;
 }
 
-std::uint32_t SlotsOfNode(const Endpoint& endpoint, const FleetPart& fleet) {
+std::uint32_t MaxInFlightPerNode(const Endpoint& endpoint,
+                                 const FleetPart& fleet) {
   const double even =
       static_cast<double>(endpoint.entry.slots) /
       static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
-  return std::max(kSlotsLeast,
-                  static_cast<std::uint32_t>(std::ceil(kSlotsOver * even)));
+  return std::max(
+      kMinSlotsPerNode,
+      static_cast<std::uint32_t>(std::ceil(kSlotOvercommitFactor * even)));
 }
 
 bool IsCold(const Endpoint& endpoint, Time now) {
   return now < endpoint.cold_until;
 }
 
-Uncached UncachedAt(const Endpoint& endpoint, const Demand& demand, bool first,
-                    Time now) {
-  Uncached uncached;
+UncachedTokens EstimateUncachedTokens(const Endpoint& endpoint,
+                                      const Demand& demand, bool first,
+                                      Time now) {
+  UncachedTokens uncached;
   uncached.own = demand.prompt_tokens;
   bool held = true;
   for (std::size_t i = 0; i < demand.parts.size(); ++i) {
     const PromptPart& part = demand.parts[i];
     // The last part is the request's own, unless it was read here before.
     const bool last = i + 1 == demand.parts.size();
-    held = held && (HoldsPart(endpoint, part.id, now) ||
+    held = held && (HasCachedPart(endpoint, part.id, now) ||
                     (first && !last && !IsCold(endpoint, now)));
     if (!held && last) break;
     uncached.own -= part.tokens;
@@ -49,74 +52,78 @@
   return uncached;
 }
 
-struct Usable {
+struct UsableEndpoints {
   std::vector<EndpointPtr> endpoints;
-  PlaceReason why_none = PlaceReason::kNoneKnown;
-  bool may_come_free = false;  // One that isn't used now, at any moment.
-  std::optional<Time> turn;    // The next one of this node under a limit.
+  PlacementReason reason_if_none = PlacementReason::kNoneKnown;
+  bool may_free_up = false;  // One that isn't used now, at any moment.
+  std::optional<Time> turn;  // The next one of this node under a limit.
 };
 
 // Remembers when room is expected at an endpoint that can't be used now.
-void NoteRoom(Usable& usable, PlaceReason use, const Endpoint& endpoint,
-              const Demand& demand, const FleetPart& fleet, Time now) {
-  if (use == PlaceReason::kAllLeaving) return;
-  const auto rate = SharedRateOf(endpoint, *demand.service, now);
-  if (use != PlaceReason::kAllLimited || !rate) {
-    usable.may_come_free = true;
+void RecordNextTurn(UsableEndpoints& usable, PlacementReason use,
+                    const Endpoint& endpoint, const Demand& demand,
+                    const FleetPart& fleet, Time now) {
+  if (use == PlacementReason::kAllLeaving) return;
+  const auto rate = FindSharedRate(endpoint, *demand.service, now);
+  if (use != PlacementReason::kAllLimited || !rate) {
+    usable.may_free_up = true;
     return;
   }
-  const Time turn = NextTurn(endpoint, *rate, fleet);
+  const Time turn = NextTurnTime(endpoint, *rate, fleet);
   // One that had its turn and may not send isn't this node's to use.
   if (turn <= now) return;
   usable.turn = usable.turn ? std::min(*usable.turn, turn) : turn;
 }
 
-std::optional<milliseconds> RoomIn(const Usable& usable, Time now) {
-  if (usable.may_come_free || !usable.turn) return {};
+std::optional<milliseconds> TimeToNextTurn(const UsableEndpoints& usable,
+                                           Time now) {
+  if (usable.may_free_up || !usable.turn) return {};
   return std::chrono::ceil<milliseconds>(*usable.turn - now);
 }
 
 // Why it can't be used now; `kCheapest` when it can.
-PlaceReason UseOf(const EndpointSet& set, const Endpoint& endpoint,
-                  const Demand& demand, const FleetPart& fleet, Time now) {
+PlacementReason WhyUnusable(const EndpointSet& set, const Endpoint& endpoint,
+                            const Demand& demand, const FleetPart& fleet,
+                            Time now) {
   if (endpoint.phase == EndpointPhase::kLeaving ||
       endpoint.phase == EndpointPhase::kGone ||
       IsZoneOut(set, endpoint.entry.zone)) {
-    return PlaceReason::kAllLeaving;
+    return PlacementReason::kAllLeaving;
   }
-  if (now < endpoint.trust.avoid_until) return PlaceReason::kAllDown;
+  if (now < endpoint.trust.avoid_until) return PlacementReason::kAllDown;
   if (now < endpoint.trust.full_until ||
-      endpoint.in_flight >= SlotsOfNode(endpoint, fleet)) {
-    return PlaceReason::kAllFull;
+      endpoint.in_flight >= MaxInFlightPerNode(endpoint, fleet)) {
+    return PlacementReason::kAllFull;
   }
-  if (const auto rate = SharedRateOf(endpoint, *demand.service, now)) {
-    if (now < NextTurn(endpoint, *rate, fleet) ||
+  if (const auto rate = FindSharedRate(endpoint, *demand.service, now)) {
+    if (now < NextTurnTime(endpoint, *rate, fleet) ||
         !IsSender(endpoint, *rate, fleet)) {
-      return rate->reason == RateReason::kCold ? PlaceReason::kAllCold
-                                               : PlaceReason::kAllLimited;
+      return rate->reason == RateReason::kCold ? PlacementReason::kAllCold
+                                               : PlacementReason::kAllLimited;
     }
   }
-  return PlaceReason::kCheapest;
+  return PlacementReason::kCheapest;
 }
 
-Usable FindUsable(const EndpointSet& set, const Demand& demand,
-                  const std::vector<EndpointPtr>& tried, const FleetPart& fleet,
-                  Time now) {
-  Usable usable;
+UsableEndpoints FindUsable(const EndpointSet& set, const Demand& demand,
+                           const std::vector<EndpointPtr>& tried,
+                           const FleetPart& fleet, Time now) {
+  UsableEndpoints usable;
   const auto at = set.by_service.find(demand.service->name);
   if (at == set.by_service.end()) return usable;
   for (const EndpointPtr& endpoint : at->second) {
     if (std::find(tried.begin(), tried.end(), endpoint) != tried.end()) {
-      usable.why_none = PlaceReason::kAllTried;
+      usable.reason_if_none = PlacementReason::kAllTried;
       continue;
     }
-    const PlaceReason use = UseOf(set, *endpoint, demand, fleet, now);
-    if (use == PlaceReason::kCheapest) {
+    const PlacementReason use = WhyUnusable(set, *endpoint, demand, fleet, now);
+    if (use == PlacementReason::kCheapest) {
       usable.endpoints.push_back(endpoint);
       continue;
     }
-    NoteRoom(usable, use, *endpoint, demand, fleet, now);
-    if (usable.why_none != PlaceReason::kAllTried) usable.why_none = use;
+    RecordNextTurn(usable, use, *endpoint, demand, fleet, now);
+    if (usable.reason_if_none != PlacementReason::kAllTried)
+      usable.reason_if_none = use;
   }
   return usable;
 }
@@ -126,8 +133,9 @@
 }
 
 // Moves the endpoints that the session prefers to the front, in order.
-void PreferFirst(std::vector<EndpointPtr>& endpoints, std::uint64_t session) {
-  const std::size_t count = std::min(kPreferred, endpoints.size());
+void MovePreferredFirst(std::vector<EndpointPtr>& endpoints,
+                        std::uint64_t session) {
+  const std::size_t count = std::min(kPreferredEndpoints, endpoints.size());
   std::partial_sort(
       endpoints.begin(), endpoints.begin() + static_cast<std::ptrdiff_t>(count),
       endpoints.end(), [&](const EndpointPtr& left, const EndpointPtr& right) {
@@ -136,19 +144,20 @@
 }
 
 // Leaves those on the demand's side, if there are any.
-void KeepItsSide(std::vector<EndpointPtr>& endpoints, const Demand& demand,
-                 double tight_part) {
+void KeepDemandSide(std::vector<EndpointPtr>& endpoints, const Demand& demand,
+                    double tight_part) {
   const auto end = std::stable_partition(
       endpoints.begin(), endpoints.end(), [&](const EndpointPtr& endpoint) {
-        return IsOnItsSide(*endpoint, demand, tight_part);
+        return IsOnDemandSide(*endpoint, demand, tight_part);
       });
   if (end != endpoints.begin()) endpoints.erase(end, endpoints.end());
 }
 
 // Moves random ones to places `from` and on.
-void DrawSome(std::vector<EndpointPtr>& endpoints, std::size_t from,
-              kernel::Random& random) {
-  const std::size_t until = std::min(endpoints.size(), from + kDrawn);
+void DrawRandomCandidates(std::vector<EndpointPtr>& endpoints, std::size_t from,
+                          kernel::Random& random) {
+  const std::size_t until =
+      std::min(endpoints.size(), from + kRandomCandidates);
   for (std::size_t i = from; i < until; ++i) {
     const std::size_t other = i + kernel::Below(random, endpoints.size() - i);
     std::swap(endpoints[i], endpoints[other]);
@@ -166,27 +175,27 @@
   return tokens;
 }
 
-const char* NameOf(PlaceReason reason) {
+const char* NameOf(PlacementReason reason) {
   switch (reason) {
-    case PlaceReason::kSession:
+    case PlacementReason::kSession:
       return "session";
-    case PlaceReason::kCached:
+    case PlacementReason::kCached:
       return "cached";
-    case PlaceReason::kCheapest:
+    case PlacementReason::kCheapest:
       return "cheapest";
-    case PlaceReason::kNoneKnown:
+    case PlacementReason::kNoneKnown:
       return "none-known";
-    case PlaceReason::kAllLeaving:
+    case PlacementReason::kAllLeaving:
       return "all-leaving";
-    case PlaceReason::kAllFull:
+    case PlacementReason::kAllFull:
       return "all-full";
-    case PlaceReason::kAllCold:
+    case PlacementReason::kAllCold:
       return "all-cold";
-    case PlaceReason::kAllLimited:
+    case PlacementReason::kAllLimited:
       return "all-limited";
-    case PlaceReason::kAllDown:
+    case PlacementReason::kAllDown:
       return "all-down";
-    case PlaceReason::kAllTried:
+    case PlacementReason::kAllTried:
       return "all-tried";
   }
   return "unknown";
@@ -196,47 +205,50 @@
                 const std::vector<EndpointPtr>& tried, const FleetPart& fleet,
                 kernel::Random& random, Time now) {
   Placement best;
-  Usable usable = FindUsable(set, demand, tried, fleet, now);
-  if (usable.endpoints.empty() && usable.why_none == PlaceReason::kAllTried) {
+  UsableEndpoints usable = FindUsable(set, demand, tried, fleet, now);
+  if (usable.endpoints.empty() &&
+      usable.reason_if_none == PlacementReason::kAllTried) {
     // The only one that there is may do better the second time.
     usable = FindUsable(set, demand, {}, fleet, now);
   }
   if (usable.endpoints.empty()) {
-    best.reason = usable.why_none;
-    best.room_in = RoomIn(usable, now);
+    best.reason = usable.reason_if_none;
+    best.next_turn_in = TimeToNextTurn(usable, now);
     return best;
   }
   const auto is_off = [&set](Mechanism mechanism) {
     return set.off.test(static_cast<std::size_t>(mechanism));
   };
   const std::uint64_t session =
-      is_off(Mechanism::kSessions) ? 0 : SessionOf(demand);
-  if (usable.endpoints.size() >= kSplitLeast && !is_off(Mechanism::kSides)) {
-    KeepItsSide(usable.endpoints, demand, set.tight_part);
+      is_off(Mechanism::kSessionAffinity) ? 0 : SessionHash(demand);
+  if (usable.endpoints.size() >= kMinEnginesToSplit &&
+      !is_off(Mechanism::kEngineSplit)) {
+    KeepDemandSide(usable.endpoints, demand, set.tight_part);
   }
   std::size_t preferred = 0;
   if (session != 0) {
-    PreferFirst(usable.endpoints, session);
-    preferred = std::min(kPreferred, usable.endpoints.size());
+    MovePreferredFirst(usable.endpoints, session);
+    preferred = std::min(kPreferredEndpoints, usable.endpoints.size());
   }
-  DrawSome(usable.endpoints, preferred, random);
+  DrawRandomCandidates(usable.endpoints, preferred, random);
   const ServicePace& pace = PaceOf(set, demand.service->name);
   double least = std::numeric_limits<double>::max();
   for (std::size_t i = 0; i < usable.endpoints.size(); ++i) {
     const EndpointPtr& endpoint = usable.endpoints[i];
     const bool first = session != 0 && i == 0;
-    const Uncached uncached = UncachedAt(*endpoint, demand, first, now);
-    const Costs costs =
-        CostsOf({*endpoint, demand, uncached, pace, fleet, i < preferred, now},
-                set.off);
+    const UncachedTokens uncached =
+        EstimateUncachedTokens(*endpoint, demand, first, now);
+    const PlacementCosts costs = ComputeCosts(
+        {*endpoint, demand, uncached, pace, fleet, i < preferred, now},
+        set.off);
     if (costs.Total() >= least) continue;
     least = costs.Total();
-    best = {endpoint, PlaceReason::kCheapest, costs.UntilFirst(),
+    best = {endpoint, PlacementReason::kCheapest, costs.UntilFirstEvent(),
             uncached.Sum(), costs};
     if (first) {
-      best.reason = PlaceReason::kSession;
+      best.reason = PlacementReason::kSession;
     } else if (demand.prompt_tokens > 0 && uncached.shared == 0) {
-      best.reason = PlaceReason::kCached;
+      best.reason = PlacementReason::kCached;
     }
   }
   return best;
@@ -253,8 +265,8 @@
   std::vector<std::uint64_t> parts;
   parts.reserve(demand.parts.size());
   for (const PromptPart& part : demand.parts) parts.push_back(part.id);
-  NoteParts(endpoint, parts, now);
-  if (SharedRateOf(endpoint, *demand.service, now)) endpoint.rated_sent = now;
+  RecordPromptParts(endpoint, parts, now);
+  if (FindSharedRate(endpoint, *demand.service, now)) endpoint.rated_sent = now;
 }
 
 void OnStarted(Endpoint& endpoint, const Demand& demand, std::uint64_t attempt,
--- a/routing/src/place_cost.cc
+++ b/routing/src/place_cost.cc
@@ -10,7 +10,7 @@
   return endpoint.in_flight + endpoint.others_in_flight;
 }
 
-bool IsGeneration(const CostAsk& ask) { return ask.demand.prompt_tokens > 0; }
+bool IsGeneration(const CostInput& ask) { return ask.demand.prompt_tokens > 0; }
 
 // Engines read what they have admitted in turn, and admit by rank only while
 // their slots are taken: until then all that waits is ahead, whatever its rank.
@@ -23,94 +23,96 @@
   return tokens;
 }
 
-double Queue(const CostAsk& ask) {
+double Queue(const CostInput& ask) {
   const Endpoint& endpoint = ask.endpoint;
   const double running = RunningAt(endpoint);
   if (IsGeneration(ask)) {
     return TokensAhead(endpoint, ask.demand.tier) / kPromptTokensPerMs +
            running * kCostPerRunningMs;
   }
-  const double mean = endpoint.trust.mean_ms > 0 ? endpoint.trust.mean_ms
-                                                 : kServiceTimeUnknownMs;
+  const double mean = endpoint.trust.mean_answer_ms > 0
+                          ? endpoint.trust.mean_answer_ms
+                          : kDefaultServiceTimeMs;
   return mean * running / std::max<std::uint32_t>(endpoint.entry.slots, 1);
 }
 
-double Reading(const CostAsk& ask) {
+double Reading(const CostInput& ask) {
   return ask.uncached.own / kPromptTokensPerMs;
 }
 
-double Again(const CostAsk& ask) {
-  const double times = ask.preferred ? kSpillCost : kStrayCost;
+double Again(const CostInput& ask) {
+  const double times =
+      ask.preferred ? kPreferredRereadFactor : kUnpreferredRereadFactor;
   return std::min(ask.uncached.shared * times / kPromptTokensPerMs,
-                  kAnewMostMs);
+                  kMaxRereadCostMs);
 }
 
-double PaceOfOwn(const CostAsk& ask) {
+double OwnStreamPace(const CostInput& ask) {
   if (!ask.demand.tight) return 0;
   return ask.demand.events *
-         EventMs(ask.endpoint.pace, ask.pace, RunningAt(ask.endpoint));
+         ExpectedEventMs(ask.endpoint.pace, ask.pace, RunningAt(ask.endpoint));
 }
 
-double Drift(const CostAsk& ask) { return ask.endpoint.trust.drift_ms; }
+double Drift(const CostInput& ask) { return ask.endpoint.trust.drift_ms; }
 
-double Failing(const CostAsk& ask) {
-  return FailingOf(ask.endpoint.trust, ask.now) * kFailingMs;
+double Failing(const CostInput& ask) {
+  return FailureRate(ask.endpoint.trust, ask.now) * kFailureCostMs;
 }
 
-double Silence(const CostAsk& ask) {
-  return static_cast<double>(SilenceOf(ask.endpoint, ask.now).count());
+double Silence(const CostInput& ask) {
+  return static_cast<double>(OverdueTime(ask.endpoint, ask.now).count());
 }
 
-double Zone(const CostAsk& ask) {
-  return ask.endpoint.entry.zone != ask.fleet.zone ? kOtherZoneMs : 0;
+double Zone(const CostInput& ask) {
+  return ask.endpoint.entry.zone != ask.fleet.zone ? kOtherZoneCostMs : 0;
 }
 
-double Cold(const CostAsk& ask) {
-  double cost = ask.now < ask.endpoint.cold_until ? kColdMs : 0;
-  if (ask.endpoint.phase == EndpointPhase::kLapsed) cost += kColdMs;
+double Cold(const CostInput& ask) {
+  double cost = ask.now < ask.endpoint.cold_until ? kColdCostMs : 0;
+  if (ask.endpoint.phase == EndpointPhase::kLapsed) cost += kColdCostMs;
   return cost;
 }
 
 struct Term {
   const char* name;
-  double (*ms)(const CostAsk& ask);
+  double (*ms)(const CostInput& ask);
   bool before_first;  // Delays the request's own first event.
 };
 
-double NoTerm(const CostAsk& /*ask*/) { return 0; }
+double NoCost(const CostInput& /*ask*/) { return 0; }
 
 // In the order of `Mechanism`.
-constexpr std::array<Term, kMechanisms> kTerms = {{
+constexpr std::array<Term, kMechanismCount> kTerms = {{
     {"queue", Queue, true},
     {"reading", Reading, true},
     {"again", Again, true},
-    {"pace", PaceOfOwn, false},
+    {"pace", OwnStreamPace, false},
     {"drift", Drift, true},
     {"failing", Failing, true},
     {"silence", Silence, true},
     {"zone", Zone, true},
     {"cold", Cold, true},
-    {"sides", NoTerm, false},
-    {"sessions", NoTerm, false},
+    {"sides", NoCost, false},
+    {"sessions", NoCost, false},
 }};
 
 }  // namespace
 
-double Costs::Total() const {
+double PlacementCosts::Total() const {
   return std::accumulate(ms.begin(), ms.end(), 0.0);
 }
 
-double Costs::UntilFirst() const {
+double PlacementCosts::UntilFirstEvent() const {
   double sum = 0;
-  for (std::size_t i = 0; i < kMechanisms; ++i) {
+  for (std::size_t i = 0; i < kMechanismCount; ++i) {
     if (kTerms[i].before_first) sum += ms[i];
   }
   return sum;
 }
 
-Costs CostsOf(const CostAsk& ask, const MechanismsOff& off) {
-  Costs costs;
-  for (std::size_t i = 0; i < kMechanisms; ++i) {
+PlacementCosts ComputeCosts(const CostInput& ask, const MechanismsOff& off) {
+  PlacementCosts costs;
+  for (std::size_t i = 0; i < kMechanismCount; ++i) {
     if (!off.test(i)) costs.ms[i] = kTerms[i].ms(ask);
   }
   return costs;
@@ -121,7 +123,7 @@
 }
 
 std::optional<Mechanism> FindMechanism(std::string_view name) {
-  for (std::size_t i = 0; i < kMechanisms; ++i) {
+  for (std::size_t i = 0; i < kMechanismCount; ++i) {
     if (kTerms[i].name == name) return static_cast<Mechanism>(i);
   }
   return std::nullopt;
@@ -136,9 +138,9 @@
   return names;
 }
 
-std::string Describe(const Costs& costs) {
+std::string Describe(const PlacementCosts& costs) {
   std::string text;
-  for (std::size_t i = 0; i < kMechanisms; ++i) {
+  for (std::size_t i = 0; i < kMechanismCount; ++i) {
     const auto ms = static_cast<std::int64_t>(costs.ms[i]);
     if (ms == 0) continue;
     if (!text.empty()) text += ' ';
--- a/routing/src/pulls.cc
+++ b/routing/src/pulls.cc
@@ -31,7 +31,7 @@
     offer->revision = std::max(offer->revision, revision);
     return;
   }
-  if (pull.offers.size() >= kOffersMost) pull.offers.erase(pull.offers.begin());
+  if (pull.offers.size() >= kMaxOffers) pull.offers.erase(pull.offers.begin());
   pull.offers.push_back({peer, near, revision, {}});
 }
 
@@ -39,7 +39,7 @@
   std::erase_if(pull.offers,
                 [own](const Offer& offer) { return offer.revision <= own; });
   if (!pull.asked.empty()) {
-    if (now - pull.asked_at < kPullTime) return {};
+    if (now - pull.asked_at < kFetchTimeout) return {};
     const std::string silent = pull.asked;
     OnPullFailed(pull, silent, kPullSilentPause, now);
   }
@@ -67,7 +67,7 @@
 }
 
 bool MaySend(std::size_t bytes, std::size_t unsent) {
-  return bytes <= kSmallChanges || unsent < kPeerBacklog;
+  return bytes <= kSmallChanges || unsent < kMaxPeerBacklogBytes;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/readers.cc
+++ b/routing/src/readers.cc
@@ -8,14 +8,14 @@
 namespace {
 
 // The other nodes that are there, by whether a hash prefers them to this one.
-struct Ranked {
+struct RankedNodes {
   std::vector<const KnownMember*> before;
   std::vector<const KnownMember*> after;
 };
 
-Ranked RankOthers(const Members& members, Time now) {
+RankedNodes RankOtherNodes(const Members& members, Time now) {
   const std::uint64_t own = kernel::HashOf(members.self.node);
-  Ranked ranked;
+  RankedNodes ranked;
   for (const auto& [node, known] : members.others) {
     if (!IsThere(members, known, now)) continue;
     auto& side = kernel::HashOf(node) > own ? ranked.before : ranked.after;
@@ -26,39 +26,39 @@
 
 // How long readers may be silent to a standby. The first to take a reader's
 // place tells the next ones before their time comes.
-milliseconds SilenceAllowedTo(std::size_t rank) {
-  return kReaderSilence +
-         kReaderStagger * static_cast<std::int64_t>(rank - kReadersMost);
+milliseconds MaxReaderSilenceFor(std::size_t rank) {
+  return kMaxReaderSilence +
+         kStandbyStagger * static_cast<std::int64_t>(rank - kMaxReaders);
 }
 
 // Readers and their standbys need a while to hear of each other.
 bool IsSilent(const Members& members, const KnownMember& known,
               milliseconds allowed, Time now) {
-  const Time told_from = std::max(known.met, members.started) + kMemberNew;
-  return now - std::max(known.heard_itself, told_from) > allowed;
+  const Time told_from = std::max(known.met, members.started) + kNewMemberTime;
+  return now - std::max(known.last_message_at, told_from) > allowed;
 }
 
 }  // namespace
 
 bool IsReader(const Members& members, Time now) {
-  const bool young = now - members.started < kReaderLeastAge;
+  const bool young = now - members.started < kMinReaderAge;
   if (young && !members.seeds.empty()) return false;
   if (IsSmallFleet(members)) return true;
-  const auto before = RankOthers(members, now).before;
+  const auto before = RankOtherNodes(members, now).before;
   const std::size_t rank = before.size();
-  if (rank < kReadersMost) return true;
-  if (rank >= kReadersAble) return false;
-  const milliseconds allowed = SilenceAllowedTo(rank);
+  if (rank < kMaxReaders) return true;
+  if (rank >= kMaxReaderCandidates) return false;
+  const milliseconds allowed = MaxReaderSilenceFor(rank);
   const auto reading = std::count_if(
       before.begin(), before.end(), [&](const KnownMember* known) {
         return !known->member.store_troubled &&
                !IsSilent(members, *known, allowed, now);
       });
-  return static_cast<std::size_t>(reading) < kReadersMost;
+  return static_cast<std::size_t>(reading) < kMaxReaders;
 }
 
 std::vector<std::string> StandbysOf(const Members& members, Time now) {
-  Ranked ranked = RankOthers(members, now);
+  RankedNodes ranked = RankOtherNodes(members, now);
   const std::size_t rank = ranked.before.size();
   auto& after = ranked.after;
   std::sort(after.begin(), after.end(),
@@ -67,9 +67,9 @@
                      kernel::HashOf(right->member.node);
             });
   std::vector<std::string> standbys;
-  for (std::size_t i = 0; i < after.size() && rank + 1 + i < kReadersAble;
-       ++i) {
-    if (rank + 1 + i >= kReadersMost) {
+  for (std::size_t i = 0;
+       i < after.size() && rank + 1 + i < kMaxReaderCandidates; ++i) {
+    if (rank + 1 + i >= kMaxReaders) {
       standbys.push_back(after[i]->member.peers);
     }
   }
--- a/routing/src/retry_share.cc
+++ b/routing/src/retry_share.cc
@@ -5,39 +5,39 @@
 namespace egretladder::routing {
 namespace {
 
-std::int64_t NumberAt(const RetryRule& rule, Time now) {
+std::int64_t BucketNumber(const RetryRule& rule, Time now) {
   const auto slice = rule.window / kRetryBuckets;
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              now.time_since_epoch()) /
          slice;
 }
 
-RetryShare::Slice& SliceAt(RetryShare& share, std::int64_t number) {
+RetryShare::Slice& BucketAt(RetryShare& share, std::int64_t number) {
   auto& slice = share.slices[static_cast<std::size_t>(number) % kRetryBuckets];
   if (slice.number != number) slice = {number, 0, 0};
   return slice;
 }
 
 // This process's part of the fixed allowance.
-double SlackOf(const RetryRule& rule, const RetryFleet& fleet) {
+double NodeSlack(const RetryRule& rule, const RetryFleet& fleet) {
   const double part =
       rule.slack / static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
   const double lived =
       std::min(1.0, std::chrono::duration<double>(fleet.age) / rule.window);
   // Enough for one repeat, if the part is.
-  const double least = std::min(part, 1 / kRetryUsed);
+  const double least = std::min(part, 1 / kUsableRetryRatio);
   return std::max(least, part * lived);
 }
 
 }  // namespace
 
 void OnRequest(RetryShare& share, const RetryRule& rule, Time now) {
-  ++SliceAt(share, NumberAt(rule, now)).requests;
+  ++BucketAt(share, BucketNumber(rule, now)).requests;
 }
 
 double RetriesLeft(const RetryShare& share, const RetryRule& rule,
                    const RetryFleet& fleet, Time now) {
-  const std::int64_t number = NumberAt(rule, now);
+  const std::int64_t number = BucketNumber(rule, now);
   double requests = 0;
   double repeats = 0;
   for (const RetryShare::Slice& slice : share.slices) {
@@ -48,14 +48,14 @@
     repeats += slice.repeats;
   }
   const double allowed =
-      kRetryUsed * (rule.ratio * requests + SlackOf(rule, fleet));
+      kUsableRetryRatio * (rule.ratio * requests + NodeSlack(rule, fleet));
   return std::max(0.0, allowed - repeats);
 }
 
 bool TakeRetry(RetryShare& share, const RetryRule& rule,
                const RetryFleet& fleet, Time now) {
   if (RetriesLeft(share, rule, fleet, now) < 1) return false;
-  ++SliceAt(share, NumberAt(rule, now)).repeats;
+  ++BucketAt(share, BucketNumber(rule, now)).repeats;
   return true;
 }
 
--- a/routing/src/route_table.cc
+++ b/routing/src/route_table.cc
@@ -15,8 +15,8 @@
   return key;
 }
 
-std::pair<Tier, Tier> TiersOf(const Route& route,
-                              const ClientAccount* account) {
+std::pair<Tier, Tier> TierPair(const Route& route,
+                               const ClientAccount* account) {
   const bool own = account != nullptr && account->tier.has_value();
   return {route.tier, own ? *account->tier : route.tier};
 }
@@ -42,12 +42,12 @@
 }  // namespace
 
 void IndexTable(RouteTable& table) {
-  table.routes_of_host.clear();
-  table.service_of_name.clear();
+  table.routes_by_host.clear();
+  table.service_by_name.clear();
   for (std::uint32_t i = 0; i < table.routes.size(); ++i) {
-    table.routes_of_host[HostKey(table.routes[i].host)].push_back(i);
+    table.routes_by_host[HostKey(table.routes[i].host)].push_back(i);
   }
-  for (auto& [host, routes] : table.routes_of_host) {
+  for (auto& [host, routes] : table.routes_by_host) {
     std::stable_sort(routes.begin(), routes.end(),
                      [&table](std::uint32_t left, std::uint32_t right) {
                        return table.routes[left].prefix.size() >
@@ -56,14 +56,14 @@
   }
   NumberRanks(table);
   for (std::uint32_t i = 0; i < table.services.size(); ++i) {
-    table.service_of_name.emplace(table.services[i].name, i);
+    table.service_by_name.emplace(table.services[i].name, i);
   }
 }
 
 const Route* FindRoute(const RouteTable& table, std::string_view host,
                        std::string_view target) {
-  const auto at = table.routes_of_host.find(HostKey(host));
-  if (at == table.routes_of_host.end()) return nullptr;
+  const auto at = table.routes_by_host.find(HostKey(host));
+  if (at == table.routes_by_host.end()) return nullptr;
   const std::string_view path = target.substr(0, target.find('?'));
   for (const std::uint32_t idx : at->second) {
     if (path.starts_with(table.routes[idx].prefix)) return &table.routes[idx];
@@ -80,7 +80,7 @@
 
 Tier RankOf(const RouteTable& table, const Route& route,
             const ClientAccount* account) {
-  const auto at = table.ranks.find(TiersOf(route, account));
+  const auto at = table.ranks.find(TierPair(route, account));
   return at == table.ranks.end() ? route.tier : at->second;
 }
 
--- a/routing/src/shared_rate.cc
+++ b/routing/src/shared_rate.cc
@@ -13,34 +13,34 @@
   return std::max(fleet.nodes, fleet.names.size());
 }
 
-std::optional<SharedRate> ColdRateOf(const Endpoint& endpoint,
-                                     const Service& service, Time now) {
+std::optional<SharedRate> ColdStartRate(const Endpoint& endpoint,
+                                        const Service& service, Time now) {
   if (now >= endpoint.cold_until || service.cold_per_second <= 0) return {};
-  return SharedRate{kRateUsed * service.cold_per_second, kColdSenders,
+  return SharedRate{kUsableRateRatio * service.cold_per_second, kMaxColdSenders,
                     RateReason::kCold};
 }
 
-std::optional<SharedRate> LimitOf(const Endpoint& endpoint, Time now) {
-  const NamedLimit& limit = endpoint.limit;
+std::optional<SharedRate> AdvertisedRate(const Endpoint& endpoint, Time now) {
+  const AdvertisedLimit& limit = endpoint.limit;
   if (limit.per_second <= 0) return {};
-  if (now - limit.named > kLimitHeard) {
-    return SharedRate{kLimitProbed * limit.per_second,
+  if (now - limit.named > kLimitFreshTime) {
+    return SharedRate{kLimitProbeRatio * limit.per_second,
                       std::numeric_limits<std::size_t>::max(),
-                      RateReason::kLimited, limit.named + kLimitHeard};
+                      RateReason::kLimited, limit.named + kLimitFreshTime};
   }
   const double senders =
-      kLimitSenders + kLimitSendersPerRate * limit.per_second;
-  return SharedRate{kRateUsed * limit.per_second,
+      kBaseLimitSenders + kLimitSendersPerRate * limit.per_second;
+  return SharedRate{kUsableRateRatio * limit.per_second,
                     static_cast<std::size_t>(senders), RateReason::kLimited,
                     limit.began};
 }
 
 }  // namespace
 
-std::optional<SharedRate> SharedRateOf(const Endpoint& endpoint,
-                                       const Service& service, Time now) {
-  const auto cold = ColdRateOf(endpoint, service, now);
-  const auto limit = LimitOf(endpoint, now);
+std::optional<SharedRate> FindSharedRate(const Endpoint& endpoint,
+                                         const Service& service, Time now) {
+  const auto cold = ColdStartRate(endpoint, service, now);
+  const auto limit = AdvertisedRate(endpoint, now);
   if (!cold || !limit) return cold ? cold : limit;
   SharedRate rate = cold->per_second < limit->per_second ? *cold : *limit;
   rate.senders = std::min(cold->senders, limit->senders);
@@ -63,8 +63,8 @@
   return before < rate.senders;
 }
 
-Time NextTurn(const Endpoint& endpoint, const SharedRate& rate,
-              const FleetPart& fleet) {
+Time NextTurnTime(const Endpoint& endpoint, const SharedRate& rate,
+                  const FleetPart& fleet) {
   const std::size_t senders = std::min(NodesOf(fleet), rate.senders);
   const std::chrono::duration<double> pause(static_cast<double>(senders) /
                                             rate.per_second);
--- a/routing/src/sides.cc
+++ b/routing/src/sides.cc
@@ -7,16 +7,17 @@
 namespace {
 
 // Time for which the engine is busy with one request while it runs a batch.
-double EngineMs(const Demand& demand, const Placement& placement) {
+double EngineBusyMs(const Demand& demand, const Placement& placement) {
   const Endpoint& engine = *placement.endpoint;
   const double slots = std::max<std::uint32_t>(engine.entry.slots, 1);
   return placement.uncached_tokens / kPromptTokensPerMs +
          demand.length_ms / slots;
 }
 
-double Decay(Time from, Time to) {
+double DecayFactor(Time from, Time to) {
   const std::chrono::duration<double, std::milli> age = to - from;
-  return std::exp(-age.count() / static_cast<double>(kSideMemory.count()));
+  return std::exp(-age.count() /
+                  static_cast<double>(kSplitDemandTimeConstant.count()));
 }
 
 }  // namespace
@@ -25,23 +26,23 @@
               const Placement& placement, Time now) {
   const bool is_long = IsLongPrompt(demand);
   if (!demand.tight && !is_long) return;
-  meter.demand = DemandOf(meter, now);
+  meter.demand = CurrentDemand(meter, now);
   meter.at = now;
-  const double engines =
-      EngineMs(demand, placement) / static_cast<double>(kSideMemory.count());
+  const double engines = EngineBusyMs(demand, placement) /
+                         static_cast<double>(kSplitDemandTimeConstant.count());
   if (demand.tight) {
-    meter.demand.tight += engines * kTightMargin;
+    meter.demand.tight += engines * kTightDemandFactor;
   } else {
     meter.demand.rest += engines;
   }
 }
 
-SideDemand DemandOf(const SideMeter& meter, Time now) {
-  const double left = Decay(meter.at, now);
+SplitDemand CurrentDemand(const SideMeter& meter, Time now) {
+  const double left = DecayFactor(meter.at, now);
   return {meter.demand.tight * left, meter.demand.rest * left};
 }
 
-void Agree(AgreedDemand& agreed, const SideDemand& told) {
+void Agree(AgreedDemand& agreed, const SplitDemand& told) {
   if (told.tight + told.rest <= 0) return;  // It knows nothing yet.
   if (!agreed.known) {
     agreed.mean = told;
@@ -53,7 +54,7 @@
 }
 
 void Pull(AgreedDemand& agreed, const SideMeter& meter, Time now) {
-  const SideDemand own = DemandOf(meter, now);
+  const SplitDemand own = CurrentDemand(meter, now);
   if (!agreed.known) {
     agreed.known = own.tight + own.rest > 0;
     agreed.mean = own;
@@ -65,23 +66,24 @@
   const std::chrono::duration<double, std::milli> since = now - agreed.pulled;
   agreed.pulled = now;
   const double part =
-      1 - std::exp(-since.count() / static_cast<double>(kSidePull.count()));
+      1 - std::exp(-since.count() /
+                   static_cast<double>(kFleetDemandTimeConstant.count()));
   agreed.mean.tight += part * (own.tight - agreed.mean.tight);
   agreed.mean.rest += part * (own.rest - agreed.mean.rest);
 }
 
-double TightPartOf(const SideDemand& mean) {
+double TightPartOf(const SplitDemand& mean) {
   const double sum = mean.tight + mean.rest;
-  if (sum <= 0) return kTightPartUnknown;
-  return std::clamp(mean.tight / sum, kTightPartLeast, kTightPartMost);
+  if (sum <= 0) return kDefaultTightFraction;
+  return std::clamp(mean.tight / sum, kMinTightFraction, kMaxTightFraction);
 }
 
 bool IsLongPrompt(const Demand& demand) {
-  return demand.prompt_tokens > kLongPrompt;
+  return demand.prompt_tokens > kLongPromptTokens;
 }
 
-bool IsOnItsSide(const Endpoint& endpoint, const Demand& demand,
-                 double tight_part) {
+bool IsOnDemandSide(const Endpoint& endpoint, const Demand& demand,
+                    double tight_part) {
   if (!demand.tight && !IsLongPrompt(demand)) return true;
   return (endpoint.order < tight_part) == demand.tight;
 }
--- a/routing/src/stop_take.cc
+++ b/routing/src/stop_take.cc
@@ -47,9 +47,10 @@
   if (demand.longest > 1) {
     const double running = endpoint.in_flight + endpoint.others_in_flight;
     ms += (demand.longest - 1) *
-          EventMs(endpoint.pace, PaceOf(set, demand.service->name), running);
+          ExpectedEventMs(endpoint.pace, PaceOf(set, demand.service->name),
+                          running);
   } else {
-    ms += endpoint.trust.mean_ms * kLongWhole;
+    ms += endpoint.trust.mean_answer_ms * kLongAnswerFactor;
   }
   return milliseconds(std::llround(std::max(ms, 0.0)));
 }
--- a/routing/src/suspects.cc
+++ b/routing/src/suspects.cc
@@ -5,11 +5,11 @@
 namespace egretladder::routing {
 namespace {
 
-milliseconds AgeOf(Time time, Time now) {
+milliseconds Age(Time time, Time now) {
   return std::chrono::duration_cast<milliseconds>(now - time);
 }
 
-Time NewestOf(const Suspect& suspect) {
+Time LastChange(const Suspect& suspect) {
   Time newest = suspect.cleared;
   for (const Break& seen : suspect.breaks) {
     newest = std::max(newest, seen.broke);
@@ -17,17 +17,17 @@
   return newest;
 }
 
-void MakeRoom(Suspects& suspects) {
-  if (suspects.by_request.size() < kSuspectsMost) return;
-  suspects.by_request.erase(
-      std::min_element(suspects.by_request.begin(), suspects.by_request.end(),
-                       [](const auto& left, const auto& right) {
-                         return NewestOf(left.second) < NewestOf(right.second);
-                       }));
+void EvictOldestIfFull(Suspects& suspects) {
+  if (suspects.by_request.size() < kMaxSuspects) return;
+  suspects.by_request.erase(std::min_element(
+      suspects.by_request.begin(), suspects.by_request.end(),
+      [](const auto& left, const auto& right) {
+        return LastChange(left.second) < LastChange(right.second);
+      }));
 }
 
-Suspect& SuspectOf(Suspects& suspects, std::uint64_t request) {
-  if (!suspects.by_request.contains(request)) MakeRoom(suspects);
+Suspect& FindOrAddSuspect(Suspects& suspects, std::uint64_t request) {
+  if (!suspects.by_request.contains(request)) EvictOldestIfFull(suspects);
   return suspects.by_request[request];
 }
 
@@ -38,7 +38,7 @@
       [&seen](const Break& one) { return one.endpoint == seen.endpoint; });
   if (known == suspect.breaks.end()) {
     suspect.breaks.push_back(seen);
-  } else if (known->broke + kSameBreak < seen.broke) {
+  } else if (known->broke + kSameBreakWindow < seen.broke) {
     *known = seen;
   } else {
     return false;
@@ -47,22 +47,23 @@
             [](const Break& left, const Break& right) {
               return left.broke < right.broke;
             });
-  if (suspect.breaks.size() > kBreaksKept) {
+  if (suspect.breaks.size() > kMaxBreaksPerSuspect) {
     suspect.breaks.erase(suspect.breaks.begin());
   }
   return true;
 }
 
 // Crashes one after the other: each was sent only after the one before broke.
-struct Chain {
+struct CrashChain {
   std::size_t crashes = 0;
   Time last{};
 };
 
-Chain ChainOf(const Suspect& suspect, Time now) {
-  Chain chain;
+CrashChain FindCrashChain(const Suspect& suspect, Time now) {
+  CrashChain chain;
   for (const Break& seen : suspect.breaks) {
-    if (seen.broke <= suspect.cleared || now - seen.broke >= kSuspectKept) {
+    if (seen.broke <= suspect.cleared ||
+        now - seen.broke >= kSuspectRetention) {
       continue;
     }
     if (chain.crashes > 0 && seen.sent < chain.last) continue;
@@ -75,7 +76,7 @@
 }  // namespace
 
 void OnBroke(Suspects& suspects, std::uint64_t request, const Break& seen) {
-  Suspect& suspect = SuspectOf(suspects, request);
+  Suspect& suspect = FindOrAddSuspect(suspects, request);
   if (Merge(suspect, seen)) suspect.changed = seen.broke;
 }
 
@@ -90,29 +91,30 @@
                      Time now) {
   const auto at = suspects.by_request.find(request);
   if (at == suspects.by_request.end()) return {};
-  const Chain chain = ChainOf(at->second, now);
-  if (chain.crashes < kCrashesMost) return {};
-  return std::max(milliseconds(0), kSuspectHeld - AgeOf(chain.last, now));
+  const CrashChain chain = FindCrashChain(at->second, now);
+  if (chain.crashes < kMaxCrashes) return {};
+  return std::max(milliseconds(0), kSuspectHoldTime - Age(chain.last, now));
 }
 
 std::vector<ToldSuspect> SuspectsToTell(const Suspects& suspects, Time now) {
   std::vector<std::pair<Time, std::uint64_t>> newest;
   for (const auto& [request, suspect] : suspects.by_request) {
-    if (now - suspect.changed >= kSuspectTold) continue;
+    if (now - suspect.changed >= kSuspectGossipTime) continue;
     newest.emplace_back(suspect.changed, request);
   }
   std::sort(newest.rbegin(), newest.rend());
-  if (newest.size() > kSuspectsTold) newest.resize(kSuspectsTold);
+  if (newest.size() > kMaxSuspectsPerExchange)
+    newest.resize(kMaxSuspectsPerExchange);
   std::vector<ToldSuspect> told;
   for (const auto& [time, request] : newest) {
     const Suspect& suspect = suspects.by_request.at(request);
     ToldSuspect one;
     one.request = request;
     one.cleared_ago =
-        suspect.cleared == Time{} ? kNeverCleared : AgeOf(suspect.cleared, now);
+        suspect.cleared == Time{} ? kNeverCleared : Age(suspect.cleared, now);
     for (const Break& seen : suspect.breaks) {
       one.breaks.push_back(
-          {seen.endpoint, AgeOf(seen.sent, now), AgeOf(seen.broke, now)});
+          {seen.endpoint, Age(seen.sent, now), Age(seen.broke, now)});
     }
     told.push_back(std::move(one));
   }
@@ -120,14 +122,14 @@
 }
 
 void HearSuspect(Suspects& suspects, const ToldSuspect& told, Time now) {
-  Suspect& suspect = SuspectOf(suspects, told.request);
-  if (told.cleared_ago < kSuspectKept) {
+  Suspect& suspect = FindOrAddSuspect(suspects, told.request);
+  if (told.cleared_ago < kSuspectRetention) {
     const Time cleared = now - told.cleared_ago;
-    if (suspect.cleared + kSameBreak < cleared) suspect.changed = now;
+    if (suspect.cleared + kSameBreakWindow < cleared) suspect.changed = now;
     suspect.cleared = std::max(suspect.cleared, cleared);
   }
-  for (const ToldBreak& seen : told.breaks) {
-    if (seen.broke_ago >= kSuspectKept) continue;
+  for (const BreakGossip& seen : told.breaks) {
+    if (seen.broke_ago >= kSuspectRetention) continue;
     const bool is_news = Merge(
         suspect, {seen.endpoint, now - seen.sent_ago, now - seen.broke_ago});
     if (is_news) suspect.changed = now;
@@ -136,7 +138,7 @@
 
 void ForgetSuspects(Suspects& suspects, Time now) {
   std::erase_if(suspects.by_request, [now](const auto& entry) {
-    return now - NewestOf(entry.second) >= kSuspectKept;
+    return now - LastChange(entry.second) >= kSuspectRetention;
   });
 }
 
--- a/routing/tests/admit_test.cc
+++ b/routing/tests/admit_test.cc
@@ -56,10 +56,10 @@
 // Guards against callers that are held for a turn that comes after their time.
 TEST(Admit, NobodyWaitsForATurnThatComesTooLate) {
   er::Placement limited;
-  limited.reason = er::PlaceReason::kAllLimited;
-  limited.room_in = 300ms;
+  limited.reason = er::PlacementReason::kAllLimited;
+  limited.next_turn_in = 300ms;
   CHECK(er::DecideSend(Ask(), limited, kStart) == AdmitVerdict::kWait);
-  limited.room_in = 3s;
+  limited.next_turn_in = 3s;
   CHECK(er::DecideSend(Ask(), limited, kStart) == AdmitVerdict::kNoEndpoint);
   egretladder::kernel::Random random{5};
   for (int i = 0; i < 20; ++i) {
--- a/routing/tests/after_attempt_test.cc
+++ b/routing/tests/after_attempt_test.cc
@@ -109,6 +109,6 @@
 // what makes them full.
 TEST(AfterAttempt, GivesUpAfterAFewFullEndpoints) {
   er::AfterAttempt after = Ask(AttemptEnd::kFull);
-  after.not_run = er::kNotRunMost;
+  after.not_run = er::kMaxNotRunAttempts;
   CHECK(er::DecideNext(after) == NextStep::kRefuse);
 }
--- a/routing/tests/catalog_test.cc
+++ b/routing/tests/catalog_test.cc
@@ -79,7 +79,7 @@
   er::Apply(ours, List(5, {{"a", "1", 3}, {"b", "1", 4}}), kStart);
   er::Catalog theirs = ours;
   er::Apply(ours, Watch(8, {{"a", "", 8, true}}), kStart);
-  er::ForgetRemovals(ours, kStart + er::kRemovalsKept + 1s);
+  er::ForgetRemovals(ours, kStart + er::kTombstoneRetention + 1s);
   const er::Changes lacking = er::ChangesSince(ours, er::Feed::kEndpoints, 5);
   CHECK(lacking.whole);
   const auto news = er::Apply(theirs, lacking, kStart);
--- a/routing/tests/endpoints_test.cc
+++ b/routing/tests/endpoints_test.cc
@@ -62,7 +62,7 @@
 TEST(Endpoints, ARestartedProcessHasNoHistory) {
   er::OnEntry(set, Entry("x"), kStart);
   const er::EndpointPtr before = set.by_id["x"];
-  er::NoteParts(*before, {7}, kStart);
+  er::RecordPromptParts(*before, {7}, kStart);
   before->in_flight = 3;
   er::EndpointEntry again = Entry("x");
   again.born = 200;
@@ -72,7 +72,7 @@
   CHECK(after != before);
   CHECK(before->phase == er::EndpointPhase::kGone);
   LONGS_EQUAL(0, after->in_flight);
-  CHECK_FALSE(er::HoldsPart(*after, 7, kStart + 1s));
+  CHECK_FALSE(er::HasCachedPart(*after, 7, kStart + 1s));
   CHECK(after->cold_until == kStart + 4s);
 }
 
@@ -116,15 +116,15 @@
   er::OnEntry(set, Entry("x"), kStart);
   er::Endpoint& endpoint = *set.by_id["x"];
   er::OnFailed(endpoint, kStart);
-  const double failing = er::FailingOf(endpoint.trust, kStart);
+  const double failing = er::FailureRate(endpoint.trust, kStart);
   CHECK(failing > 0);
   DOUBLES_EQUAL(failing / 2,
-                er::FailingOf(endpoint.trust, kStart + er::kFailureHalfLife),
+                er::FailureRate(endpoint.trust, kStart + er::kFailureHalfLife),
                 0.001);
   er::OnConnectFailed(endpoint, kStart);
-  CHECK(endpoint.trust.avoid_until == kStart + er::kAvoidFirst);
+  CHECK(endpoint.trust.avoid_until == kStart + er::kInitialConnectBackoff);
   er::OnConnectFailed(endpoint, kStart);
-  CHECK(endpoint.trust.avoid_until == kStart + 2 * er::kAvoidFirst);
+  CHECK(endpoint.trust.avoid_until == kStart + 2 * er::kInitialConnectBackoff);
   er::OnAnswered(endpoint, 10ms, kStart);
   CHECK(endpoint.trust.avoid_until == er::Time{});
 }
@@ -132,10 +132,11 @@
 TEST(Endpoints, ForgetsTheOlderHalfOfTheParts) {
   er::OnEntry(set, Entry("x"), kStart);
   er::Endpoint& endpoint = *set.by_id["x"];
-  for (std::uint64_t part = 1; part <= er::kPartsMost + 1; ++part) {
-    er::NoteParts(endpoint, {part}, kStart + std::chrono::microseconds(part));
+  for (std::uint64_t part = 1; part <= er::kMaxPromptParts + 1; ++part) {
+    er::RecordPromptParts(endpoint, {part},
+                          kStart + std::chrono::microseconds(part));
   }
-  CHECK(endpoint.parts.size() <= er::kPartsMost);
-  CHECK(er::HoldsPart(endpoint, er::kPartsMost + 1, kStart + 1s));
-  CHECK_FALSE(er::HoldsPart(endpoint, 1, kStart + 1s));
+  CHECK(endpoint.parts.size() <= er::kMaxPromptParts);
+  CHECK(er::HasCachedPart(endpoint, er::kMaxPromptParts + 1, kStart + 1s));
+  CHECK_FALSE(er::HasCachedPart(endpoint, 1, kStart + 1s));
 }
--- a/routing/tests/members_test.cc
+++ b/routing/tests/members_test.cc
@@ -131,7 +131,7 @@
   met.members = {Node("other")};
   er::Hear(peer, met, kStart);
   ek::Random random{1};
-  const er::Time now = kStart + er::kMemberNew;
+  const er::Time now = kStart + er::kNewMemberTime;
   met.members[0].heartbeat = 1;
   er::Hear(peer, met, now - 100ms);
   const er::MemberNews told = er::ToTell(peer, {}, random, now);
@@ -171,7 +171,7 @@
   LONGS_EQUAL(390, er::PartOf(fleet.nodes[0], now).names.size());
   LONGS_EQUAL(390, er::PartOf(fleet.nodes[200], now).names.size());
   fleet.LosePower(3);
-  fleet.Run(now, er::kMemberSilenceLarge + 2s);
+  fleet.Run(now, er::kLargeFleetMaxMemberSilence + 2s);
   LONGS_EQUAL(389, er::PartOf(fleet.nodes[0], now).names.size());
 }
 
@@ -201,7 +201,7 @@
   er::Time now = kStart;
   fleet.Run(now, 3s);
   fleet.LosePower(3);
-  fleet.Run(now, er::kMemberSilence + 500ms);
+  fleet.Run(now, er::kMaxMemberSilence + 500ms);
   CHECK_FALSE(Names(fleet.Told(0, now), "n3:80"));
 }
 
@@ -251,7 +251,7 @@
 // A node that just started knows nobody, and would take all for itself.
 TEST(Members, ANewNodeTakesTheSmallestPart) {
   er::Members fresh = er::StartMembers(Node("n0"), {"n1:90"}, kStart);
-  LONGS_EQUAL(er::kNodesUnknown, er::PartOf(fresh, kStart).nodes);
+  LONGS_EQUAL(er::kDefaultFleetSize, er::PartOf(fresh, kStart).nodes);
 }
 
 // Ninety nodes that all watch the store would cost ninety calls for each
@@ -261,7 +261,7 @@
   er::Time now = kStart;
   fleet.Run(now, 5s);
   const auto first = fleet.Readers(now);
-  LONGS_EQUAL(er::kReadersMost, first.size());
+  LONGS_EQUAL(er::kMaxReaders, first.size());
   for (const std::size_t reader : first) {
     fleet.nodes[reader].self.store_troubled = true;
   }
@@ -270,7 +270,7 @@
   for (const std::size_t reader : fleet.Readers(now)) {
     if (std::find(first.begin(), first.end(), reader) == first.end()) ++others;
   }
-  LONGS_EQUAL(er::kReadersMost, others);
+  LONGS_EQUAL(er::kMaxReaders, others);
 }
 
 // Guards against rules and leaving endpoints of which no node hears for
@@ -281,12 +281,12 @@
     er::Time now = kStart;
     fleet.Run(now, 6s);
     const auto first = fleet.Readers(now);
-    LONGS_EQUAL(er::kReadersMost, first.size());
+    LONGS_EQUAL(er::kMaxReaders, first.size());
     for (const std::size_t reader : first) fleet.LosePower(reader);
     fleet.Run(now, 2s);
     CHECK(!fleet.Readers(now).empty());
     fleet.Run(now, 5s);
-    LONGS_EQUAL(er::kReadersMost, fleet.Readers(now).size());
+    LONGS_EQUAL(er::kMaxReaders, fleet.Readers(now).size());
   }
 }
 
@@ -310,7 +310,7 @@
   for (const er::Members& node : fleet.nodes) {
     if (er::IsReader(node, now)) ++readers;
   }
-  LONGS_EQUAL(er::kReadersAble, readers);
+  LONGS_EQUAL(er::kMaxReaderCandidates, readers);
 }
 
 TEST(Members, EveryNodeOfASmallFleetReadsTheStore) {
--- a/routing/tests/named_limits_test.cc
+++ b/routing/tests/named_limits_test.cc
@@ -240,22 +240,22 @@
   er::Service service{.name = "engines", .cold_per_second = 5};
   endpoint.cold_until = kStart + 10s;
   er::OnLimit(set, endpoint, 2, kStart);
-  auto rate = er::SharedRateOf(endpoint, service, kStart);
+  auto rate = er::FindSharedRate(endpoint, service, kStart);
   CHECK(rate->reason == er::RateReason::kLimited);
   LONGS_EQUAL(7, rate->senders);
   er::OnLimit(set, endpoint, 60, kStart);
-  rate = er::SharedRateOf(endpoint, service, kStart);
+  rate = er::FindSharedRate(endpoint, service, kStart);
   CHECK(rate->reason == er::RateReason::kCold);
-  LONGS_EQUAL(er::kColdSenders, rate->senders);
+  LONGS_EQUAL(er::kMaxColdSenders, rate->senders);
 }
 
 TEST(NamedLimits, AreKeptWithinBounds) {
   LimitedFleet fleet(1);
   er::Endpoint& endpoint = fleet.At(0);
   CHECK(er::OnLimit(fleet.Set(0), endpoint, 0, kStart));
-  DOUBLES_EQUAL(er::kLimitLeast, endpoint.limit.per_second, 0);
+  DOUBLES_EQUAL(er::kMinLimitPerSecond, endpoint.limit.per_second, 0);
   CHECK(er::OnLimit(fleet.Set(0), endpoint, 1e300, kStart));
-  DOUBLES_EQUAL(er::kLimitMost, endpoint.limit.per_second, 0);
+  DOUBLES_EQUAL(er::kMaxLimitPerSecond, endpoint.limit.per_second, 0);
   // What hardly changes isn't worth a line.
   CHECK_FALSE(er::OnLimit(fleet.Set(0), endpoint, 0.9e6, kStart));
   CHECK(er::OnLimit(fleet.Set(0), endpoint, std::nullopt, kStart));
@@ -288,12 +288,12 @@
   er::OnLimit(set, *set.by_id["two"], 4, kStart);
   auto none = er::Place(set, demand, {}, alone, random, kStart);
   CHECK(none.endpoint == nullptr);
-  CHECK(none.reason == er::PlaceReason::kAllLimited);
+  CHECK(none.reason == er::PlacementReason::kAllLimited);
   // The first turn comes within one pause of the larger limit.
-  CHECK(none.room_in > 0ms && none.room_in <= 313ms);
+  CHECK(none.next_turn_in > 0ms && none.next_turn_in <= 313ms);
   // One that is full for a moment may be free before that.
   er::OnLimit(set, *set.by_id["two"], std::nullopt, kStart);
   er::OnFull(*set.by_id["two"], 200ms, kStart);
   none = er::Place(set, demand, {}, alone, random, kStart);
-  CHECK(none.endpoint == nullptr && !none.room_in);
+  CHECK(none.endpoint == nullptr && !none.next_turn_in);
 }
--- a/routing/tests/pace_test.cc
+++ b/routing/tests/pace_test.cc
@@ -21,25 +21,25 @@
 
 TEST(Pace, AnEngineNotSeenYetIsTakenForAMeanOne) {
   See(fast, 20, 200);
-  DOUBLES_EQUAL(20, er::EventMs(er::EnginePace{}, service, 0), 0.1);
+  DOUBLES_EQUAL(20, er::ExpectedEventMs(er::EnginePace{}, service, 0), 0.1);
 }
 
 // One sample in a busy moment must not keep work away from an engine.
 TEST(Pace, FewSamplesSayLittle) {
   See(fast, 20, 200);
   See(slow, 60, 1);
-  CHECK(er::EventMs(slow, service, 0) < 30);
+  CHECK(er::ExpectedEventMs(slow, service, 0) < 30);
   See(slow, 60, 30);
-  CHECK(er::EventMs(slow, service, 0) > 45);
+  CHECK(er::ExpectedEventMs(slow, service, 0) > 45);
 }
 
 // Engines run many requests when they are seen, and their number differs. What
 // is learned is the engine, not the load of that moment.
 TEST(Pace, TheLoadOfTheMomentIsTakenOut) {
-  See(fast, 20 * (1 + 10 * er::kPacePerRunning), 50, 10);
-  DOUBLES_EQUAL(20, er::EventMs(fast, service, 0), 0.1);
-  DOUBLES_EQUAL(20 * (1 + 4 * er::kPacePerRunning),
-                er::EventMs(fast, service, 4), 0.1);
+  See(fast, 20 * (1 + 10 * er::kPaceFactorPerRunning), 50, 10);
+  DOUBLES_EQUAL(20, er::ExpectedEventMs(fast, service, 0), 0.1);
+  DOUBLES_EQUAL(20 * (1 + 4 * er::kPaceFactorPerRunning),
+                er::ExpectedEventMs(fast, service, 4), 0.1);
 }
 
 // An engine turns slow in the middle of a day.
@@ -47,18 +47,20 @@
   See(fast, 20, 200);
   See(slow, 20, 200);
   See(slow, 100, 20);  // Four streams of forty events.
-  CHECK(er::EventMs(slow, service, 0) > 2 * er::EventMs(fast, service, 0));
+  CHECK(er::ExpectedEventMs(slow, service, 0) >
+        2 * er::ExpectedEventMs(fast, service, 0));
 }
 
 TEST(Pace, TheLengthOfStreamsIsLearnedByRoute) {
-  DOUBLES_EQUAL(er::kEventsUnknown, er::EventsExpected(service, "chat"), 0);
+  DOUBLES_EQUAL(er::kDefaultStreamEvents, er::EventsExpected(service, "chat"),
+                0);
   for (int i = 0; i < 200; ++i) er::OnStreamEnded(service, "chat", 50, 1500ms);
   for (int i = 0; i < 200; ++i) er::OnStreamEnded(service, "tag", 3, 90ms);
   DOUBLES_EQUAL(50, er::EventsExpected(service, "chat"), 0.1);
   DOUBLES_EQUAL(3, er::EventsExpected(service, "tag"), 0.1);
   DOUBLES_EQUAL(1500, er::LengthExpected(service, "chat"), 1);
   DOUBLES_EQUAL(90, er::LengthExpected(service, "tag"), 1);
-  DOUBLES_EQUAL(er::kEventsUnknown * er::kEventMsUnknown,
+  DOUBLES_EQUAL(er::kDefaultStreamEvents * er::kDefaultEventMs,
                 er::LengthExpected(service, "other"), 0);
 }
 
@@ -79,7 +81,7 @@
   for (int stream = 0; stream < 5; ++stream) {
     er::OnStreamEnded(service, "record", 5, 1s);
   }
-  CHECK(er::EventsAtMost(service, "record") > er::kEventsMostUnknown / 2);
+  CHECK(er::EventsAtMost(service, "record") > er::kDefaultLongStreamEvents / 2);
   er::OnStreamRunning(service, "record", 300);
   DOUBLES_EQUAL(300, er::EventsAtMost(service, "record"), 0);
 }
--- a/routing/tests/place_test.cc
+++ b/routing/tests/place_test.cc
@@ -10,12 +10,13 @@
 using namespace std::chrono_literals;
 namespace er = egretladder::routing;
 namespace ek = egretladder::kernel;
-using er::PlaceReason;
+using er::PlacementReason;
 
 namespace {
 
 constexpr er::Time kStart{std::chrono::hours(1)};
-constexpr er::SharedRate kColdRate{19, er::kColdSenders, er::RateReason::kCold};
+constexpr er::SharedRate kColdRate{19, er::kMaxColdSenders,
+                                   er::RateReason::kCold};
 
 }  // namespace
 
@@ -74,7 +75,7 @@
     random.seed(session);
     const er::Placement again = Choose(Prompt(session));
     CHECK(first.endpoint == again.endpoint);
-    CHECK(first.reason == PlaceReason::kSession);
+    CHECK(first.reason == PlacementReason::kSession);
     ++chosen[first.endpoint->entry.id];
   }
   for (const auto& [id, count] : chosen) CHECK(count > 25);
@@ -94,7 +95,7 @@
     ++sent[placement.endpoint->entry.id];
   }
   CHECK(sent.size() >= 2);
-  CHECK(sent.size() <= er::kPreferred);
+  CHECK(sent.size() <= er::kPreferredEndpoints);
 }
 
 // A burst of long prompts over many sessions. What spills is read anew at the
@@ -169,7 +170,7 @@
 TEST(Place, NothingGoesToLeavingOnesOrZonesOut) {
   Add("x");
   At("x").phase = er::EndpointPhase::kLeaving;
-  CHECK(Choose(Plain()).reason == PlaceReason::kAllLeaving);
+  CHECK(Choose(Plain()).reason == PlacementReason::kAllLeaving);
   Add("y");
   er::SetZoneOut(set, "a", true);
   POINTERS_EQUAL(nullptr, Choose(Plain()).endpoint.get());
@@ -226,7 +227,7 @@
     const er::FleetPart part{names.size(), name, names, "a"};
     if (er::IsSender(At("cold"), kColdRate, part)) ++senders;
   }
-  LONGS_EQUAL(er::kColdSenders, senders);
+  LONGS_EQUAL(er::kMaxColdSenders, senders);
 }
 
 // The network splits, and a node sees itself alone. It must not take the whole
@@ -241,19 +242,19 @@
   Add("x");
   fleet.nodes = 8;
   At("x").in_flight = 4;
-  CHECK(Choose(Plain()).reason == PlaceReason::kAllFull);
+  CHECK(Choose(Plain()).reason == PlacementReason::kAllFull);
   fleet.nodes = 4;
   CHECK(Choose(Plain()).endpoint == set.by_id["x"]);
 }
 
 TEST(Place, SaysWhyThereIsNone) {
-  CHECK(Choose(Plain()).reason == PlaceReason::kNoneKnown);
+  CHECK(Choose(Plain()).reason == PlacementReason::kNoneKnown);
   Add("x");
   er::OnConnectFailed(At("x"), kStart);
-  CHECK(Choose(Plain()).reason == PlaceReason::kAllDown);
+  CHECK(Choose(Plain()).reason == PlacementReason::kAllDown);
   At("x").trust = {};
   er::OnFull(At("x"), 60ms, kStart);
-  CHECK(Choose(Plain()).reason == PlaceReason::kAllFull);
+  CHECK(Choose(Plain()).reason == PlacementReason::kAllFull);
 }
 
 // All endpoints of a service but one are down, and that one failed a read once.
@@ -329,7 +330,7 @@
 TEST(Place, AMechanismThatIsSwitchedOffTakesNoPart) {
   for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
   set.tight_part = 0.25;
-  set.off.set(static_cast<std::size_t>(er::Mechanism::kSides));
+  set.off.set(static_cast<std::size_t>(er::Mechanism::kEngineSplit));
   set.off.set(static_cast<std::size_t>(er::Mechanism::kZone));
   std::size_t at_tight = 0;
   for (std::uint64_t session = 1; session <= 200; ++session) {
--- a/routing/tests/placing_load_test.cc
+++ b/routing/tests/placing_load_test.cc
@@ -206,7 +206,7 @@
       load->Slow(engine, 1.3);
     }
   }
-  mixed.SwitchOff(er::Mechanism::kSides);
+  mixed.SwitchOff(er::Mechanism::kEngineSplit);
   mixed.Play(39, 100, 12s);
   CHECK(divided.Unpaused(150) >= 0.95);
   CHECK(mixed.Unpaused(150) < divided.Unpaused(150) - 0.1);
--- a/routing/tests/pulls_test.cc
+++ b/routing/tests/pulls_test.cc
@@ -39,7 +39,7 @@
   er::OnOffer(pull, "a", true, 5);
   er::OnOffer(pull, "b", false, 5);
   STRCMP_EQUAL("a", Next().c_str());
-  now += er::kPullTime;
+  now += er::kFetchTimeout;
   STRCMP_EQUAL("b", Next().c_str());
 }
 
@@ -48,7 +48,7 @@
   er::OnOffer(pull, "a", true, 5);
   er::OnOffer(pull, "b", false, 5);
   Next();
-  now += er::kPullTime;
+  now += er::kFetchTimeout;
   Next();
   er::OnPulled(pull, "a");
   STRCMP_EQUAL("", Next().c_str());
@@ -78,13 +78,13 @@
   for (int i = 0; i < 100; ++i) {
     er::OnOffer(pull, std::to_string(i), false, 5);
   }
-  LONGS_EQUAL(er::kOffersMost, pull.offers.size());
+  LONGS_EQUAL(er::kMaxOffers, pull.offers.size());
 }
 
 // Guards against a large change that fills the link of the node that has it.
 TEST(Pulls, LargeChangesWaitForTheLinkAndSmallOnesDont) {
   constexpr std::size_t kLarge = 100'000;
   CHECK(er::MaySend(kLarge, 0));
-  CHECK_FALSE(er::MaySend(kLarge, er::kPeerBacklog));
-  CHECK(er::MaySend(er::kSmallChanges, 10 * er::kPeerBacklog));
+  CHECK_FALSE(er::MaySend(kLarge, er::kMaxPeerBacklogBytes));
+  CHECK(er::MaySend(er::kSmallChanges, 10 * er::kMaxPeerBacklogBytes));
 }
--- a/routing/tests/sides_test.cc
+++ b/routing/tests/sides_test.cc
@@ -78,7 +78,7 @@
         er::Pull(agreed[i], meters[i], now);
         if (!exchange) continue;
         const std::size_t peer = ek::Below(random, kNodes);
-        const er::SideDemand told = agreed[i].mean;
+        const er::SplitDemand told = agreed[i].mean;
         er::Agree(agreed[i], agreed[peer].mean);
         er::Agree(agreed[peer], told);
       }
@@ -157,9 +157,9 @@
 }
 
 TEST(Sides, EachKindFindsRoomBeforeItsDemandIsKnown) {
-  DOUBLES_EQUAL(er::kTightPartUnknown, er::TightPartOf({}), 0);
-  DOUBLES_EQUAL(er::kTightPartLeast, er::TightPartOf({0, 10}), 0);
-  DOUBLES_EQUAL(er::kTightPartMost, er::TightPartOf({10, 0}), 0);
+  DOUBLES_EQUAL(er::kDefaultTightFraction, er::TightPartOf({}), 0);
+  DOUBLES_EQUAL(er::kMinTightFraction, er::TightPartOf({0, 10}), 0);
+  DOUBLES_EQUAL(er::kMaxTightFraction, er::TightPartOf({10, 0}), 0);
 }
 
 // An engine of 128 slots runs a stream beside many others, and its part of the
@@ -213,7 +213,7 @@
   DOUBLES_EQUAL(0, meter.demand.tight, 0);
   DOUBLES_EQUAL(0, meter.demand.rest, 0);
   Place(meter, LongPrompt(), At(24, 6600));
-  const er::SideDemand before = meter.demand;
+  const er::SplitDemand before = meter.demand;
   Place(meter, brief, At(24, 600));
   DOUBLES_EQUAL(before.rest, meter.demand.rest, 0);
 }
@@ -223,9 +223,9 @@
   endpoint.order = 0.1;
   er::Demand demand = TightStream();
   demand.tight = false;
-  CHECK(er::IsOnItsSide(endpoint, demand, 0.3));
+  CHECK(er::IsOnDemandSide(endpoint, demand, 0.3));
   endpoint.order = 0.9;
-  CHECK(er::IsOnItsSide(endpoint, demand, 0.3));
-  CHECK_FALSE(er::IsOnItsSide(endpoint, TightStream(), 0.3));
-  CHECK(er::IsOnItsSide(endpoint, LongPrompt(), 0.3));
+  CHECK(er::IsOnDemandSide(endpoint, demand, 0.3));
+  CHECK_FALSE(er::IsOnDemandSide(endpoint, TightStream(), 0.3));
+  CHECK(er::IsOnDemandSide(endpoint, LongPrompt(), 0.3));
 }
--- a/routing/tests/spread_test.cc
+++ b/routing/tests/spread_test.cc
@@ -201,16 +201,16 @@
 
 // Guards against a leaving endpoint that some nodes go on using.
 TEST(Spread, ASmallChangeReachesAllWithinASecond) {
-  fleet.Publish(2, 400, er::kReadersMost);
+  fleet.Publish(2, 400, er::kMaxReaders);
   CHECK(fleet.UntilAllKnow(2) < 1000ms);
 }
 
 // Guards against rules that come into force late where links are slow, and
 // against content that is sent to the same node by several peers.
 TEST(Spread, ALargeChangeReachesAllWithinTwoSecondsAndEachOnce) {
-  fleet.Publish(2, 60'000, er::kReadersMost);
+  fleet.Publish(2, 60'000, er::kMaxReaders);
   CHECK(fleet.UntilAllKnow(2) < 2000ms);
-  for (std::size_t i = er::kReadersMost; i < kNodes; ++i) {
+  for (std::size_t i = er::kMaxReaders; i < kNodes; ++i) {
     LONGS_EQUAL(1, fleet.node(i).received);
   }
 }
@@ -218,15 +218,15 @@
 // Guards against nodes that wait for peers that just lost their power.
 TEST(Spread, ATenthOfTheNodesMayBeDead) {
   for (std::size_t i = 0; i < kNodes; i += 10) fleet.node(i).dead = true;
-  fleet.Publish(2, 60'000, er::kReadersMost);
+  fleet.Publish(2, 60'000, er::kMaxReaders);
   CHECK(fleet.UntilAllKnow(2) < 3000ms);
 }
 
 // Guards against news of a leaving endpoint that wait behind rules on the
 // links.
 TEST(Spread, ALeavingEndpointIsKnownInTimeWhileLargeRulesSpread) {
-  fleet.Publish(2, 200'000, er::kReadersMost);
-  fleet.Publish(2, 400, er::kReadersMost, er::Feed::kEndpoints);
+  fleet.Publish(2, 200'000, er::kMaxReaders);
+  fleet.Publish(2, 400, er::kMaxReaders, er::Feed::kEndpoints);
   CHECK(fleet.UntilAllKnow(2, er::Feed::kEndpoints) < 2000ms);
 }
 
@@ -241,7 +241,7 @@
 
 // Guards against a second version that waits behind the first.
 TEST(Spread, TwoVersionsAtOnceEndWithTheSecondEverywhere) {
-  fleet.Publish(2, 60'000, er::kReadersMost);
+  fleet.Publish(2, 60'000, er::kMaxReaders);
   fleet.Publish(3, 60'000, 1);
   CHECK(fleet.UntilAllKnow(3) < 3000ms);
 }
--- a/routing/tests/stop_take_test.cc
+++ b/routing/tests/stop_take_test.cc
@@ -100,7 +100,7 @@
   er::Service service;
   service.name = "engines";
   er::ServicePace& pace = set.paces["engines"];
-  pace.alone_ms = 20;
+  pace.unloaded_event_ms = 20;
   er::Demand demand;
   demand.service = &service;
   demand.longest = 51;
--- a/routing/tests/suspects_test.cc
+++ b/routing/tests/suspects_test.cc
@@ -43,7 +43,7 @@
   CrashInTurn(3);
   CHECK_TRUE(IsHeld(kStart + 1s));
   LONGS_EQUAL(0, er::HeldFor(suspects, kBody + 1, kStart + 1s).count());
-  CHECK_FALSE(IsHeld(kStart + er::kSuspectHeld + 1s));
+  CHECK_FALSE(IsHeld(kStart + er::kSuspectHoldTime + 1s));
 }
 
 // A rack loses power with three copies of the same harmless read on it. None of
@@ -103,20 +103,20 @@
   }
   CHECK(er::SuspectsToTell(suspects, now).empty());
   CHECK(er::SuspectsToTell(other, now).empty());
-  CHECK_FALSE(IsHeld(kStart + er::kSuspectHeld + 1s));
+  CHECK_FALSE(IsHeld(kStart + er::kSuspectHoldTime + 1s));
 }
 
 // A zone goes down with all its work. Each request there is a suspect, and
 // memory and messages stay bounded.
 TEST(Suspects, AreBoundedAndForgotten) {
-  for (std::uint64_t body = 0; body < 2 * er::kSuspectsMost; ++body) {
+  for (std::uint64_t body = 0; body < 2 * er::kMaxSuspects; ++body) {
     er::OnBroke(suspects, body, {1, kStart, kStart + body * 1us});
   }
-  LONGS_EQUAL(er::kSuspectsMost, suspects.by_request.size());
-  CHECK(suspects.by_request.contains(2 * er::kSuspectsMost - 1));
-  LONGS_EQUAL(er::kSuspectsTold,
+  LONGS_EQUAL(er::kMaxSuspects, suspects.by_request.size());
+  CHECK(suspects.by_request.contains(2 * er::kMaxSuspects - 1));
+  LONGS_EQUAL(er::kMaxSuspectsPerExchange,
               er::SuspectsToTell(suspects, kStart + 1s).size());
   CHECK(er::SuspectsToTell(suspects, kStart + 4s).empty());
-  er::ForgetSuspects(suspects, kStart + er::kSuspectKept + 1s);
+  er::ForgetSuspects(suspects, kStart + er::kSuspectRetention + 1s);
   CHECK(suspects.by_request.empty());
 }
