--- a/routing/include/egretladder/routing/admit.h
+++ b/routing/include/egretladder/routing/admission.h
@@ -12,7 +12,7 @@
 #include <cstdint>
 
 #include "egretladder/kernel/hash.h"
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 
 namespace egretladder::routing {
 
--- a/routing/include/egretladder/routing/sides.h
+++ b/routing/include/egretladder/routing/engine_split.h
@@ -16,7 +16,7 @@
 
 #include "egretladder/kernel/time.h"
 #include "egretladder/routing/endpoints.h"
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 
 namespace egretladder::routing {
 
--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -17,7 +17,7 @@
 #include "egretladder/kernel/hash.h"
 #include "egretladder/kernel/time.h"
 #include "egretladder/routing/limits.h"
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 
 namespace egretladder::routing {
 
--- a/routing/include/egretladder/routing/place_cost.h
+++ b/routing/include/egretladder/routing/placement_cost.h
@@ -12,7 +12,7 @@
 #include <string_view>
 
 #include "egretladder/routing/endpoints.h"
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 
 namespace egretladder::routing {
 
--- a/routing/include/egretladder/routing/stop_take.h
+++ b/routing/include/egretladder/routing/stop_admission.h
@@ -13,7 +13,7 @@
 
 #include "egretladder/policy/stopping.h"
 #include "egretladder/routing/endpoints.h"
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 
 namespace egretladder::routing {
 
--- a/routing/src/named_limits.cc
+++ b/routing/src/advertised_limits.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/named_limits.h"
+#include "egretladder/routing/advertised_limits.h"
 
 #include <algorithm>
 #include <chrono>
--- a/routing/src/pulls.cc
+++ b/routing/src/feed_fetch.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/pulls.h"
+#include "egretladder/routing/feed_fetch.h"
 
 #include <algorithm>
 
--- a/routing/src/place.cc
+++ b/routing/src/placement.cc
@@ -1,12 +1,12 @@
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "egretladder/routing/place_cost.h"
+#include "egretladder/routing/engine_split.h"
+#include "egretladder/routing/placement_cost.h"
 #include "egretladder/routing/shared_rate.h"
-#include "egretladder/routing/sides.h"
 
 namespace egretladder::routing {
 namespace {
--- a/routing/src/place_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/place_cost.h"
+#include "egretladder/routing/placement_cost.h"
 
 #include <algorithm>
 #include <numeric>
--- a/routing/src/stop_take.cc
+++ b/routing/src/stop_admission.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/stop_take.h"
+#include "egretladder/routing/stop_admission.h"
 
 #include <algorithm>
 #include <cmath>
--- a/routing/src/readers.cc
+++ b/routing/src/store_readers.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/readers.h"
+#include "egretladder/routing/store_readers.h"
 
 #include <algorithm>
 
--- a/routing/tests/admit_test.cc
+++ b/routing/tests/admission_test.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/admit.h"
+#include "egretladder/routing/admission.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/routing/tests/named_limits_test.cc
+++ b/routing/tests/advertised_limits_test.cc
@@ -1,6 +1,6 @@
 // An endpoint that names a limit, and all nodes that send to it, on a clock of
 // the test's own.
-#include "egretladder/routing/named_limits.h"
+#include "egretladder/routing/advertised_limits.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/routing/tests/sides_test.cc
+++ b/routing/tests/engine_split_test.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/sides.h"
+#include "egretladder/routing/engine_split.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/routing/tests/pulls_test.cc
+++ b/routing/tests/feed_fetch_test.cc
@@ -1,5 +1,5 @@
 // Whom a node asks for what it lacks.
-#include "egretladder/routing/pulls.h"
+#include "egretladder/routing/feed_fetch.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/routing/tests/members_test.cc
+++ b/routing/tests/members_test.cc
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <set>
 
-#include "egretladder/routing/readers.h"
+#include "egretladder/routing/store_readers.h"
 
 using namespace std::chrono_literals;
 namespace er = egretladder::routing;
--- a/routing/tests/after_attempt_test.cc
+++ b/routing/tests/next_step_test.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/after_attempt.h"
+#include "egretladder/routing/next_step.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/routing/tests/placing_load_test.cc
+++ b/routing/tests/placement_load_test.cc
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "egretladder/routing/place.h"
-#include "egretladder/routing/sides.h"
+#include "egretladder/routing/engine_split.h"
+#include "egretladder/routing/placement.h"
 
 using namespace std::chrono_literals;
 namespace er = egretladder::routing;
--- a/routing/tests/place_test.cc
+++ b/routing/tests/placement_test.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/routing/tests/retry_share_test.cc
+++ b/routing/tests/retry_budget_test.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/retry_share.h"
+#include "egretladder/routing/retry_budget.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/routing/tests/spread_test.cc
+++ b/routing/tests/spread_test.cc
@@ -13,9 +13,9 @@
 
 #include "egretladder/kernel/hash.h"
 #include "egretladder/routing/catalog.h"
+#include "egretladder/routing/feed_fetch.h"
 #include "egretladder/routing/limits.h"
 #include "egretladder/routing/members.h"
-#include "egretladder/routing/pulls.h"
 
 using namespace std::chrono_literals;
 namespace ek = egretladder::kernel;
