--- a/routing/src/admission.cc
+++ b/routing/src/admission.cc
@@ -56,7 +56,7 @@
 milliseconds ComeBackAfter(const Placement& placement, milliseconds target,
                            kernel::Random& random) {
   const double least = static_cast<double>(target.count()) / 4;
-  const double spread = 0.5 + kernel::Fraction(random);
+  const double spread = 0.5 + kernel::RandomFraction(random);
   return milliseconds(static_cast<std::int64_t>(
       std::max(least, ExpectedRoomMs(placement)) * spread));
 }
@@ -64,7 +64,7 @@
 milliseconds ComeBackWhenReady(milliseconds lasted, kernel::Random& random) {
   const auto wait =
       std::clamp(lasted, kMinNotReadyRetryDelay, kMaxNotReadyRetryDelay);
-  const double spread = 0.75 + kernel::Fraction(random) / 2;
+  const double spread = 0.75 + kernel::RandomFraction(random) / 2;
   return std::chrono::duration_cast<milliseconds>(wait * spread);
 }
 
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -48,7 +48,7 @@
 EntryChange Add(EndpointSet& set, const EndpointEntry& entry, Time now) {
   auto endpoint = std::make_shared<Endpoint>();
   endpoint->entry = entry;
-  endpoint->name_hash = kernel::HashOf(entry.id);
+  endpoint->name_hash = kernel::HashBytes(entry.id);
   endpoint->phase =
       entry.leaving ? EndpointPhase::kLeaving : EndpointPhase::kServing;
   endpoint->cold_until = now + entry.cold_left;
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -25,7 +25,7 @@
 }
 
 std::uint32_t NodeKey(const std::string& node) {
-  return LowHalf(kernel::HashOf(node));
+  return LowHalf(kernel::HashBytes(node));
 }
 
 // Takes what is newer of a node that is known. A new life is met anew.
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -129,7 +129,7 @@
 }
 
 std::uint64_t Weight(std::uint64_t session, const Endpoint& endpoint) {
-  return kernel::HashOf(endpoint.entry.id, session);
+  return kernel::HashBytes(endpoint.entry.id, session);
 }
 
 // Moves the endpoints that the session prefers to the front, in order.
--- a/routing/src/shared_rate.cc
+++ b/routing/src/shared_rate.cc
@@ -54,11 +54,11 @@
   // A node that others don't know yet, or that knows few of them, is rarely
   // among them.
   std::size_t before = (nodes - fleet.names.size()) / 2;
-  const std::uint64_t own = kernel::HashOf(fleet.self, endpoint.name_hash);
+  const std::uint64_t own = kernel::HashBytes(fleet.self, endpoint.name_hash);
   for (const std::string& name : fleet.names) {
     // Asked for each endpoint by each request: most nodes know after a few.
     if (before >= rate.senders) return false;
-    if (kernel::HashOf(name, endpoint.name_hash) > own) ++before;
+    if (kernel::HashBytes(name, endpoint.name_hash) > own) ++before;
   }
   return before < rate.senders;
 }
@@ -73,7 +73,7 @@
            std::chrono::duration_cast<Time::duration>(pause);
   }
   const double part =
-      kernel::FractionOf(kernel::HashOf(endpoint.entry.id + fleet.self));
+      kernel::HashToFraction(kernel::HashBytes(endpoint.entry.id + fleet.self));
   return rate.since + std::chrono::duration_cast<Time::duration>(pause * part);
 }
 
--- a/routing/src/store_readers.cc
+++ b/routing/src/store_readers.cc
@@ -14,11 +14,11 @@
 };
 
 RankedNodes RankOtherNodes(const Members& members, Time now) {
-  const std::uint64_t own = kernel::HashOf(members.self.node);
+  const std::uint64_t own = kernel::HashBytes(members.self.node);
   RankedNodes ranked;
   for (const auto& [node, known] : members.others) {
     if (!IsThere(members, known, now)) continue;
-    auto& side = kernel::HashOf(node) > own ? ranked.before : ranked.after;
+    auto& side = kernel::HashBytes(node) > own ? ranked.before : ranked.after;
     side.push_back(&known);
   }
   return ranked;
@@ -63,8 +63,8 @@
   auto& after = ranked.after;
   std::sort(after.begin(), after.end(),
             [](const KnownMember* left, const KnownMember* right) {
-              return kernel::HashOf(left->member.node) >
-                     kernel::HashOf(right->member.node);
+              return kernel::HashBytes(left->member.node) >
+                     kernel::HashBytes(right->member.node);
             });
   std::vector<std::string> standbys;
   for (std::size_t i = 0;
--- a/routing/tests/engine_split_test.cc
+++ b/routing/tests/engine_split_test.cc
@@ -60,7 +60,7 @@
     const double uncached = demand.prompt_tokens - er::SharedTokens(demand);
     const er::Placement placement = At(24, uncached);
     double due = per_second * std::chrono::duration<double>(step).count();
-    while (due > 0 && (due >= 1 || ek::Fraction(random) < due)) {
+    while (due > 0 && (due >= 1 || ek::RandomFraction(random) < due)) {
       Place(meters[ek::Below(random, kNodes)], demand, placement);
       due -= 1;
     }
--- a/routing/tests/members_test.cc
+++ b/routing/tests/members_test.cc
@@ -154,7 +154,7 @@
   told.members = {Node("n1", 10)};
   er::Hear(node, told, kStart);
   er::MemberNews pulse;
-  pulse.pulses = {{static_cast<std::uint32_t>(ek::HashOf("n1")), 11, 5}};
+  pulse.pulses = {{static_cast<std::uint32_t>(ek::HashBytes("n1")), 11, 5}};
   er::Hear(node, pulse, kStart + 100ms);
   LONGS_EQUAL(10, node.others.at("n1").member.incarnation);
   ek::Random random{1};
--- a/routing/tests/placement_load_test.cc
+++ b/routing/tests/placement_load_test.cc
@@ -138,7 +138,7 @@
   }
 
   void Arrive(double expected, bool tight, double ms) {
-    while (expected > 0 && ek::Fraction(random_) < expected) {
+    while (expected > 0 && ek::RandomFraction(random_) < expected) {
       Send(tight, ms);
       expected -= 1;
     }
