--- a/routing/src/advertised_limits.cc
+++ b/routing/src/advertised_limits.cc
@@ -63,7 +63,7 @@
   }
   // Of many, others at each turn.
   while (told.size() > kMaxLimitsPerExchange) {
-    std::swap(told[kernel::Below(random, told.size())], told.back());
+    std::swap(told[kernel::RandomBelow(random, told.size())], told.back());
     told.pop_back();
   }
   return told;
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -80,7 +80,7 @@
 template <typename T>
 void Shuffle(std::vector<T>& items, kernel::Random& random) {
   for (std::size_t i = items.size(); i > 1; --i) {
-    std::swap(items[i - 1], items[kernel::Below(random, i)]);
+    std::swap(items[i - 1], items[kernel::RandomBelow(random, i)]);
   }
 }
 
@@ -178,7 +178,7 @@
     }
   }
   const bool stays = !IsSmallFleet(members) && !near.empty() &&
-                     kernel::Below(random, kExchangesPerOtherZone) != 0;
+                     kernel::RandomBelow(random, kExchangesPerOtherZone) != 0;
   if (stays) addresses = std::move(near);
   // Every eighth turn, and whenever nobody is there, a seed: two parts of a
   // fleet that started apart meet there.
@@ -186,11 +186,11 @@
   const std::size_t turn = members.seed_turn++;
   if ((addresses.empty() || turn % kSeedTurns == 0) && !members.seeds.empty()) {
     const std::string& seed =
-        members.seeds[kernel::Below(random, members.seeds.size())];
+        members.seeds[kernel::RandomBelow(random, members.seeds.size())];
     if (seed != members.self.peers) return seed;
   }
   if (addresses.empty()) return {};
-  return addresses[kernel::Below(random, addresses.size())];
+  return addresses[kernel::RandomBelow(random, addresses.size())];
 }
 
 std::size_t PeersToTry(std::size_t hanging) {
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -159,7 +159,8 @@
   const std::size_t until =
       std::min(endpoints.size(), from + kRandomCandidates);
   for (std::size_t i = from; i < until; ++i) {
-    const std::size_t other = i + kernel::Below(random, endpoints.size() - i);
+    const std::size_t other =
+        i + kernel::RandomBelow(random, endpoints.size() - i);
     std::swap(endpoints[i], endpoints[other]);
   }
   endpoints.resize(until);
--- a/routing/tests/advertised_limits_test.cc
+++ b/routing/tests/advertised_limits_test.cc
@@ -89,7 +89,7 @@
 
   void Exchange() {
     for (std::size_t i = 0; i < sets_.size(); ++i) {
-      const std::size_t peer = ek::Below(random_, sets_.size());
+      const std::size_t peer = ek::RandomBelow(random_, sets_.size());
       Tell(i, peer);
       Tell(peer, i);
     }
--- a/routing/tests/engine_split_test.cc
+++ b/routing/tests/engine_split_test.cc
@@ -61,7 +61,7 @@
     const er::Placement placement = At(24, uncached);
     double due = per_second * std::chrono::duration<double>(step).count();
     while (due > 0 && (due >= 1 || ek::RandomFraction(random) < due)) {
-      Place(meters[ek::Below(random, kNodes)], demand, placement);
+      Place(meters[ek::RandomBelow(random, kNodes)], demand, placement);
       due -= 1;
     }
   }
@@ -77,7 +77,7 @@
       for (std::size_t i = 0; i < kNodes; ++i) {
         er::Pull(agreed[i], meters[i], now);
         if (!exchange) continue;
-        const std::size_t peer = ek::Below(random, kNodes);
+        const std::size_t peer = ek::RandomBelow(random, kNodes);
         const er::SplitDemand told = agreed[i].mean;
         er::Agree(agreed[i], agreed[peer].mean);
         er::Agree(agreed[peer], told);
--- a/routing/tests/placement_load_test.cc
+++ b/routing/tests/placement_load_test.cc
@@ -145,13 +145,13 @@
   }
 
   void Send(bool tight, double ms) {
-    er::EndpointSet& set = *sets_[ek::Below(random_, sets_.size())];
+    er::EndpointSet& set = *sets_[ek::RandomBelow(random_, sets_.size())];
     er::Demand demand;
     demand.service = &service_;
     demand.tight = tight;
     demand.events = tight ? 32 : 42;
     demand.prompt_tokens = tight ? 800 : 11'600;
-    const std::uint64_t session = 1 + ek::Below(random_, 300);
+    const std::uint64_t session = 1 + ek::RandomBelow(random_, 300);
     demand.parts = {{session, tight ? 200U : 5000U}, {0, tight ? 600U : 6600U}};
     const er::FleetPart fleet{sets_.size(), "n", {}, "a"};
     const er::Placement placement =
--- a/routing/tests/spread_test.cc
+++ b/routing/tests/spread_test.cc
@@ -49,7 +49,8 @@
       for (const er::Feed feed : kFeeds) {
         er::Apply(nodes_[i].catalog, {feed, true, 1, {{"one", "", 1}}}, now_);
       }
-      At(milliseconds(ek::Below(random_, 200)), [this, i] { Exchange(i); });
+      At(milliseconds(ek::RandomBelow(random_, 200)),
+         [this, i] { Exchange(i); });
     }
   }
 
@@ -95,7 +96,7 @@
   }
 
   std::size_t Draw(std::size_t but) {
-    const std::size_t drawn = ek::Below(random_, kNodes - 1);
+    const std::size_t drawn = ek::RandomBelow(random_, kNodes - 1);
     return drawn < but ? drawn : drawn + 1;
   }
 
