--- a/routing/include/egretladder/routing/admission.h
+++ b/routing/include/egretladder/routing/admission.h
@@ -17,38 +17,38 @@
 namespace egretladder::routing {
 
 /// What is decided for one request now.
-enum class AdmitVerdict : std::uint8_t {
+enum class AdmissionVerdict : std::uint8_t {
   kSend,
   kWait,        ///< No endpoint may take it yet.
   kTooLate,     ///< Its first event would come too late for its caller.
   kNoEndpoint,  ///< It waited as long as is worth it.
 };
 /// As logs show it.
-const char* NameOf(AdmitVerdict verdict);
+const char* NameOf(AdmissionVerdict verdict);
 
 /// What the decision depends on.
-struct AdmitAsk {
+struct AdmissionInput {
   Time waits_since{};     ///< Since it has needed an endpoint.
   Time deadline{};        ///< The earlier of the caller's and the route's.
   milliseconds target{};  ///< Promised time to the first event.
   /// It was sent before, so that giving up loses work: it waits longer.
-  bool came_before = false;
+  bool was_sent_before = false;
 };
 
 /// Decides. `placement` is what `Place` found.
-AdmitVerdict DecideSend(const AdmitAsk& ask, const Placement& placement,
-                        Time now);
+AdmissionVerdict DecideAdmission(const AdmissionInput& ask,
+                                 const Placement& placement, Time now);
 
 /// When a refused caller should come back: after the wait that it met, spread
 /// so that those refused together don't return together.
-milliseconds ComeBackAfter(const Placement& placement, milliseconds target,
-                           kernel::Random& random);
+milliseconds RetryAfterRejection(const Placement& placement,
+                                 milliseconds target, kernel::Random& random);
 
 /// When a caller should come back to a node that has known no rules for
 /// `lasted` so far: about as long again, since that is the best guess for an
 /// outage whose cause is not known. A node that just started knows them within
 /// milliseconds; one whose store is away may not for seconds, and callers have
 /// few tries.
-milliseconds ComeBackWhenReady(milliseconds lasted, kernel::Random& random);
+milliseconds RetryAfterNotReady(milliseconds lasted, kernel::Random& random);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/advertised_limits.h
+++ b/routing/include/egretladder/routing/advertised_limits.h
@@ -15,23 +15,23 @@
 namespace egretladder::routing {
 
 /// What one node tells another of a limit.
-struct ToldLimit {
+struct LimitGossip {
   std::string endpoint;
   double per_second = 0;  ///< 0: it ended.
-  milliseconds named_ago{};
+  milliseconds advertised_ago{};
 };
 
 /// Takes the limit that an answer names, nothing if it names none. Returns true
 /// when the endpoint's limit began, ended or changed by more than
 /// `kMinLoggedLimitChangeRatio`.
-bool OnLimit(EndpointSet& set, Endpoint& endpoint,
-             std::optional<double> per_second, Time now);
+bool OnAdvertisedLimit(EndpointSet& set, Endpoint& endpoint,
+                       std::optional<double> per_second, Time now);
 
 /// Takes what a peer told; what this node heard later stays. Returns the same.
-bool HearLimit(EndpointSet& set, const ToldLimit& told, Time now);
+bool ApplyLimitGossip(EndpointSet& set, const LimitGossip& told, Time now);
 
 /// What to tell a peer: limits heard of lately, and those that ended.
-std::vector<ToldLimit> LimitsToTell(EndpointSet& set, kernel::Random& random,
-                                    Time now);
+std::vector<LimitGossip> MakeLimitGossip(EndpointSet& set,
+                                         kernel::Random& random, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/catalog.h
+++ b/routing/include/egretladder/routing/catalog.h
@@ -27,7 +27,7 @@
 /// For logs and metrics.
 const char* NameOf(Feed feed);
 /// Number of feeds.
-inline constexpr std::size_t kFeeds = 2;
+inline constexpr std::size_t kFeedCount = 2;
 
 /// One item as it was written, or its removal.
 struct Item {
@@ -55,7 +55,7 @@
 
 /// All feeds.
 struct Catalog {
-  std::array<FeedState, kFeeds> feeds;
+  std::array<FeedState, kFeedCount> feeds;
 };
 
 /// How long a removal is kept to be told to peers.
@@ -78,15 +78,15 @@
 Changes ChangesSince(const Catalog& catalog, Feed feed, std::uint64_t revision);
 
 /// How far this node knows a feed.
-FeedProgress ProgressOf(const Catalog& catalog, Feed feed);
+FeedProgress GetFeedProgress(const Catalog& catalog, Feed feed);
 
 /// Takes in how far a peer knows a feed. Returns true when this node lacks
 /// changes that the peer has; else it knows now, too, that nothing changed
 /// since.
-bool TakeProgress(Catalog& catalog, Feed feed, const FeedProgress& peer);
+bool ApplyPeerProgress(Catalog& catalog, Feed feed, const FeedProgress& peer);
 
 /// Forgets removals older than `kTombstoneRetention`.
-void ForgetRemovals(Catalog& catalog, Time now);
+void PruneTombstones(Catalog& catalog, Time now);
 
 /// State of one feed.
 FeedState& StateOf(Catalog& catalog, Feed feed);
--- a/routing/include/egretladder/routing/endpoints.h
+++ b/routing/include/egretladder/routing/endpoints.h
@@ -84,12 +84,12 @@
   Time lapsed_until{};
   Time cold_until{};
   AdvertisedLimit limit;
-  Time rated_sent{};  ///< Last request of this node under a shared rate.
+  Time last_limited_send{};  ///< Last request of this node under a shared rate.
   std::uint32_t in_flight = 0;  ///< Of this node.
   Time heard_at{};              ///< Last sign of life to this node.
   TokensByTier waiting_tokens{};
-  double others_in_flight = 0;
-  double others_tokens = 0;
+  double peers_in_flight = 0;
+  double peers_waiting_tokens = 0;
   EndpointHealth trust;
   EnginePace pace;
   /// Requests of this node without an answer so far: when sent, and until when
@@ -104,7 +104,7 @@
 /// Parts of the decision where a request goes; see `Mechanism` in place.h.
 inline constexpr std::size_t kMechanismCount = 11;
 /// Mechanisms that settings switch off.
-using MechanismsOff = std::bitset<kMechanismCount>;
+using DisabledMechanisms = std::bitset<kMechanismCount>;
 
 /// All endpoints that may get work, and those that just went.
 struct EndpointSet {
@@ -113,9 +113,9 @@
   std::unordered_map<std::string, std::vector<EndpointPtr>> by_service;
   std::map<std::string, bool, std::less<>> zones_out;
   std::set<std::string> limited;  ///< By id; those of which peers are told.
-  std::unordered_map<std::string, ServicePace> paces;  ///< By service.
-  double tight_part = kDefaultTightFraction;           ///< See sides.h.
-  MechanismsOff off;
+  std::unordered_map<std::string, ServicePace> service_paces;  ///< By service.
+  double tight_fraction = kDefaultTightFraction;               ///< See sides.h.
+  DisabledMechanisms off;
 };
 
 /// What became of an endpoint by a change of its entry; for the log.
@@ -133,7 +133,8 @@
 const char* NameOf(EntryChange change);
 
 /// Takes an entry. A process that started anew begins without history.
-EntryChange OnEntry(EndpointSet& set, const EndpointEntry& entry, Time now);
+EntryChange OnEntryPublished(EndpointSet& set, const EndpointEntry& entry,
+                             Time now);
 
 /// The entry is gone. `trouble`: the store was out of reach lately, so that the
 /// endpoint may have been unable to renew it; it is believed for `kLapseGrace`
@@ -145,7 +146,7 @@
 void OnWrongInstance(EndpointSet& set, const std::string& id);
 
 /// Ends the grace of lapsed entries. Returns the ids that went.
-std::vector<std::string> DropLapsed(EndpointSet& set, Time now);
+std::vector<std::string> RemoveLapsedEndpoints(EndpointSet& set, Time now);
 
 /// Zones that operators took out get nothing new.
 void SetZoneOut(EndpointSet& set, const std::string& zone, bool out);
@@ -156,14 +157,14 @@
 const ServicePace& PaceOf(const EndpointSet& set, const std::string& service);
 
 /// Evidence of this node's own requests.
-void OnHeard(Endpoint& endpoint, Time now);
+void OnSignOfLife(Endpoint& endpoint, Time now);
 /// True when it gave a sign of life within `kRecentlyHeardWindow`.
-bool IsHeardLately(const Endpoint& endpoint, Time now);
+bool IsRecentlyHeard(const Endpoint& endpoint, Time now);
 void OnConnectFailed(Endpoint& endpoint, Time now);
 /// It broke off, or gave what is no answer.
-void OnFailed(Endpoint& endpoint, Time now);
+void OnAttemptFailed(Endpoint& endpoint, Time now);
 /// It said that it is full.
-void OnFull(Endpoint& endpoint, milliseconds pause, Time now);
+void OnEndpointFull(Endpoint& endpoint, milliseconds pause, Time now);
 /// Its first byte came after `took`; `expected` was the estimate.
 void OnFirstByte(Endpoint& endpoint, milliseconds took, milliseconds expected);
 /// It answered whole, after `took`.
--- a/routing/include/egretladder/routing/engine_split.h
+++ b/routing/include/egretladder/routing/engine_split.h
@@ -28,7 +28,7 @@
 };
 
 /// Measures the demand that one node sees.
-struct SideMeter {
+struct SplitDemandMeter {
   SplitDemand demand;  ///< As of `at`.
   Time at{};
 };
@@ -36,38 +36,40 @@
 /// A request is about to be sent where it was placed. What the engine will read
 /// of it counts, with shared parts that it doesn't hold, and its stream's part
 /// of a full batch there. Requests of neither side don't count.
-void OnPlaced(SideMeter& meter, const Demand& demand,
+void OnPlaced(SplitDemandMeter& meter, const Demand& demand,
               const Placement& placement, Time now);
 
 /// The demand as of now.
-SplitDemand CurrentDemand(const SideMeter& meter, Time now);
+SplitDemand CurrentDemand(const SplitDemandMeter& meter, Time now);
 
 /// What nodes agree on of the mean demand of one node.
 ///
-/// Each exchange takes the mean of both sides' figures, and each node pulls its
-/// own slowly towards the demand that it measures (averaging by gossip:
-/// Jelasity and others, "Gossip-Based Aggregation in Large Dynamic Networks").
-/// Nodes that each went by a measurement of their own would set boundaries that
-/// differ by a fifth, and the engines between them would get both kinds.
-struct AgreedDemand {
+/// Each exchange takes the mean of both sides' figures, and each node
+/// feed_fetches its own slowly towards the demand that it measures (averaging
+/// by gossip: Jelasity and others, "Gossip-Based Aggregation in Large Dynamic
+/// Networks"). Nodes that each went by a measurement of their own would set
+/// boundaries that differ by a fifth, and the engines between them would get
+/// both kinds.
+struct FleetDemand {
   SplitDemand mean;
   bool known = false;
   Time pulled{};
 };
 
 /// A peer told its figure.
-void Agree(AgreedDemand& agreed, const SplitDemand& told);
-/// Pulls the figure towards the demand measured here; call at each exchange.
-void Pull(AgreedDemand& agreed, const SideMeter& meter, Time now);
+void Agree(FleetDemand& agreed, const SplitDemand& told);
+/// FeedFetches the figure towards the demand measured here; call at each
+/// exchange.
+void Pull(FleetDemand& agreed, const SplitDemandMeter& meter, Time now);
 
 /// The part of the engines that is for tight streams.
-double TightPartOf(const SplitDemand& mean);
+double TightFraction(const SplitDemand& mean);
 
 /// True for a prompt that is read in several parts.
 bool IsLongPrompt(const Demand& demand);
 
 /// Whether the endpoint is on the demand's side; true for demands of neither.
 bool IsOnDemandSide(const Endpoint& endpoint, const Demand& demand,
-                    double tight_part);
+                    double tight_fraction);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/feed_fetch.h
+++ b/routing/include/egretladder/routing/feed_fetch.h
@@ -26,35 +26,35 @@
 };
 
 /// What is offered and asked of one feed.
-struct FeedPull {
+struct FeedFetch {
   std::vector<Offer> offers;  ///< The oldest first.
   std::string asked;          ///< The peer that is being asked; empty: none.
   Time asked_at{};
 };
 
 /// Of all feeds.
-struct Pulls {
-  std::array<FeedPull, kFeeds> feeds;
+struct FeedFetches {
+  std::array<FeedFetch, kFeedCount> feeds;
 };
 
 /// State of one feed.
-FeedPull& PullOf(Pulls& pulls, Feed feed);
+FeedFetch& GetFeedFetch(FeedFetches& feed_fetches, Feed feed);
 
 /// A peer announced `revision`.
-void OnOffer(FeedPull& pull, const std::string& peer, bool near,
+void OnOffer(FeedFetch& pull, const std::string& peer, bool near,
              std::uint64_t revision);
 
 /// The peer to ask now, of those that have more than `own`; it then counts as
 /// asked. Empty: none has, one is being asked, or all were tried just now.
-std::string NextPull(FeedPull& pull, std::uint64_t own, Time now);
+std::string StartNextFetch(FeedFetch& pull, std::uint64_t own, Time now);
 
 /// The peer that was asked answered; what it sent is taken in, and what it
 /// announced before counts no longer.
-void OnPulled(FeedPull& pull, const std::string& peer);
+void OnFetchDone(FeedFetch& pull, const std::string& peer);
 
 /// It was busy, or its connection broke: it is left alone for `pause`.
-void OnPullFailed(FeedPull& pull, const std::string& peer, milliseconds pause,
-                  Time now);
+void OnFetchFailed(FeedFetch& pull, const std::string& peer, milliseconds pause,
+                   Time now);
 
 /// True when a peer may be sent `bytes` of changes while `unsent` bytes for
 /// other peers wait here.
--- a/routing/include/egretladder/routing/limits.h
+++ b/routing/include/egretladder/routing/limits.h
@@ -45,7 +45,7 @@
 /// A stream whose events may pause no longer than this is delayed past it by a
 /// long prompt beside it: an event holds several tokens, and each step that
 /// carries a part of the prompt takes several times as long.
-inline constexpr milliseconds kTightGap{200};
+inline constexpr milliseconds kMaxTightGap{200};
 /// A prompt longer than this, in tokens, is read in several parts.
 inline constexpr std::uint32_t kLongPromptTokens = 4096;
 /// Below so many engines they are not divided: one of them is too large a part.
@@ -99,7 +99,7 @@
 /// that one ends: some thirty later, little of it is left.
 inline constexpr double kLongStreamDecayWeight = 1.0 / 32;
 /// Events between two samples of one stream.
-inline constexpr std::uint64_t kPaceEvery = 8;
+inline constexpr std::uint64_t kEventsPerPaceSample = 8;
 /// Weight of the newest sample in an engine's pace. Ten make up two thirds.
 inline constexpr double kEnginePaceWeight = 0.1;
 /// The same in the pace of a service: all its engines add to it.
@@ -186,7 +186,7 @@
 /// noticed and acted on up to 0.2 s late.
 inline constexpr milliseconds kLapseGrace{1800};
 /// An outage counts as recent for this long after its end.
-inline constexpr milliseconds kTroubleRecent{2000};
+inline constexpr milliseconds kRecentOutageWindow{2000};
 
 // --- Retries (retry_share.h) ---
 
@@ -258,9 +258,9 @@
 /// store, and heartbeats are heard several times a second.
 inline constexpr std::size_t kMaxSmallFleetNodes = 16;
 /// Between two exchanges with peers, in a small fleet.
-inline constexpr milliseconds kExchangePeriod{100};
+inline constexpr milliseconds kExchangeInterval{100};
 /// The same in a large one, where each message carries more members.
-inline constexpr milliseconds kExchangePeriodLarge{200};
+inline constexpr milliseconds kLargeFleetExchangeInterval{200};
 /// In a large fleet one exchange in so many may leave the availability zone.
 /// Bytes between zones cost more, and each zone has nodes enough to carry its
 /// news over.
@@ -292,38 +292,38 @@
 /// away, all twelve are among these once in five hundred thousand times.
 inline constexpr std::size_t kMaxReaderCandidates = 12;
 /// An exchange unanswered for this long hangs: answers take a round trip.
-inline constexpr milliseconds kHanging{200};
+inline constexpr milliseconds kExchangeStallTime{200};
 /// Peers tried in one turn at most.
 inline constexpr std::size_t kMaxPeersPerTurn = 8;
 /// Between two messages by which a reader shows its standbys that it is there.
-inline constexpr milliseconds kReaderPulse{400};
+inline constexpr milliseconds kReaderHeartbeatInterval{400};
 /// A reader unheard for three of these is silent to the first standby. Changes
 /// have seconds to be in force everywhere, and spreading takes its part.
 inline constexpr milliseconds kMaxReaderSilence{1200};
 /// Each further standby waits this much longer, so that few read together.
 inline constexpr milliseconds kStandbyStagger{150};
 /// Peers that a reader tells of news at once.
-inline constexpr std::size_t kToldAtOnce = 16;
+inline constexpr std::size_t kReaderFanout = 16;
 /// Peers that any other node tells of news that it took, in a large fleet.
-inline constexpr std::size_t kToldOnward = 2;
+inline constexpr std::size_t kRelayFanout = 2;
 /// What peers said of their load counts for this long.
-inline constexpr milliseconds kLoadKept{2000};
+inline constexpr milliseconds kPeerLoadRetention{2000};
 /// Nodes told to one caller.
 inline constexpr std::size_t kMaxDirectoryNodes = 64;
 
-// --- Pulls (pulls.h) ---
+// --- FeedFetches (feed_fetches.h) ---
 
 /// Peers with news that are remembered for each feed.
 inline constexpr std::size_t kMaxOffers = 8;
 /// A peer asked for changes that hasn't sent them by then is left for another.
 inline constexpr milliseconds kFetchTimeout{700};
 /// A peer that was silent or broke off is asked again after this.
-inline constexpr milliseconds kPullSilentPause{1000};
+inline constexpr milliseconds kFetchTimeoutBackoff{1000};
 /// One that was busy; a large change leaves a slow link within it.
-inline constexpr milliseconds kPullBusyPause{60};
+inline constexpr milliseconds kFetchBusyBackoff{60};
 /// Changes up to this many bytes are sent to all that ask: telling them to ask
 /// another peer costs about as much.
-inline constexpr std::size_t kSmallChanges = 4096;
+inline constexpr std::size_t kSmallChangesBytes = 4096;
 /// Larger ones wait while this many bytes for other peers are unsent: a few
 /// tens of milliseconds of a slow link.
 inline constexpr std::size_t kMaxPeerBacklogBytes = std::size_t{48} << 10U;
--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -45,7 +45,7 @@
 };
 
 /// What one exchange tells of members.
-struct MemberNews {
+struct MemberGossip {
   std::vector<Member> members;  ///< The sender first.
   std::vector<Pulse> pulses;
   /// Nodes of which the sender heard a pulse and doesn't know who they are.
@@ -72,66 +72,68 @@
   std::size_t max_nodes = 1;
   Time max_nodes_at{};
   std::size_t seed_turn = 0;
-  std::vector<std::uint32_t> unknown;  ///< As in `MemberNews`.
+  std::vector<std::uint32_t> unknown;  ///< As in `MemberGossip`.
 };
 
 /// Begins with this node alone.
-Members StartMembers(const Member& self, const std::vector<std::string>& seeds,
-                     Time now);
+Members MakeMembers(const Member& self, const std::vector<std::string>& seeds,
+                    Time now);
 
 /// Raises the own heartbeat; call once an exchange period.
 void Beat(Members& members, Time now);
 
 /// Takes what a peer told. Returns those that are new or came back, for the
 /// log.
-std::vector<std::string> Hear(Members& members, const MemberNews& told,
+std::vector<std::string> Hear(Members& members, const MemberGossip& told,
                               Time now);
 
 /// A peer answered an exchange.
-void OnExchanged(Members& members, Time now);
+void OnExchangeAnswered(Members& members, Time now);
 /// A message came from the node with that peer address.
-void OnHeardFrom(Members& members, const std::string& peers, Time now);
+void OnPeerMessage(Members& members, const std::string& peers, Time now);
 /// Nothing listens at the peer address: its process is gone until its heartbeat
 /// rises again.
-void OnUnreachable(Members& members, const std::string& peers, Time now);
+void OnPeerUnreachable(Members& members, const std::string& peers, Time now);
 
 /// What to tell: this node, those met lately and those that the peer doesn't
 /// know (`asked`) whole, and of the others some pulses.
-MemberNews ToTell(const Members& members,
-                  const std::vector<std::uint32_t>& asked,
-                  kernel::Random& random, Time now);
+MemberGossip ToTell(const Members& members,
+                    const std::vector<std::uint32_t>& asked,
+                    kernel::Random& random, Time now);
 
 /// Peer address for the next exchange: a member drawn at random, or now and
 /// then a seed that isn't known yet; empty: none.
-std::string NextPeer(Members& members, kernel::Random& random, Time now);
+std::string PickExchangePeer(Members& members, kernel::Random& random,
+                             Time now);
 
 /// Peers to exchange with at one turn while earlier exchanges hang.
 ///
 /// Load: most nodes lose their power at once. The others look for each other
 /// among peers that answer nothing, while the rules change.
-std::size_t PeersToTry(std::size_t hanging);
+std::size_t MaxPeersToTry(std::size_t hanging);
 
 /// How long a member may be silent, by the size of the fleet.
 std::chrono::milliseconds MaxMemberSilence(const Members& members);
 
 /// True for a member that callers may use.
-bool IsThere(const Members& members, const KnownMember& known, Time now);
+bool IsMemberAvailable(const Members& members, const KnownMember& known,
+                       Time now);
 
 /// True when the fleet is small; see `kMaxSmallFleetNodes`.
 bool IsSmallFleet(const Members& members);
 
 /// Addresses for a caller in `zone`: nodes that are there, this one last
 /// resort while it listens; empty: none.
-std::vector<std::string> AddressesFor(const Members& members,
+std::vector<std::string> DirectoryFor(const Members& members,
                                       std::string_view zone,
                                       kernel::Random& random, Time now);
 
 /// Nodes among which is shared what all share; see `PartOf`.
-std::size_t NodesOf(Members& members, Time now);
+std::size_t EstimateFleetSize(Members& members, Time now);
 
 /// This node's part of what all share. After a start, in a partition and after
 /// losses the fleet counts as large as it was known to be.
-FleetPart PartOf(Members& members, Time now);
+FleetSnapshot PartOf(Members& members, Time now);
 
 /// Forgets members unheard for `kMemberRetention`. Returns their names.
 std::vector<std::string> ForgetMembers(Members& members, Time now);
--- a/routing/include/egretladder/routing/next_step.h
+++ b/routing/include/egretladder/routing/next_step.h
@@ -17,7 +17,7 @@
 using kernel::Time;
 
 /// How an attempt ended.
-enum class AttemptEnd : std::uint8_t {
+enum class AttemptOutcome : std::uint8_t {
   kNotSent,        ///< No byte left: there was no connection.
   kFull,           ///< The endpoint says that it did not run it.
   kWrongInstance,  ///< Another process has the address; not run.
@@ -28,10 +28,10 @@
   kSucceeded,      ///< A whole answer.
 };
 /// As logs show it.
-const char* NameOf(AttemptEnd end);
+const char* NameOf(AttemptOutcome end);
 
 /// True when the endpoint certainly did not run the request.
-bool IsNotRun(AttemptEnd end);
+bool IsNotRun(AttemptOutcome end);
 
 /// What follows.
 enum class NextStep : std::uint8_t {
@@ -46,8 +46,8 @@
 const char* NameOf(NextStep step);
 
 /// What the decision depends on.
-struct AfterAttempt {
-  AttemptEnd end = AttemptEnd::kBroken;
+struct NextStepInput {
+  AttemptOutcome end = AttemptOutcome::kBroken;
   bool may_repeat = false;         ///< `MayRepeat` of the route.
   bool resumable = false;          ///< A stream that may go on elsewhere.
   bool answer_begun = false;       ///< The caller has a part of an answer.
@@ -69,6 +69,6 @@
 /// Decides. When it says `kSendAgain` or `kResume`, the caller of this function
 /// still has to find room in the retry share; without it, ask again with
 /// `time_left` false.
-NextStep DecideNext(const AfterAttempt& after);
+NextStep DecideNextStep(const NextStepInput& after);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/pace.h
+++ b/routing/include/egretladder/routing/pace.h
@@ -42,8 +42,8 @@
 
 /// Takes one sample: `pause` between two events while `running` requests ran at
 /// the engine.
-void OnPause(EnginePace& engine, ServicePace& service, double running,
-             std::chrono::duration<double, std::milli> pause);
+void OnEventInterval(EnginePace& engine, ServicePace& service, double running,
+                     std::chrono::duration<double, std::milli> pause);
 
 /// A stream of the route ended whole after `events`, which took `lasted`.
 void OnStreamEnded(ServicePace& service, const std::string& route,
@@ -56,12 +56,13 @@
                      double events);
 
 /// Events that a stream of the route is expected to have.
-double EventsExpected(const ServicePace& service, const std::string& route);
+double ExpectedStreamEvents(const ServicePace& service,
+                            const std::string& route);
 /// How long a stream of the route is expected to run, in ms.
-double LengthExpected(const ServicePace& service, const std::string& route);
+double ExpectedStreamMs(const ServicePace& service, const std::string& route);
 
 /// Events that a long stream of the route has.
-double EventsAtMost(const ServicePace& service, const std::string& route);
+double LongStreamEvents(const ServicePace& service, const std::string& route);
 
 /// Expected time between two events at an engine that runs `running` requests,
 /// in ms.
--- a/routing/include/egretladder/routing/placement.h
+++ b/routing/include/egretladder/routing/placement.h
@@ -34,17 +34,17 @@
   Tier tier = 0;
   std::vector<PromptPart> parts;
   std::uint32_t prompt_tokens = 0;  ///< 0: not a generation.
-  bool tight = false;    ///< A stream with short pauses; see `kTightGap`.
-  double events = 0;     ///< That its answer is expected to have.
-  double longest = 0;    ///< The same if it is a long one.
-  double length_ms = 0;  ///< Of its stream, from the first event on.
+  bool tight = false;  ///< A stream with short pauses; see `kMaxTightGap`.
+  double events = 0;   ///< That its answer is expected to have.
+  double longest = 0;  ///< The same if it is a long one.
+  double expected_stream_ms = 0;  ///< Of its stream, from the first event on.
 };
 
 /// Tokens of all parts but the last, which is the request's own.
 std::uint32_t SharedTokens(const Demand& demand);
 
 /// What a node knows of its fleet, for its part of what is shared.
-struct FleetPart {
+struct FleetSnapshot {
   std::size_t nodes = 1;
   std::string self;                ///< This node's name.
   std::vector<std::string> names;  ///< All nodes, this one included.
@@ -106,18 +106,18 @@
 };
 
 /// Chooses among the endpoints of the demand's service, leaving out those in
-/// `tried`. Takes nothing: call `OnSent` for what is then sent.
+/// `tried`. Takes nothing: call `OnAttemptSent` for what is then sent.
 Placement Place(const EndpointSet& set, const Demand& demand,
-                const std::vector<EndpointPtr>& tried, const FleetPart& fleet,
-                kernel::Random& random, Time now);
+                const std::vector<EndpointPtr>& tried,
+                const FleetSnapshot& fleet, kernel::Random& random, Time now);
 
 /// Counts a request that is about to be sent, and takes this node's turn where
 /// nodes share a rate.
-void OnSent(Endpoint& endpoint, const Demand& demand, std::uint64_t attempt,
-            const Placement& placement, Time now);
+void OnAttemptSent(Endpoint& endpoint, const Demand& demand,
+                   std::uint64_t attempt, const Placement& placement, Time now);
 /// Its first byte came, or it ended without.
-void OnStarted(Endpoint& endpoint, const Demand& demand, std::uint64_t attempt,
-               const Placement& placement);
+void OnAttemptStarted(Endpoint& endpoint, const Demand& demand,
+                      std::uint64_t attempt, const Placement& placement);
 /// It ended.
 void OnDone(Endpoint& endpoint);
 
--- a/routing/include/egretladder/routing/placement_cost.h
+++ b/routing/include/egretladder/routing/placement_cost.h
@@ -29,13 +29,14 @@
   const Demand& demand;
   const UncachedTokens& uncached;
   const ServicePace& pace;
-  const FleetPart& fleet;
+  const FleetSnapshot& fleet;
   bool preferred = false;  ///< By the session's hash.
   Time now{};
 };
 
 /// All terms that aren't switched off.
-PlacementCosts ComputeCosts(const CostInput& ask, const MechanismsOff& off);
+PlacementCosts ComputeCosts(const CostInput& ask,
+                            const DisabledMechanisms& off);
 
 /// The name of a mechanism as settings and logs show it.
 const char* NameOf(Mechanism mechanism);
--- a/routing/include/egretladder/routing/retry_budget.h
+++ b/routing/include/egretladder/routing/retry_budget.h
@@ -19,14 +19,14 @@
 using kernel::Time;
 
 /// What all nodes together may repeat.
-struct RetryRule {
+struct RetryBudgetRule {
   double ratio = 0.1;  ///< Of the requests in the window.
   double slack = 10;   ///< Beyond that, all nodes together.
   std::chrono::milliseconds window{10'000};
 };
 
 /// Who shares the fixed allowance.
-struct RetryFleet {
+struct RetryBudgetFleet {
   std::size_t nodes = 1;
   /// Since this process started. One younger than the window has an earlier
   /// life, whose repeats still count.
@@ -34,7 +34,7 @@
 };
 
 /// Counts of one service, in slices of the window.
-struct RetryShare {
+struct NodeRetryBudget {
   struct Slice {
     std::int64_t number = -1;
     std::uint32_t requests = 0;
@@ -44,18 +44,18 @@
 };
 
 /// A request for the service came in.
-void OnRequest(RetryShare& share, const RetryRule& rule, Time now);
+void OnRequest(NodeRetryBudget& share, const RetryBudgetRule& rule, Time now);
 
 /// True when one more repeat fits; counts it then.
-bool TakeRetry(RetryShare& share, const RetryRule& rule,
-               const RetryFleet& fleet, Time now);
+bool TakeRetry(NodeRetryBudget& share, const RetryBudgetRule& rule,
+               const RetryBudgetFleet& fleet, Time now);
 
 /// Repeats that still fit.
 ///
 /// Load: every node is restarted, some several times within the window. With
 /// its whole part of the slack at each start a node uses it as often as it
 /// starts; it is earned over the window instead, but for one repeat.
-double RetriesLeft(const RetryShare& share, const RetryRule& rule,
-                   const RetryFleet& fleet, Time now);
+double RetriesLeft(const NodeRetryBudget& share, const RetryBudgetRule& rule,
+                   const RetryBudgetFleet& fleet, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/route_table.h
+++ b/routing/include/egretladder/routing/route_table.h
@@ -84,7 +84,7 @@
   std::vector<Route> routes;
   std::vector<Service> services;
   std::vector<ClientAccount> accounts;
-  std::unordered_map<std::string, std::uint32_t> account_of_key;
+  std::unordered_map<std::string, std::uint32_t> account_by_key;
   IngressLimits limits;
   /// Whether keys are asked for at all.
   bool has_accounts = false;
@@ -120,7 +120,7 @@
             const ClientAccount* account);
 
 /// The service for one request. `draw` is from 0 up to 1.
-ServiceHandle DrawTarget(const Route& route, double draw);
+ServiceHandle PickTarget(const Route& route, double draw);
 
 /// True when a request of the route may run a second time, whole.
 bool MayRepeat(const Route& route);
--- a/routing/include/egretladder/routing/shared_rate.h
+++ b/routing/include/egretladder/routing/shared_rate.h
@@ -37,10 +37,10 @@
 
 /// True when this node is among those that share the rate.
 bool IsSender(const Endpoint& endpoint, const SharedRate& rate,
-              const FleetPart& fleet);
+              const FleetSnapshot& fleet);
 
 /// When one of those may send there next.
 Time NextTurnTime(const Endpoint& endpoint, const SharedRate& rate,
-                  const FleetPart& fleet);
+                  const FleetSnapshot& fleet);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/stop_admission.h
+++ b/routing/include/egretladder/routing/stop_admission.h
@@ -18,20 +18,20 @@
 namespace egretladder::routing {
 
 /// What is decided for one request at a node that stops.
-enum class StopVerdict : std::uint8_t {
+enum class StopAdmissionVerdict : std::uint8_t {
   kEndsByDeadline,  ///< Taken: its deadline comes before the node's end.
   kExpectedInTime,  ///< Taken: even a long one would end before.
   kTooLong,         ///< Refused: it may be cut.
   kTooLate,         ///< Refused: no caller should send here any more.
 };
 /// As logs show it.
-const char* NameOf(StopVerdict verdict);
+const char* NameOf(StopAdmissionVerdict verdict);
 
 /// True for the two by which a request is taken.
-bool IsTaken(StopVerdict verdict);
+bool IsAdmitted(StopAdmissionVerdict verdict);
 
 /// What the decision depends on.
-struct StopAsk {
+struct StopAdmissionInput {
   milliseconds arrived{};   ///< From the stop's begin; below 0: before it.
   milliseconds since{};     ///< Since the stop began.
   milliseconds deadline{};  ///< Until the request is ended anyway.
@@ -39,12 +39,14 @@
 };
 
 /// Decides.
-StopVerdict DecideTake(const policy::StopPlan& plan, const StopAsk& ask);
+StopAdmissionVerdict DecideStopAdmission(const policy::StopPlan& plan,
+                                         const StopAdmissionInput& ask);
 
 /// Time to the whole answer at the endpoint that was found, if any, and if the
 /// answer is a long one: by its route's streams, or by what the endpoint took
 /// for whole answers.
-milliseconds LongestWhole(const EndpointSet& set, const Demand& demand,
-                          const Placement& placement);
+milliseconds EstimateLongAnswerTime(const EndpointSet& set,
+                                    const Demand& demand,
+                                    const Placement& placement);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/store_readers.h
+++ b/routing/include/egretladder/routing/store_readers.h
@@ -21,9 +21,9 @@
 bool IsReader(const Members& members, Time now);
 
 /// Peer addresses of the nodes that take the place of this reader once it falls
-/// silent. It tells them each `kReaderPulse` that it is there: gossip alone
-/// takes seconds to show that a node lost its power, and when all readers do at
-/// once, nobody hears of changes until then.
-std::vector<std::string> StandbysOf(const Members& members, Time now);
+/// silent. It tells them each `kReaderHeartbeatInterval` that it is there:
+/// gossip alone takes seconds to show that a node lost its power, and when all
+/// readers do at once, nobody hears of changes until then.
+std::vector<std::string> StandbyAddresses(const Members& members, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/suspects.h
+++ b/routing/include/egretladder/routing/suspects.h
@@ -44,9 +44,10 @@
 };
 
 /// A connection broke under the request, at `seen.broke`.
-void OnBroke(Suspects& suspects, std::uint64_t request, const Break& seen);
+void OnConnectionBroke(Suspects& suspects, std::uint64_t request,
+                       const Break& seen);
 /// An endpoint ran the request to its end, well or badly.
-void OnRan(Suspects& suspects, std::uint64_t request, Time now);
+void OnRequestRan(Suspects& suspects, std::uint64_t request, Time now);
 
 /// How much longer the request gets no endpoint; 0: it may be sent.
 milliseconds HeldFor(const Suspects& suspects, std::uint64_t request, Time now);
@@ -57,7 +58,7 @@
   milliseconds sent_ago{};
   milliseconds broke_ago{};
 };
-struct ToldSuspect {
+struct SuspectGossip {
   std::uint64_t request = 0;
   std::vector<BreakGossip> breaks;
   milliseconds cleared_ago{};  ///< `kNeverCleared`: it never was.
@@ -66,9 +67,11 @@
 inline constexpr milliseconds kNeverCleared = 2 * kSuspectRetention;
 
 /// Those that changed within `kSuspectGossipTime`, the newest first.
-std::vector<ToldSuspect> SuspectsToTell(const Suspects& suspects, Time now);
+std::vector<SuspectGossip> MakeSuspectGossip(const Suspects& suspects,
+                                             Time now);
 /// Takes in what a peer told. The same news again change nothing, in any order.
-void HearSuspect(Suspects& suspects, const ToldSuspect& told, Time now);
+void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& told,
+                        Time now);
 /// Drops what is older than `kSuspectRetention`.
 void ForgetSuspects(Suspects& suspects, Time now);
 
--- a/routing/src/admission.cc
+++ b/routing/src/admission.cc
@@ -18,50 +18,51 @@
 
 }  // namespace
 
-const char* NameOf(AdmitVerdict verdict) {
+const char* NameOf(AdmissionVerdict verdict) {
   switch (verdict) {
-    case AdmitVerdict::kSend:
+    case AdmissionVerdict::kSend:
       return "send";
-    case AdmitVerdict::kWait:
+    case AdmissionVerdict::kWait:
       return "wait";
-    case AdmitVerdict::kTooLate:
+    case AdmissionVerdict::kTooLate:
       return "too-late";
-    case AdmitVerdict::kNoEndpoint:
+    case AdmissionVerdict::kNoEndpoint:
       return "no-endpoint";
   }
   return "unknown";
 }
 
-AdmitVerdict DecideSend(const AdmitAsk& ask, const Placement& placement,
-                        Time now) {
+AdmissionVerdict DecideAdmission(const AdmissionInput& ask,
+                                 const Placement& placement, Time now) {
   const auto left =
       std::chrono::duration<double, std::milli>(ask.deadline - now);
   if (placement.endpoint == nullptr) {
     const auto part =
         std::chrono::duration_cast<milliseconds>(ask.target * kMaxWaitRatio);
     const auto longest =
-        std::max(part, ask.came_before ? kMinResentWait : kMinWait);
+        std::max(part, ask.was_sent_before ? kMinResentWait : kMinWait);
     const auto waited = now - ask.waits_since;
     const auto until_room = placement.next_turn_in.value_or(milliseconds{});
     const bool waited_enough =
         waited >= longest || left.count() <= 0 || waited + until_room > longest;
-    return waited_enough ? AdmitVerdict::kNoEndpoint : AdmitVerdict::kWait;
+    return waited_enough ? AdmissionVerdict::kNoEndpoint
+                         : AdmissionVerdict::kWait;
   }
   if (placement.expected_ms > left.count() * kMaxExpectedWaitRatio) {
-    return AdmitVerdict::kTooLate;
+    return AdmissionVerdict::kTooLate;
   }
-  return AdmitVerdict::kSend;
+  return AdmissionVerdict::kSend;
 }
 
-milliseconds ComeBackAfter(const Placement& placement, milliseconds target,
-                           kernel::Random& random) {
+milliseconds RetryAfterRejection(const Placement& placement,
+                                 milliseconds target, kernel::Random& random) {
   const double least = static_cast<double>(target.count()) / 4;
   const double spread = 0.5 + kernel::RandomFraction(random);
   return milliseconds(static_cast<std::int64_t>(
       std::max(least, ExpectedRoomMs(placement)) * spread));
 }
 
-milliseconds ComeBackWhenReady(milliseconds lasted, kernel::Random& random) {
+milliseconds RetryAfterNotReady(milliseconds lasted, kernel::Random& random) {
   const auto wait =
       std::clamp(lasted, kMinNotReadyRetryDelay, kMaxNotReadyRetryDelay);
   const double spread = 0.75 + kernel::RandomFraction(random) / 2;
--- a/routing/src/advertised_limits.cc
+++ b/routing/src/advertised_limits.cc
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-bool OnLimit(EndpointSet& set, Endpoint& endpoint,
-             std::optional<double> per_second, Time now) {
+bool OnAdvertisedLimit(EndpointSet& set, Endpoint& endpoint,
+                       std::optional<double> per_second, Time now) {
   // One that takes nothing still gets a request now and then, by whose answer
   // the end of the limit shows.
   const double limit =
@@ -38,23 +38,23 @@
   return Take(set, endpoint, limit, now, now);
 }
 
-bool HearLimit(EndpointSet& set, const ToldLimit& told, Time now) {
+bool ApplyLimitGossip(EndpointSet& set, const LimitGossip& told, Time now) {
   const auto at = set.by_id.find(told.endpoint);
   if (at == set.by_id.end()) return false;
   if (!std::isfinite(told.per_second) || told.per_second < 0) return false;
-  if (told.named_ago > kLimitFreshTime) return false;
-  const Time named = now - told.named_ago;
+  if (told.advertised_ago > kLimitFreshTime) return false;
+  const Time named = now - told.advertised_ago;
   if (named <= at->second->limit.named) return false;
   return Take(set, *at->second, told.per_second, named, now);
 }
 
-std::vector<ToldLimit> LimitsToTell(EndpointSet& set, kernel::Random& random,
-                                    Time now) {
+std::vector<LimitGossip> MakeLimitGossip(EndpointSet& set,
+                                         kernel::Random& random, Time now) {
   std::erase_if(set.limited, [&set, now](const std::string& id) {
     const auto at = set.by_id.find(id);
     return at == set.by_id.end() || IsOld(at->second->limit, now);
   });
-  std::vector<ToldLimit> told;
+  std::vector<LimitGossip> told;
   for (const std::string& id : set.limited) {
     const AdvertisedLimit& limit = set.by_id[id]->limit;
     told.push_back(
--- a/routing/src/catalog.cc
+++ b/routing/src/catalog.cc
@@ -85,12 +85,12 @@
   return changes;
 }
 
-FeedProgress ProgressOf(const Catalog& catalog, Feed feed) {
+FeedProgress GetFeedProgress(const Catalog& catalog, Feed feed) {
   const FeedState& state = StateOf(catalog, feed);
   return {state.revision, state.changed};
 }
 
-bool TakeProgress(Catalog& catalog, Feed feed, const FeedProgress& peer) {
+bool ApplyPeerProgress(Catalog& catalog, Feed feed, const FeedProgress& peer) {
   FeedState& state = StateOf(catalog, feed);
   if (peer.known <= state.revision) return false;
   if (state.revision == 0 || peer.changed > state.revision) return true;
@@ -98,7 +98,7 @@
   return false;
 }
 
-void ForgetRemovals(Catalog& catalog, Time now) {
+void PruneTombstones(Catalog& catalog, Time now) {
   for (FeedState& feed : catalog.feeds) {
     std::erase_if(feed.removed_at, [&feed, now](const auto& entry) {
       if (now - entry.second < kTombstoneRetention) return false;
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -101,7 +101,8 @@
   return "unknown";
 }
 
-EntryChange OnEntry(EndpointSet& set, const EndpointEntry& entry, Time now) {
+EntryChange OnEntryPublished(EndpointSet& set, const EndpointEntry& entry,
+                             Time now) {
   const auto at = set.by_id.find(entry.id);
   if (at == set.by_id.end()) return Add(set, entry, now);
   Endpoint& known = *at->second;
@@ -149,7 +150,7 @@
   Remove(set, id);
 }
 
-std::vector<std::string> DropLapsed(EndpointSet& set, Time now) {
+std::vector<std::string> RemoveLapsedEndpoints(EndpointSet& set, Time now) {
   std::vector<std::string> gone;
   for (const auto& [id, endpoint] : set.by_id) {
     if (endpoint->phase == EndpointPhase::kLapsed &&
@@ -172,13 +173,13 @@
 
 const ServicePace& PaceOf(const EndpointSet& set, const std::string& service) {
   static const ServicePace kNone;
-  const auto at = set.paces.find(service);
-  return at != set.paces.end() ? at->second : kNone;
+  const auto at = set.service_paces.find(service);
+  return at != set.service_paces.end() ? at->second : kNone;
 }
 
-void OnHeard(Endpoint& endpoint, Time now) { endpoint.heard_at = now; }
+void OnSignOfLife(Endpoint& endpoint, Time now) { endpoint.heard_at = now; }
 
-bool IsHeardLately(const Endpoint& endpoint, Time now) {
+bool IsRecentlyHeard(const Endpoint& endpoint, Time now) {
   return now - endpoint.heard_at < kRecentlyHeardWindow;
 }
 
@@ -191,13 +192,13 @@
   ++trust.refused;
 }
 
-void OnFailed(Endpoint& endpoint, Time now) {
+void OnAttemptFailed(Endpoint& endpoint, Time now) {
   EndpointHealth& trust = endpoint.trust;
   trust.failing = Smooth(FailureRate(trust, now), 1);
   trust.failure_rate_at = now;
 }
 
-void OnFull(Endpoint& endpoint, milliseconds pause, Time now) {
+void OnEndpointFull(Endpoint& endpoint, milliseconds pause, Time now) {
   endpoint.trust.full_until = now + pause;
   endpoint.trust.refused = 0;
 }
--- a/routing/src/engine_split.cc
+++ b/routing/src/engine_split.cc
@@ -11,7 +11,7 @@
   const Endpoint& engine = *placement.endpoint;
   const double slots = std::max<std::uint32_t>(engine.entry.slots, 1);
   return placement.uncached_tokens / kPromptTokensPerMs +
-         demand.length_ms / slots;
+         demand.expected_stream_ms / slots;
 }
 
 double DecayFactor(Time from, Time to) {
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void OnPlaced(SideMeter& meter, const Demand& demand,
+void OnPlaced(SplitDemandMeter& meter, const Demand& demand,
               const Placement& placement, Time now) {
   const bool is_long = IsLongPrompt(demand);
   if (!demand.tight && !is_long) return;
@@ -37,12 +37,12 @@
   }
 }
 
-SplitDemand CurrentDemand(const SideMeter& meter, Time now) {
+SplitDemand CurrentDemand(const SplitDemandMeter& meter, Time now) {
   const double left = DecayFactor(meter.at, now);
   return {meter.demand.tight * left, meter.demand.rest * left};
 }
 
-void Agree(AgreedDemand& agreed, const SplitDemand& told) {
+void Agree(FleetDemand& agreed, const SplitDemand& told) {
   if (told.tight + told.rest <= 0) return;  // It knows nothing yet.
   if (!agreed.known) {
     agreed.mean = told;
@@ -53,7 +53,7 @@
   agreed.mean.rest = (agreed.mean.rest + told.rest) / 2;
 }
 
-void Pull(AgreedDemand& agreed, const SideMeter& meter, Time now) {
+void Pull(FleetDemand& agreed, const SplitDemandMeter& meter, Time now) {
   const SplitDemand own = CurrentDemand(meter, now);
   if (!agreed.known) {
     agreed.known = own.tight + own.rest > 0;
@@ -72,7 +72,7 @@
   agreed.mean.rest += part * (own.rest - agreed.mean.rest);
 }
 
-double TightPartOf(const SplitDemand& mean) {
+double TightFraction(const SplitDemand& mean) {
   const double sum = mean.tight + mean.rest;
   if (sum <= 0) return kDefaultTightFraction;
   return std::clamp(mean.tight / sum, kMinTightFraction, kMaxTightFraction);
@@ -83,9 +83,9 @@
 }
 
 bool IsOnDemandSide(const Endpoint& endpoint, const Demand& demand,
-                    double tight_part) {
+                    double tight_fraction) {
   if (!demand.tight && !IsLongPrompt(demand)) return true;
-  return (endpoint.order < tight_part) == demand.tight;
+  return (endpoint.order < tight_fraction) == demand.tight;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/feed_fetch.cc
+++ b/routing/src/feed_fetch.cc
@@ -5,7 +5,7 @@
 namespace egretladder::routing {
 namespace {
 
-Offer* FindOffer(FeedPull& pull, const std::string& peer) {
+Offer* FindOffer(FeedFetch& pull, const std::string& peer) {
   const auto at =
       std::find_if(pull.offers.begin(), pull.offers.end(),
                    [&peer](const Offer& offer) { return offer.peer == peer; });
@@ -21,11 +21,11 @@
 
 }  // namespace
 
-FeedPull& PullOf(Pulls& pulls, Feed feed) {
-  return pulls.feeds[static_cast<std::size_t>(feed)];
+FeedFetch& GetFeedFetch(FeedFetches& feed_fetches, Feed feed) {
+  return feed_fetches.feeds[static_cast<std::size_t>(feed)];
 }
 
-void OnOffer(FeedPull& pull, const std::string& peer, bool near,
+void OnOffer(FeedFetch& pull, const std::string& peer, bool near,
              std::uint64_t revision) {
   if (Offer* offer = FindOffer(pull, peer)) {
     offer->revision = std::max(offer->revision, revision);
@@ -35,13 +35,13 @@
   pull.offers.push_back({peer, near, revision, {}});
 }
 
-std::string NextPull(FeedPull& pull, std::uint64_t own, Time now) {
+std::string StartNextFetch(FeedFetch& pull, std::uint64_t own, Time now) {
   std::erase_if(pull.offers,
                 [own](const Offer& offer) { return offer.revision <= own; });
   if (!pull.asked.empty()) {
     if (now - pull.asked_at < kFetchTimeout) return {};
     const std::string silent = pull.asked;
-    OnPullFailed(pull, silent, kPullSilentPause, now);
+    OnFetchFailed(pull, silent, kFetchTimeoutBackoff, now);
   }
   const Offer* best = nullptr;
   for (const Offer& offer : pull.offers) {
@@ -54,20 +54,20 @@
   return pull.asked;
 }
 
-void OnPulled(FeedPull& pull, const std::string& peer) {
+void OnFetchDone(FeedFetch& pull, const std::string& peer) {
   if (pull.asked == peer) pull.asked.clear();
   std::erase_if(pull.offers,
                 [&peer](const Offer& offer) { return offer.peer == peer; });
 }
 
-void OnPullFailed(FeedPull& pull, const std::string& peer, milliseconds pause,
-                  Time now) {
+void OnFetchFailed(FeedFetch& pull, const std::string& peer, milliseconds pause,
+                   Time now) {
   if (pull.asked == peer) pull.asked.clear();
   if (Offer* offer = FindOffer(pull, peer)) offer->not_before = now + pause;
 }
 
 bool MaySend(std::size_t bytes, std::size_t unsent) {
-  return bytes <= kSmallChanges || unsent < kMaxPeerBacklogBytes;
+  return bytes <= kSmallChangesBytes || unsent < kMaxPeerBacklogBytes;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -32,7 +32,7 @@
 void Refresh(Members& members, KnownMember& known, const Member& told, Time now,
              std::vector<std::string>& news) {
   if (!IsNewer(told, known.member)) return;
-  if (!IsThere(members, known, now)) news.push_back(told.node);
+  if (!IsMemberAvailable(members, known, now)) news.push_back(told.node);
   const bool same_life = told.incarnation == known.member.incarnation;
   if (!same_life) known = {.met = now};
   known.member = told;
@@ -86,8 +86,8 @@
 
 }  // namespace
 
-Members StartMembers(const Member& self, const std::vector<std::string>& seeds,
-                     Time now) {
+Members MakeMembers(const Member& self, const std::vector<std::string>& seeds,
+                    Time now) {
   Members members;
   members.self = self;
   members.seeds = seeds;
@@ -98,7 +98,7 @@
 
 void Beat(Members& members, Time /*now*/) { ++members.self.heartbeat; }
 
-std::vector<std::string> Hear(Members& members, const MemberNews& told,
+std::vector<std::string> Hear(Members& members, const MemberGossip& told,
                               Time now) {
   std::vector<std::string> news;
   for (const Member& member : told.members) {
@@ -126,23 +126,24 @@
   return news;
 }
 
-void OnExchanged(Members& members, Time now) { members.exchanged = now; }
+void OnExchangeAnswered(Members& members, Time now) { members.exchanged = now; }
 
-void OnHeardFrom(Members& members, const std::string& peers, Time now) {
+void OnPeerMessage(Members& members, const std::string& peers, Time now) {
   for (auto& [node, known] : members.others) {
     if (known.member.peers == peers) known.last_message_at = now;
   }
 }
 
-void OnUnreachable(Members& members, const std::string& peers, Time /*now*/) {
+void OnPeerUnreachable(Members& members, const std::string& peers,
+                       Time /*now*/) {
   for (auto& [node, known] : members.others) {
     if (known.member.peers == peers) known.unreachable = true;
   }
 }
 
-MemberNews ToTell(const Members& members,
-                  const std::vector<std::uint32_t>& asked,
-                  kernel::Random& random, Time now) {
+MemberGossip ToTell(const Members& members,
+                    const std::vector<std::uint32_t>& asked,
+                    kernel::Random& random, Time now) {
   std::vector<const KnownMember*> there;
   for (const auto& [node, known] : members.others) {
     // What is silent is not told: it would look new to a node that starts.
@@ -151,7 +152,7 @@
     }
   }
   Shuffle(there, random);
-  MemberNews told;
+  MemberGossip told;
   told.members = {members.self};
   told.unknown = members.unknown;
   for (const KnownMember* known : there) {
@@ -167,11 +168,13 @@
   return told;
 }
 
-std::string NextPeer(Members& members, kernel::Random& random, Time now) {
+std::string PickExchangePeer(Members& members, kernel::Random& random,
+                             Time now) {
   std::vector<std::string> addresses;
   std::vector<std::string> near;
   for (const auto& [node, known] : members.others) {
-    if (!IsThere(members, known, now) && !known.member.leaving) continue;
+    if (!IsMemberAvailable(members, known, now) && !known.member.leaving)
+      continue;
     addresses.push_back(known.member.peers);
     if (known.member.zone == members.self.zone) {
       near.push_back(known.member.peers);
@@ -193,7 +196,7 @@
   return addresses[kernel::RandomBelow(random, addresses.size())];
 }
 
-std::size_t PeersToTry(std::size_t hanging) {
+std::size_t MaxPeersToTry(std::size_t hanging) {
   return std::min(1 + hanging, kMaxPeersPerTurn);
 }
 
@@ -206,18 +209,19 @@
                                : kLargeFleetMaxMemberSilence;
 }
 
-bool IsThere(const Members& members, const KnownMember& known, Time now) {
+bool IsMemberAvailable(const Members& members, const KnownMember& known,
+                       Time now) {
   return !known.member.leaving && !known.unreachable &&
          now - known.heard < MaxMemberSilence(members);
 }
 
-std::vector<std::string> AddressesFor(const Members& members,
+std::vector<std::string> DirectoryFor(const Members& members,
                                       std::string_view zone,
                                       kernel::Random& random, Time now) {
   std::vector<const Member*> there;
   if (!members.self.leaving) there.push_back(&members.self);
   for (const auto& [node, known] : members.others) {
-    if (IsThere(members, known, now)) there.push_back(&known.member);
+    if (IsMemberAvailable(members, known, now)) there.push_back(&known.member);
   }
   if (there.empty() && members.listens) there.push_back(&members.self);
   Shuffle(there, random);
@@ -233,11 +237,11 @@
   return addresses;
 }
 
-std::size_t NodesOf(Members& members, Time now) {
+std::size_t EstimateFleetSize(Members& members, Time now) {
   const auto others =
       std::count_if(members.others.begin(), members.others.end(),
                     [&members, now](const auto& entry) {
-                      return IsThere(members, entry.second, now);
+                      return IsMemberAvailable(members, entry.second, now);
                     });
   const std::size_t seen = 1 + static_cast<std::size_t>(others);
   if (seen >= members.max_nodes ||
@@ -252,14 +256,14 @@
   return members.max_nodes;
 }
 
-FleetPart PartOf(Members& members, Time now) {
-  FleetPart part;
-  part.nodes = NodesOf(members, now);
+FleetSnapshot PartOf(Members& members, Time now) {
+  FleetSnapshot part;
+  part.nodes = EstimateFleetSize(members, now);
   part.self = members.self.node;
   part.zone = members.self.zone;
   part.names.push_back(members.self.node);
   for (const auto& [node, known] : members.others) {
-    if (IsThere(members, known, now)) part.names.push_back(node);
+    if (IsMemberAvailable(members, known, now)) part.names.push_back(node);
   }
   return part;
 }
--- a/routing/src/next_step.cc
+++ b/routing/src/next_step.cc
@@ -3,12 +3,12 @@
 namespace egretladder::routing {
 namespace {
 
-bool CanTryAgain(const AfterAttempt& after) {
+bool CanTryAgain(const NextStepInput& after) {
   return after.time_left && after.not_run < kMaxNotRunAttempts &&
          after.not_sent < kMaxNotSentAttempts;
 }
 
-NextStep DecideAfterNotRun(const AfterAttempt& after) {
+NextStep DecideAfterNotRun(const NextStepInput& after) {
   if (after.answer_begun) {
     return after.resumable && CanTryAgain(after) ? NextStep::kResume
                                                  : NextStep::kBreakOff;
@@ -20,23 +20,23 @@
 
 }  // namespace
 
-const char* NameOf(AttemptEnd end) {
+const char* NameOf(AttemptOutcome end) {
   switch (end) {
-    case AttemptEnd::kNotSent:
+    case AttemptOutcome::kNotSent:
       return "not-sent";
-    case AttemptEnd::kFull:
+    case AttemptOutcome::kFull:
       return "full";
-    case AttemptEnd::kWrongInstance:
+    case AttemptOutcome::kWrongInstance:
       return "wrong-instance";
-    case AttemptEnd::kBroken:
+    case AttemptOutcome::kBroken:
       return "broken";
-    case AttemptEnd::kBadAnswer:
+    case AttemptOutcome::kBadAnswer:
       return "bad-answer";
-    case AttemptEnd::kSilent:
+    case AttemptOutcome::kSilent:
       return "silent";
-    case AttemptEnd::kFailed:
+    case AttemptOutcome::kFailed:
       return "failed";
-    case AttemptEnd::kSucceeded:
+    case AttemptOutcome::kSucceeded:
       return "succeeded";
   }
   return "unknown";
@@ -60,21 +60,21 @@
   return "unknown";
 }
 
-bool IsNotRun(AttemptEnd end) {
-  return end == AttemptEnd::kNotSent || end == AttemptEnd::kFull ||
-         end == AttemptEnd::kWrongInstance;
+bool IsNotRun(AttemptOutcome end) {
+  return end == AttemptOutcome::kNotSent || end == AttemptOutcome::kFull ||
+         end == AttemptOutcome::kWrongInstance;
 }
 
-NextStep DecideNext(const AfterAttempt& after) {
-  if (after.end == AttemptEnd::kSucceeded) return NextStep::kPassOn;
+NextStep DecideNextStep(const NextStepInput& after) {
+  if (after.end == AttemptOutcome::kSucceeded) return NextStep::kPassOn;
   if (IsNotRun(after.end)) return DecideAfterNotRun(after);
   const bool more = after.time_left && after.may_have_run < after.attempts;
   if (after.answer_begun) {
     return after.resumable && more ? NextStep::kResume : NextStep::kBreakOff;
   }
   if (after.may_repeat && more) return NextStep::kSendAgain;
-  return after.end == AttemptEnd::kFailed ? NextStep::kPassOn
-                                          : NextStep::kUnknown;
+  return after.end == AttemptOutcome::kFailed ? NextStep::kPassOn
+                                              : NextStep::kUnknown;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/pace.cc
+++ b/routing/src/pace.cc
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-void OnPause(EnginePace& engine, ServicePace& service, double running,
-             std::chrono::duration<double, std::milli> pause) {
+void OnEventInterval(EnginePace& engine, ServicePace& service, double running,
+                     std::chrono::duration<double, std::milli> pause) {
   const double alone = pause.count() / (1 + kPaceFactorPerRunning * running);
   Smooth(engine.unloaded_event_ms, alone, kEnginePaceWeight);
   engine.samples = std::min(engine.samples + 1, kMaxPaceSamples);
@@ -46,18 +46,19 @@
   at->second.longest = std::max(at->second.longest, events);
 }
 
-double EventsExpected(const ServicePace& service, const std::string& route) {
+double ExpectedStreamEvents(const ServicePace& service,
+                            const std::string& route) {
   const auto at = service.lengths.find(route);
   return at != service.lengths.end() ? at->second.events : kDefaultStreamEvents;
 }
 
-double EventsAtMost(const ServicePace& service, const std::string& route) {
+double LongStreamEvents(const ServicePace& service, const std::string& route) {
   const auto at = service.lengths.find(route);
   return at != service.lengths.end() ? at->second.longest
                                      : kDefaultLongStreamEvents;
 }
 
-double LengthExpected(const ServicePace& service, const std::string& route) {
+double ExpectedStreamMs(const ServicePace& service, const std::string& route) {
   const auto at = service.lengths.find(route);
   return at != service.lengths.end() ? at->second.ms
                                      : kDefaultStreamEvents * kDefaultEventMs;
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -19,7 +19,7 @@
 }
 
 std::uint32_t MaxInFlightPerNode(const Endpoint& endpoint,
-                                 const FleetPart& fleet) {
+                                 const FleetSnapshot& fleet) {
   const double even =
       static_cast<double>(endpoint.entry.slots) /
       static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
@@ -62,7 +62,7 @@
 // Remembers when room is expected at an endpoint that can't be used now.
 void RecordNextTurn(UsableEndpoints& usable, PlacementReason use,
                     const Endpoint& endpoint, const Demand& demand,
-                    const FleetPart& fleet, Time now) {
+                    const FleetSnapshot& fleet, Time now) {
   if (use == PlacementReason::kAllLeaving) return;
   const auto rate = FindSharedRate(endpoint, *demand.service, now);
   if (use != PlacementReason::kAllLimited || !rate) {
@@ -83,7 +83,7 @@
 
 // Why it can't be used now; `kCheapest` when it can.
 PlacementReason WhyUnusable(const EndpointSet& set, const Endpoint& endpoint,
-                            const Demand& demand, const FleetPart& fleet,
+                            const Demand& demand, const FleetSnapshot& fleet,
                             Time now) {
   if (endpoint.phase == EndpointPhase::kLeaving ||
       endpoint.phase == EndpointPhase::kGone ||
@@ -107,7 +107,7 @@
 
 UsableEndpoints FindUsable(const EndpointSet& set, const Demand& demand,
                            const std::vector<EndpointPtr>& tried,
-                           const FleetPart& fleet, Time now) {
+                           const FleetSnapshot& fleet, Time now) {
   UsableEndpoints usable;
   const auto at = set.by_service.find(demand.service->name);
   if (at == set.by_service.end()) return usable;
@@ -145,10 +145,10 @@
 
 // Leaves those on the demand's side, if there are any.
 void KeepDemandSide(std::vector<EndpointPtr>& endpoints, const Demand& demand,
-                    double tight_part) {
+                    double tight_fraction) {
   const auto end = std::stable_partition(
       endpoints.begin(), endpoints.end(), [&](const EndpointPtr& endpoint) {
-        return IsOnDemandSide(*endpoint, demand, tight_part);
+        return IsOnDemandSide(*endpoint, demand, tight_fraction);
       });
   if (end != endpoints.begin()) endpoints.erase(end, endpoints.end());
 }
@@ -203,8 +203,8 @@
 }
 
 Placement Place(const EndpointSet& set, const Demand& demand,
-                const std::vector<EndpointPtr>& tried, const FleetPart& fleet,
-                kernel::Random& random, Time now) {
+                const std::vector<EndpointPtr>& tried,
+                const FleetSnapshot& fleet, kernel::Random& random, Time now) {
   Placement best;
   UsableEndpoints usable = FindUsable(set, demand, tried, fleet, now);
   if (usable.endpoints.empty() &&
@@ -224,7 +224,7 @@
       is_off(Mechanism::kSessionAffinity) ? 0 : SessionHash(demand);
   if (usable.endpoints.size() >= kMinEnginesToSplit &&
       !is_off(Mechanism::kEngineSplit)) {
-    KeepDemandSide(usable.endpoints, demand, set.tight_part);
+    KeepDemandSide(usable.endpoints, demand, set.tight_fraction);
   }
   std::size_t preferred = 0;
   if (session != 0) {
@@ -255,8 +255,9 @@
   return best;
 }
 
-void OnSent(Endpoint& endpoint, const Demand& demand, std::uint64_t attempt,
-            const Placement& placement, Time now) {
+void OnAttemptSent(Endpoint& endpoint, const Demand& demand,
+                   std::uint64_t attempt, const Placement& placement,
+                   Time now) {
   ++endpoint.in_flight;
   endpoint.waiting_tokens[std::min<std::size_t>(demand.tier, kTiers - 1)] +=
       placement.uncached_tokens;
@@ -267,11 +268,12 @@
   parts.reserve(demand.parts.size());
   for (const PromptPart& part : demand.parts) parts.push_back(part.id);
   RecordPromptParts(endpoint, parts, now);
-  if (FindSharedRate(endpoint, *demand.service, now)) endpoint.rated_sent = now;
+  if (FindSharedRate(endpoint, *demand.service, now))
+    endpoint.last_limited_send = now;
 }
 
-void OnStarted(Endpoint& endpoint, const Demand& demand, std::uint64_t attempt,
-               const Placement& placement) {
+void OnAttemptStarted(Endpoint& endpoint, const Demand& demand,
+                      std::uint64_t attempt, const Placement& placement) {
   if (endpoint.unanswered.erase(attempt) == 0) return;
   double& waiting =
       endpoint.waiting_tokens[std::min<std::size_t>(demand.tier, kTiers - 1)];
--- a/routing/src/placement_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -7,7 +7,7 @@
 namespace {
 
 double RunningAt(const Endpoint& endpoint) {
-  return endpoint.in_flight + endpoint.others_in_flight;
+  return endpoint.in_flight + endpoint.peers_in_flight;
 }
 
 bool IsGeneration(const CostInput& ask) { return ask.demand.prompt_tokens > 0; }
@@ -16,7 +16,7 @@
 // their slots are taken: until then all that waits is ahead, whatever its rank.
 double TokensAhead(const Endpoint& endpoint, Tier tier) {
   const bool by_rank = RunningAt(endpoint) >= endpoint.entry.slots;
-  double tokens = endpoint.others_tokens;
+  double tokens = endpoint.peers_waiting_tokens;
   for (std::size_t i = 0; i < kTiers && (i <= tier || !by_rank); ++i) {
     tokens += endpoint.waiting_tokens[i];
   }
@@ -110,7 +110,8 @@
   return sum;
 }
 
-PlacementCosts ComputeCosts(const CostInput& ask, const MechanismsOff& off) {
+PlacementCosts ComputeCosts(const CostInput& ask,
+                            const DisabledMechanisms& off) {
   PlacementCosts costs;
   for (std::size_t i = 0; i < kMechanismCount; ++i) {
     if (!off.test(i)) costs.ms[i] = kTerms[i].ms(ask);
--- a/routing/src/retry_budget.cc
+++ b/routing/src/retry_budget.cc
@@ -5,21 +5,21 @@
 namespace egretladder::routing {
 namespace {
 
-std::int64_t BucketNumber(const RetryRule& rule, Time now) {
+std::int64_t BucketNumber(const RetryBudgetRule& rule, Time now) {
   const auto slice = rule.window / kRetryBuckets;
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              now.time_since_epoch()) /
          slice;
 }
 
-RetryShare::Slice& BucketAt(RetryShare& share, std::int64_t number) {
+NodeRetryBudget::Slice& BucketAt(NodeRetryBudget& share, std::int64_t number) {
   auto& slice = share.slices[static_cast<std::size_t>(number) % kRetryBuckets];
   if (slice.number != number) slice = {number, 0, 0};
   return slice;
 }
 
 // This process's part of the fixed allowance.
-double NodeSlack(const RetryRule& rule, const RetryFleet& fleet) {
+double NodeSlack(const RetryBudgetRule& rule, const RetryBudgetFleet& fleet) {
   const double part =
       rule.slack / static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
   const double lived =
@@ -31,16 +31,16 @@
 
 }  // namespace
 
-void OnRequest(RetryShare& share, const RetryRule& rule, Time now) {
+void OnRequest(NodeRetryBudget& share, const RetryBudgetRule& rule, Time now) {
   ++BucketAt(share, BucketNumber(rule, now)).requests;
 }
 
-double RetriesLeft(const RetryShare& share, const RetryRule& rule,
-                   const RetryFleet& fleet, Time now) {
+double RetriesLeft(const NodeRetryBudget& share, const RetryBudgetRule& rule,
+                   const RetryBudgetFleet& fleet, Time now) {
   const std::int64_t number = BucketNumber(rule, now);
   double requests = 0;
   double repeats = 0;
-  for (const RetryShare::Slice& slice : share.slices) {
+  for (const NodeRetryBudget::Slice& slice : share.slices) {
     if (number - slice.number >= static_cast<std::int64_t>(kRetryBuckets)) {
       continue;
     }
@@ -52,8 +52,8 @@
   return std::max(0.0, allowed - repeats);
 }
 
-bool TakeRetry(RetryShare& share, const RetryRule& rule,
-               const RetryFleet& fleet, Time now) {
+bool TakeRetry(NodeRetryBudget& share, const RetryBudgetRule& rule,
+               const RetryBudgetFleet& fleet, Time now) {
   if (RetriesLeft(share, rule, fleet, now) < 1) return false;
   ++BucketAt(share, BucketNumber(rule, now)).repeats;
   return true;
--- a/routing/src/route_table.cc
+++ b/routing/src/route_table.cc
@@ -73,8 +73,8 @@
 
 const ClientAccount* FindAccount(const RouteTable& table,
                                  const std::string& key) {
-  const auto at = table.account_of_key.find(key);
-  return at == table.account_of_key.end() ? nullptr
+  const auto at = table.account_by_key.find(key);
+  return at == table.account_by_key.end() ? nullptr
                                           : &table.accounts[at->second];
 }
 
@@ -84,7 +84,7 @@
   return at == table.ranks.end() ? route.tier : at->second;
 }
 
-ServiceHandle DrawTarget(const Route& route, double draw) {
+ServiceHandle PickTarget(const Route& route, double draw) {
   std::uint64_t sum = 0;
   for (const WeightedTarget& target : route.targets) sum += target.weight;
   double left = draw * static_cast<double>(sum);
--- a/routing/src/shared_rate.cc
+++ b/routing/src/shared_rate.cc
@@ -9,7 +9,7 @@
 namespace egretladder::routing {
 namespace {
 
-std::size_t NodesOf(const FleetPart& fleet) {
+std::size_t EstimateFleetSize(const FleetSnapshot& fleet) {
   return std::max(fleet.nodes, fleet.names.size());
 }
 
@@ -48,8 +48,8 @@
 }
 
 bool IsSender(const Endpoint& endpoint, const SharedRate& rate,
-              const FleetPart& fleet) {
-  const std::size_t nodes = NodesOf(fleet);
+              const FleetSnapshot& fleet) {
+  const std::size_t nodes = EstimateFleetSize(fleet);
   if (nodes <= rate.senders) return true;
   // A node that others don't know yet, or that knows few of them, is rarely
   // among them.
@@ -64,12 +64,12 @@
 }
 
 Time NextTurnTime(const Endpoint& endpoint, const SharedRate& rate,
-                  const FleetPart& fleet) {
-  const std::size_t senders = std::min(NodesOf(fleet), rate.senders);
+                  const FleetSnapshot& fleet) {
+  const std::size_t senders = std::min(EstimateFleetSize(fleet), rate.senders);
   const std::chrono::duration<double> pause(static_cast<double>(senders) /
                                             rate.per_second);
-  if (endpoint.rated_sent >= rate.since) {
-    return endpoint.rated_sent +
+  if (endpoint.last_limited_send >= rate.since) {
+    return endpoint.last_limited_send +
            std::chrono::duration_cast<Time::duration>(pause);
   }
   const double part =
--- a/routing/src/stop_admission.cc
+++ b/routing/src/stop_admission.cc
@@ -5,47 +5,50 @@
 
 namespace egretladder::routing {
 
-const char* NameOf(StopVerdict verdict) {
+const char* NameOf(StopAdmissionVerdict verdict) {
   switch (verdict) {
-    case StopVerdict::kEndsByDeadline:
+    case StopAdmissionVerdict::kEndsByDeadline:
       return "ends-by-deadline";
-    case StopVerdict::kExpectedInTime:
+    case StopAdmissionVerdict::kExpectedInTime:
       return "expected-in-time";
-    case StopVerdict::kTooLong:
+    case StopAdmissionVerdict::kTooLong:
       return "too-long";
-    case StopVerdict::kTooLate:
+    case StopAdmissionVerdict::kTooLate:
       return "too-late";
   }
   return "unknown";
 }
 
-bool IsTaken(StopVerdict verdict) {
-  return verdict == StopVerdict::kEndsByDeadline ||
-         verdict == StopVerdict::kExpectedInTime;
+bool IsAdmitted(StopAdmissionVerdict verdict) {
+  return verdict == StopAdmissionVerdict::kEndsByDeadline ||
+         verdict == StopAdmissionVerdict::kExpectedInTime;
 }
 
-StopVerdict DecideTake(const policy::StopPlan& plan, const StopAsk& ask) {
+StopAdmissionVerdict DecideStopAdmission(const policy::StopPlan& plan,
+                                         const StopAdmissionInput& ask) {
   const policy::StopPhase phase = policy::PhaseOf(plan, ask.arrived);
   const milliseconds left = policy::LeftForWork(plan, ask.since);
   const bool may_take = phase == policy::StopPhase::kTaking ||
                         phase == policy::StopPhase::kSettling;
-  if (!may_take) return StopVerdict::kTooLate;
-  if (ask.deadline <= left) return StopVerdict::kEndsByDeadline;
+  if (!may_take) return StopAdmissionVerdict::kTooLate;
+  if (ask.deadline <= left) return StopAdmissionVerdict::kEndsByDeadline;
   // An estimate may be wrong. That risk is worth taking only for callers that
   // could not know of the stop.
-  if (phase == policy::StopPhase::kSettling) return StopVerdict::kTooLate;
-  return ask.longest <= left ? StopVerdict::kExpectedInTime
-                             : StopVerdict::kTooLong;
+  if (phase == policy::StopPhase::kSettling)
+    return StopAdmissionVerdict::kTooLate;
+  return ask.longest <= left ? StopAdmissionVerdict::kExpectedInTime
+                             : StopAdmissionVerdict::kTooLong;
 }
 
-milliseconds LongestWhole(const EndpointSet& set, const Demand& demand,
-                          const Placement& placement) {
+milliseconds EstimateLongAnswerTime(const EndpointSet& set,
+                                    const Demand& demand,
+                                    const Placement& placement) {
   double ms = placement.expected_ms;
   const Endpoint unknown;
   const Endpoint& endpoint =
       placement.endpoint != nullptr ? *placement.endpoint : unknown;
   if (demand.longest > 1) {
-    const double running = endpoint.in_flight + endpoint.others_in_flight;
+    const double running = endpoint.in_flight + endpoint.peers_in_flight;
     ms += (demand.longest - 1) *
           ExpectedEventMs(endpoint.pace, PaceOf(set, demand.service->name),
                           running);
--- a/routing/src/store_readers.cc
+++ b/routing/src/store_readers.cc
@@ -17,7 +17,7 @@
   const std::uint64_t own = kernel::HashBytes(members.self.node);
   RankedNodes ranked;
   for (const auto& [node, known] : members.others) {
-    if (!IsThere(members, known, now)) continue;
+    if (!IsMemberAvailable(members, known, now)) continue;
     auto& side = kernel::HashBytes(node) > own ? ranked.before : ranked.after;
     side.push_back(&known);
   }
@@ -57,7 +57,7 @@
   return static_cast<std::size_t>(reading) < kMaxReaders;
 }
 
-std::vector<std::string> StandbysOf(const Members& members, Time now) {
+std::vector<std::string> StandbyAddresses(const Members& members, Time now) {
   RankedNodes ranked = RankOtherNodes(members, now);
   const std::size_t rank = ranked.before.size();
   auto& after = ranked.after;
--- a/routing/src/suspects.cc
+++ b/routing/src/suspects.cc
@@ -75,12 +75,13 @@
 
 }  // namespace
 
-void OnBroke(Suspects& suspects, std::uint64_t request, const Break& seen) {
+void OnConnectionBroke(Suspects& suspects, std::uint64_t request,
+                       const Break& seen) {
   Suspect& suspect = FindOrAddSuspect(suspects, request);
   if (Merge(suspect, seen)) suspect.changed = seen.broke;
 }
 
-void OnRan(Suspects& suspects, std::uint64_t request, Time now) {
+void OnRequestRan(Suspects& suspects, std::uint64_t request, Time now) {
   const auto at = suspects.by_request.find(request);
   if (at == suspects.by_request.end()) return;
   at->second.cleared = now;
@@ -96,7 +97,8 @@
   return std::max(milliseconds(0), kSuspectHoldTime - Age(chain.last, now));
 }
 
-std::vector<ToldSuspect> SuspectsToTell(const Suspects& suspects, Time now) {
+std::vector<SuspectGossip> MakeSuspectGossip(const Suspects& suspects,
+                                             Time now) {
   std::vector<std::pair<Time, std::uint64_t>> newest;
   for (const auto& [request, suspect] : suspects.by_request) {
     if (now - suspect.changed >= kSuspectGossipTime) continue;
@@ -105,10 +107,10 @@
   std::sort(newest.rbegin(), newest.rend());
   if (newest.size() > kMaxSuspectsPerExchange)
     newest.resize(kMaxSuspectsPerExchange);
-  std::vector<ToldSuspect> told;
+  std::vector<SuspectGossip> told;
   for (const auto& [time, request] : newest) {
     const Suspect& suspect = suspects.by_request.at(request);
-    ToldSuspect one;
+    SuspectGossip one;
     one.request = request;
     one.cleared_ago =
         suspect.cleared == Time{} ? kNeverCleared : Age(suspect.cleared, now);
@@ -121,7 +123,8 @@
   return told;
 }
 
-void HearSuspect(Suspects& suspects, const ToldSuspect& told, Time now) {
+void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& told,
+                        Time now) {
   Suspect& suspect = FindOrAddSuspect(suspects, told.request);
   if (told.cleared_ago < kSuspectRetention) {
     const Time cleared = now - told.cleared_ago;
--- a/routing/tests/admission_test.cc
+++ b/routing/tests/admission_test.cc
@@ -4,14 +4,14 @@
 
 using namespace std::chrono_literals;
 namespace er = egretladder::routing;
-using er::AdmitVerdict;
+using er::AdmissionVerdict;
 
 namespace {
 
 constexpr er::Time kStart{std::chrono::hours(1)};
 
-er::AdmitAsk Ask() {
-  er::AdmitAsk ask;
+er::AdmissionInput Ask() {
+  er::AdmissionInput ask;
   ask.waits_since = kStart;
   ask.deadline = kStart + 8s;
   ask.target = 1000ms;
@@ -32,25 +32,30 @@
 // A burst is far over what the engines bear. Held until its deadline, a caller
 // learns nothing in time; refused at once, it can come back.
 TEST(Admit, WhatCannotStartInTimeIsRefusedAtOnce) {
-  CHECK(er::DecideSend(Ask(), Found(500), kStart) == AdmitVerdict::kSend);
-  CHECK(er::DecideSend(Ask(), Found(7000), kStart) == AdmitVerdict::kTooLate);
-  CHECK(er::DecideSend(Ask(), Found(500), kStart + 7500ms) ==
-        AdmitVerdict::kTooLate);
+  CHECK(er::DecideAdmission(Ask(), Found(500), kStart) ==
+        AdmissionVerdict::kSend);
+  CHECK(er::DecideAdmission(Ask(), Found(7000), kStart) ==
+        AdmissionVerdict::kTooLate);
+  CHECK(er::DecideAdmission(Ask(), Found(500), kStart + 7500ms) ==
+        AdmissionVerdict::kTooLate);
 }
 
 TEST(Admit, WaitsForAnEndpointForPartOfTheTarget) {
-  CHECK(er::DecideSend(Ask(), {}, kStart) == AdmitVerdict::kWait);
-  CHECK(er::DecideSend(Ask(), {}, kStart + 400ms) == AdmitVerdict::kWait);
-  CHECK(er::DecideSend(Ask(), {}, kStart + 500ms) == AdmitVerdict::kNoEndpoint);
+  CHECK(er::DecideAdmission(Ask(), {}, kStart) == AdmissionVerdict::kWait);
+  CHECK(er::DecideAdmission(Ask(), {}, kStart + 400ms) ==
+        AdmissionVerdict::kWait);
+  CHECK(er::DecideAdmission(Ask(), {}, kStart + 500ms) ==
+        AdmissionVerdict::kNoEndpoint);
 }
 
 // An engine crashed in the middle of a stream, and the others are full for a
 // moment. Given up at once, all that was generated is lost.
 TEST(Admit, WorkThatWasSentBeforeWaitsLonger) {
-  er::AdmitAsk ask = Ask();
+  er::AdmissionInput ask = Ask();
   ask.target = 200ms;
-  ask.came_before = true;
-  CHECK(er::DecideSend(ask, {}, kStart + 900ms) == AdmitVerdict::kWait);
+  ask.was_sent_before = true;
+  CHECK(er::DecideAdmission(ask, {}, kStart + 900ms) ==
+        AdmissionVerdict::kWait);
 }
 
 // Guards against callers that are held for a turn that comes after their time.
@@ -58,20 +63,21 @@
   er::Placement limited;
   limited.reason = er::PlacementReason::kAllLimited;
   limited.next_turn_in = 300ms;
-  CHECK(er::DecideSend(Ask(), limited, kStart) == AdmitVerdict::kWait);
+  CHECK(er::DecideAdmission(Ask(), limited, kStart) == AdmissionVerdict::kWait);
   limited.next_turn_in = 3s;
-  CHECK(er::DecideSend(Ask(), limited, kStart) == AdmitVerdict::kNoEndpoint);
+  CHECK(er::DecideAdmission(Ask(), limited, kStart) ==
+        AdmissionVerdict::kNoEndpoint);
   egretladder::kernel::Random random{5};
   for (int i = 0; i < 20; ++i) {
-    const auto back = er::ComeBackAfter(limited, 1000ms, random);
+    const auto back = er::RetryAfterRejection(limited, 1000ms, random);
     CHECK(back >= 1500ms && back <= 4500ms);
   }
 }
 
 TEST(Admit, CallersThatWereRefusedTogetherReturnApart) {
   egretladder::kernel::Random random{5};
-  const auto first = er::ComeBackAfter({}, 1000ms, random);
-  const auto second = er::ComeBackAfter({}, 1000ms, random);
+  const auto first = er::RetryAfterRejection({}, 1000ms, random);
+  const auto second = er::RetryAfterRejection({}, 1000ms, random);
   CHECK(first != second);
   CHECK(first >= 125ms);
   CHECK(first <= 1s);
@@ -83,10 +89,10 @@
 TEST(Admit, CallersComeBackToANodeWithoutRulesAfterAboutAsLongAgain) {
   egretladder::kernel::Random random{5};
   for (int i = 0; i < 100; ++i) {
-    const auto early = er::ComeBackWhenReady(10ms, random);
+    const auto early = er::RetryAfterNotReady(10ms, random);
     CHECK(early >= 150ms && early <= 250ms);
-    const auto later = er::ComeBackWhenReady(1000ms, random);
+    const auto later = er::RetryAfterNotReady(1000ms, random);
     CHECK(later >= 750ms && later <= 1250ms);
-    CHECK(er::ComeBackWhenReady(60s, random) <= 1875ms);
+    CHECK(er::RetryAfterNotReady(60s, random) <= 1875ms);
   }
 }
--- a/routing/tests/advertised_limits_test.cc
+++ b/routing/tests/advertised_limits_test.cc
@@ -36,7 +36,7 @@
       entry.service = service_.name;
       entry.address = "10.0.0.1:80";
       entry.slots = 100'000;
-      er::OnEntry(sets_[i], entry, kStart);
+      er::OnEntryPublished(sets_[i], entry, kStart);
     }
   }
 
@@ -82,8 +82,8 @@
   };
 
   void Tell(std::size_t from, std::size_t to) {
-    for (const auto& told : er::LimitsToTell(sets_[from], random_, now_)) {
-      er::HearLimit(sets_[to], told, now_);
+    for (const auto& told : er::MakeLimitGossip(sets_[from], random_, now_)) {
+      er::ApplyLimitGossip(sets_[to], told, now_);
     }
   }
 
@@ -97,20 +97,22 @@
 
   void Step() {
     const auto passed = now_ - kStart;
-    if (talk_ && passed % er::kExchangePeriodLarge < kStep) Exchange();
+    if (talk_ && passed % er::kLargeFleetExchangeInterval < kStep) Exchange();
     for (; !answers_.empty() && answers_.front().due <= now_;
          answers_.pop_front()) {
-      er::OnLimit(sets_[answers_.front().node], At(answers_.front().node),
-                  answers_.front().limit, now_);
+      er::OnAdvertisedLimit(sets_[answers_.front().node],
+                            At(answers_.front().node), answers_.front().limit,
+                            now_);
     }
     for (std::size_t i = 0; i < sets_.size(); ++i) {
-      const er::FleetPart part{names_.size(), names_[i], names_, "a"};
+      const er::FleetSnapshot part{names_.size(), names_[i], names_, "a"};
       er::Demand demand;
       demand.service = &service_;
       const auto placement =
           er::Place(sets_[i], demand, {}, part, random_, now_);
       if (placement.endpoint == nullptr) continue;
-      er::OnSent(*placement.endpoint, demand, ++attempts_, placement, now_);
+      er::OnAttemptSent(*placement.endpoint, demand, ++attempts_, placement,
+                        now_);
       arrivals_.push_back(now_);
       answers_.push_back({now_ + kAnswerTime, i, limit_});
     }
@@ -135,7 +137,7 @@
 er::EndpointSet WithEndpoints(const std::vector<std::string>& ids) {
   er::EndpointSet set;
   for (const std::string& id : ids) {
-    er::OnEntry(
+    er::OnEntryPublished(
         set,
         {.id = id, .service = "engines", .address = "10.0.0.1:80", .slots = 16},
         kStart);
@@ -204,9 +206,9 @@
 // Guards against an endpoint whose earlier process was in need.
 TEST(NamedLimits, NewsOfAnEarlierProcessAreNotBelieved) {
   LimitedFleet fleet(1);
-  const er::ToldLimit before{"limited", 2, 500ms};
-  CHECK_FALSE(er::HearLimit(fleet.Set(0), before, kStart + 400ms));
-  CHECK(er::HearLimit(fleet.Set(0), before, kStart + 600ms));
+  const er::LimitGossip before{"limited", 2, 500ms};
+  CHECK_FALSE(er::ApplyLimitGossip(fleet.Set(0), before, kStart + 400ms));
+  CHECK(er::ApplyLimitGossip(fleet.Set(0), before, kStart + 600ms));
   DOUBLES_EQUAL(2, fleet.At(0).limit.per_second, 0);
 }
 
@@ -215,10 +217,10 @@
   LimitedFleet fleet(1);
   const double none = std::numeric_limits<double>::quiet_NaN();
   const er::Time now = kStart + 60s;
-  CHECK_FALSE(er::HearLimit(fleet.Set(0), {"limited", none, 0ms}, now));
-  CHECK_FALSE(er::HearLimit(fleet.Set(0), {"limited", -1, 0ms}, now));
-  CHECK_FALSE(er::HearLimit(fleet.Set(0), {"unknown", 2, 0ms}, now));
-  CHECK_FALSE(er::HearLimit(fleet.Set(0), {"limited", 2, 11s}, now));
+  CHECK_FALSE(er::ApplyLimitGossip(fleet.Set(0), {"limited", none, 0ms}, now));
+  CHECK_FALSE(er::ApplyLimitGossip(fleet.Set(0), {"limited", -1, 0ms}, now));
+  CHECK_FALSE(er::ApplyLimitGossip(fleet.Set(0), {"unknown", 2, 0ms}, now));
+  CHECK_FALSE(er::ApplyLimitGossip(fleet.Set(0), {"limited", 2, 11s}, now));
   DOUBLES_EQUAL(0, fleet.At(0).limit.per_second, 0);
 }
 
@@ -239,11 +241,11 @@
   er::Endpoint& endpoint = *set.by_id["one"];
   er::Service service{.name = "engines", .cold_per_second = 5};
   endpoint.cold_until = kStart + 10s;
-  er::OnLimit(set, endpoint, 2, kStart);
+  er::OnAdvertisedLimit(set, endpoint, 2, kStart);
   auto rate = er::FindSharedRate(endpoint, service, kStart);
   CHECK(rate->reason == er::RateReason::kLimited);
   LONGS_EQUAL(7, rate->senders);
-  er::OnLimit(set, endpoint, 60, kStart);
+  er::OnAdvertisedLimit(set, endpoint, 60, kStart);
   rate = er::FindSharedRate(endpoint, service, kStart);
   CHECK(rate->reason == er::RateReason::kCold);
   LONGS_EQUAL(er::kMaxColdSenders, rate->senders);
@@ -252,23 +254,23 @@
 TEST(NamedLimits, AreKeptWithinBounds) {
   LimitedFleet fleet(1);
   er::Endpoint& endpoint = fleet.At(0);
-  CHECK(er::OnLimit(fleet.Set(0), endpoint, 0, kStart));
+  CHECK(er::OnAdvertisedLimit(fleet.Set(0), endpoint, 0, kStart));
   DOUBLES_EQUAL(er::kMinLimitPerSecond, endpoint.limit.per_second, 0);
-  CHECK(er::OnLimit(fleet.Set(0), endpoint, 1e300, kStart));
+  CHECK(er::OnAdvertisedLimit(fleet.Set(0), endpoint, 1e300, kStart));
   DOUBLES_EQUAL(er::kMaxLimitPerSecond, endpoint.limit.per_second, 0);
   // What hardly changes isn't worth a line.
-  CHECK_FALSE(er::OnLimit(fleet.Set(0), endpoint, 0.9e6, kStart));
-  CHECK(er::OnLimit(fleet.Set(0), endpoint, std::nullopt, kStart));
+  CHECK_FALSE(er::OnAdvertisedLimit(fleet.Set(0), endpoint, 0.9e6, kStart));
+  CHECK(er::OnAdvertisedLimit(fleet.Set(0), endpoint, std::nullopt, kStart));
 }
 
 // Guards against callers that wait while other endpoints are free.
 TEST(NamedLimits, OtherEndpointsTakeWhatALimitedOneMayNot) {
   er::EndpointSet set = WithEndpoints({"limited", "free"});
   er::Service service{.name = "engines"};
-  er::OnLimit(set, *set.by_id["limited"], 1, kStart);
+  er::OnAdvertisedLimit(set, *set.by_id["limited"], 1, kStart);
   er::Demand demand;
   demand.service = &service;
-  const er::FleetPart alone{1, "n1", {"n1"}, "a"};
+  const er::FleetSnapshot alone{1, "n1", {"n1"}, "a"};
   ek::Random random{5};
   for (int i = 0; i < 20; ++i) {
     const auto placement =
@@ -282,18 +284,18 @@
   er::Service service{.name = "engines"};
   er::Demand demand;
   demand.service = &service;
-  const er::FleetPart alone{1, "n1", {"n1"}, "a"};
+  const er::FleetSnapshot alone{1, "n1", {"n1"}, "a"};
   ek::Random random{5};
-  er::OnLimit(set, *set.by_id["one"], 1, kStart);
-  er::OnLimit(set, *set.by_id["two"], 4, kStart);
+  er::OnAdvertisedLimit(set, *set.by_id["one"], 1, kStart);
+  er::OnAdvertisedLimit(set, *set.by_id["two"], 4, kStart);
   auto none = er::Place(set, demand, {}, alone, random, kStart);
   CHECK(none.endpoint == nullptr);
   CHECK(none.reason == er::PlacementReason::kAllLimited);
   // The first turn comes within one pause of the larger limit.
   CHECK(none.next_turn_in > 0ms && none.next_turn_in <= 313ms);
   // One that is full for a moment may be free before that.
-  er::OnLimit(set, *set.by_id["two"], std::nullopt, kStart);
-  er::OnFull(*set.by_id["two"], 200ms, kStart);
+  er::OnAdvertisedLimit(set, *set.by_id["two"], std::nullopt, kStart);
+  er::OnEndpointFull(*set.by_id["two"], 200ms, kStart);
   none = er::Place(set, demand, {}, alone, random, kStart);
   CHECK(none.endpoint == nullptr && !none.next_turn_in);
 }
--- a/routing/tests/catalog_test.cc
+++ b/routing/tests/catalog_test.cc
@@ -79,7 +79,7 @@
   er::Apply(ours, List(5, {{"a", "1", 3}, {"b", "1", 4}}), kStart);
   er::Catalog theirs = ours;
   er::Apply(ours, Watch(8, {{"a", "", 8, true}}), kStart);
-  er::ForgetRemovals(ours, kStart + er::kTombstoneRetention + 1s);
+  er::PruneTombstones(ours, kStart + er::kTombstoneRetention + 1s);
   const er::Changes lacking = er::ChangesSince(ours, er::Feed::kEndpoints, 5);
   CHECK(lacking.whole);
   const auto news = er::Apply(theirs, lacking, kStart);
@@ -95,11 +95,12 @@
   er::Apply(other, er::ChangesSince(reader, er::Feed::kEndpoints, 0), kStart);
   er::Apply(reader, Watch(9, {}), kStart);
   const auto feed = er::Feed::kEndpoints;
-  CHECK_FALSE(er::TakeProgress(other, feed, er::ProgressOf(reader, feed)));
-  LONGS_EQUAL(9, er::ProgressOf(other, feed).known);
+  CHECK_FALSE(
+      er::ApplyPeerProgress(other, feed, er::GetFeedProgress(reader, feed)));
+  LONGS_EQUAL(9, er::GetFeedProgress(other, feed).known);
   er::Apply(reader, Watch(12, {{"a", "2", 11}}), kStart);
-  CHECK(er::TakeProgress(other, feed, er::ProgressOf(reader, feed)));
-  LONGS_EQUAL(9, er::ProgressOf(other, feed).known);
+  CHECK(er::ApplyPeerProgress(other, feed, er::GetFeedProgress(reader, feed)));
+  LONGS_EQUAL(9, er::GetFeedProgress(other, feed).known);
 }
 
 // Guards against a node that takes a peer's look for a list of its own.
@@ -108,5 +109,5 @@
   er::Catalog other;
   const auto feed = er::Feed::kEndpoints;
   er::Apply(reader, List(5, {}), kStart);
-  CHECK(er::TakeProgress(other, feed, er::ProgressOf(reader, feed)));
+  CHECK(er::ApplyPeerProgress(other, feed, er::GetFeedProgress(reader, feed)));
 }
--- a/routing/tests/endpoints_test.cc
+++ b/routing/tests/endpoints_test.cc
@@ -28,11 +28,11 @@
 TEST_GROUP(Endpoints) { er::EndpointSet set; };
 
 TEST(Endpoints, ComeChangeAndGo) {
-  CHECK(er::OnEntry(set, Entry("x"), kStart) == EntryChange::kNew);
-  CHECK(er::OnEntry(set, Entry("x"), kStart) == EntryChange::kNone);
+  CHECK(er::OnEntryPublished(set, Entry("x"), kStart) == EntryChange::kNew);
+  CHECK(er::OnEntryPublished(set, Entry("x"), kStart) == EntryChange::kNone);
   er::EndpointEntry leaving = Entry("x");
   leaving.leaving = true;
-  CHECK(er::OnEntry(set, leaving, kStart) == EntryChange::kLeaving);
+  CHECK(er::OnEntryPublished(set, leaving, kStart) == EntryChange::kLeaving);
   CHECK(er::OnEntryRemoved(set, "x", false, kStart) == EntryChange::kGone);
   CHECK(set.by_service["engines"].empty());
 }
@@ -42,11 +42,12 @@
   constexpr int kCount = 40;
   er::EndpointSet backwards;
   for (int i = 0; i < kCount; ++i) {
-    er::OnEntry(set, Entry("e" + std::to_string(i)), kStart);
-    er::OnEntry(backwards, Entry("e" + std::to_string(kCount - 1 - i)), kStart);
+    er::OnEntryPublished(set, Entry("e" + std::to_string(i)), kStart);
+    er::OnEntryPublished(backwards, Entry("e" + std::to_string(kCount - 1 - i)),
+                         kStart);
   }
   // One that came in between and left again leaves no gap.
-  er::OnEntry(set, Entry("other"), kStart);
+  er::OnEntryPublished(set, Entry("other"), kStart);
   er::OnEntryRemoved(set, "other", false, kStart);
   std::set<double> places;
   for (const auto& [id, endpoint] : set.by_id) {
@@ -60,14 +61,15 @@
 // An endpoint crashes and starts again under its name. What this node knew of
 // it, its warm memory above all, is gone with the process.
 TEST(Endpoints, ARestartedProcessHasNoHistory) {
-  er::OnEntry(set, Entry("x"), kStart);
+  er::OnEntryPublished(set, Entry("x"), kStart);
   const er::EndpointPtr before = set.by_id["x"];
   er::RecordPromptParts(*before, {7}, kStart);
   before->in_flight = 3;
   er::EndpointEntry again = Entry("x");
   again.born = 200;
   again.cold_left = 3s;
-  CHECK(er::OnEntry(set, again, kStart + 1s) == EntryChange::kRestarted);
+  CHECK(er::OnEntryPublished(set, again, kStart + 1s) ==
+        EntryChange::kRestarted);
   const er::EndpointPtr after = set.by_id["x"];
   CHECK(after != before);
   CHECK(before->phase == er::EndpointPhase::kGone);
@@ -80,14 +82,15 @@
 // endpoint at all until they have registered anew. Believed at once, no request
 // would be served for two seconds.
 TEST(Endpoints, AnEntryThatLapsedInAnOutageIsBelievedForAWhile) {
-  er::OnEntry(set, Entry("x"), kStart);
+  er::OnEntryPublished(set, Entry("x"), kStart);
   CHECK(er::OnEntryRemoved(set, "x", true, kStart) == EntryChange::kLapsed);
   LONGS_EQUAL(1, set.by_service["engines"].size());
-  CHECK(er::DropLapsed(set, kStart + 1s).empty());
-  CHECK(er::OnEntry(set, Entry("x"), kStart + 1s) == EntryChange::kChanged);
-  CHECK(er::DropLapsed(set, kStart + 5s).empty());
+  CHECK(er::RemoveLapsedEndpoints(set, kStart + 1s).empty());
+  CHECK(er::OnEntryPublished(set, Entry("x"), kStart + 1s) ==
+        EntryChange::kChanged);
+  CHECK(er::RemoveLapsedEndpoints(set, kStart + 5s).empty());
   er::OnEntryRemoved(set, "x", true, kStart + 6s);
-  LONGS_EQUAL(1, er::DropLapsed(set, kStart + 8s).size());
+  LONGS_EQUAL(1, er::RemoveLapsedEndpoints(set, kStart + 8s).size());
   CHECK(set.by_id.empty());
 }
 
@@ -96,11 +99,12 @@
 // while; but two seconds later nothing may be sent to them, and a node looks at
 // what has lapsed ten times a second.
 TEST(Endpoints, ManyThatLeaveAtOnceGetNothingTwoSecondsLater) {
-  for (const char* id : {"x", "y", "z"}) er::OnEntry(set, Entry(id), kStart);
+  for (const char* id : {"x", "y", "z"})
+    er::OnEntryPublished(set, Entry(id), kStart);
   for (const char* id : {"x", "y", "z"}) {
     er::OnEntryRemoved(set, id, true, kStart);
   }
-  LONGS_EQUAL(3, er::DropLapsed(set, kStart + 1850ms).size());
+  LONGS_EQUAL(3, er::RemoveLapsedEndpoints(set, kStart + 1850ms).size());
   CHECK(set.by_service["engines"].empty());
 }
 
@@ -108,14 +112,14 @@
 TEST(Endpoints, ALeavingOneGoesAlsoInAnOutage) {
   er::EndpointEntry leaving = Entry("x");
   leaving.leaving = true;
-  er::OnEntry(set, leaving, kStart);
+  er::OnEntryPublished(set, leaving, kStart);
   CHECK(er::OnEntryRemoved(set, "x", true, kStart) == EntryChange::kGone);
 }
 
 TEST(Endpoints, FailuresFadeAndRefusalsDouble) {
-  er::OnEntry(set, Entry("x"), kStart);
+  er::OnEntryPublished(set, Entry("x"), kStart);
   er::Endpoint& endpoint = *set.by_id["x"];
-  er::OnFailed(endpoint, kStart);
+  er::OnAttemptFailed(endpoint, kStart);
   const double failing = er::FailureRate(endpoint.trust, kStart);
   CHECK(failing > 0);
   DOUBLES_EQUAL(failing / 2,
@@ -130,7 +134,7 @@
 }
 
 TEST(Endpoints, ForgetsTheOlderHalfOfTheParts) {
-  er::OnEntry(set, Entry("x"), kStart);
+  er::OnEntryPublished(set, Entry("x"), kStart);
   er::Endpoint& endpoint = *set.by_id["x"];
   for (std::uint64_t part = 1; part <= er::kMaxPromptParts + 1; ++part) {
     er::RecordPromptParts(endpoint, {part},
--- a/routing/tests/engine_split_test.cc
+++ b/routing/tests/engine_split_test.cc
@@ -20,7 +20,7 @@
   er::Demand demand;
   demand.parts = {{1, 5000}, {2, 6600}};
   demand.prompt_tokens = 11'600;
-  demand.length_ms = 3000;
+  demand.expected_stream_ms = 3000;
   return demand;
 }
 
@@ -28,7 +28,7 @@
   er::Demand demand;
   demand.parts = {{3, 200}, {4, 600}};
   demand.prompt_tokens = 800;
-  demand.length_ms = 1300;
+  demand.expected_stream_ms = 1300;
   demand.tight = true;
   return demand;
 }
@@ -37,8 +37,8 @@
 
 TEST_GROUP(Sides) {
   ek::Random random{11};
-  std::vector<er::SideMeter> meters{kNodes};
-  std::vector<er::AgreedDemand> agreed{kNodes};
+  std::vector<er::SplitDemandMeter> meters{kNodes};
+  std::vector<er::FleetDemand> agreed{kNodes};
   er::Time now = kStart;
 
   static er::Placement At(std::uint32_t slots, double uncached) {
@@ -49,7 +49,7 @@
     return placement;
   }
 
-  void Place(er::SideMeter & meter, const er::Demand& demand,
+  void Place(er::SplitDemandMeter & meter, const er::Demand& demand,
              const er::Placement& placement) const {
     er::OnPlaced(meter, demand, placement, now);
   }
@@ -87,8 +87,8 @@
 
   std::vector<double> Parts() const {
     std::vector<double> parts;
-    for (const er::AgreedDemand& one : agreed) {
-      parts.push_back(er::TightPartOf(one.mean));
+    for (const er::FleetDemand& one : agreed) {
+      parts.push_back(er::TightFraction(one.mean));
     }
     std::sort(parts.begin(), parts.end());
     return parts;
@@ -127,10 +127,10 @@
 
 TEST(Sides, ANodeThatStartsTakesWhatItsPeersAgreedOn) {
   Play(8s, 117, 145);
-  er::AgreedDemand fresh;
+  er::FleetDemand fresh;
   er::Agree(fresh, agreed.front().mean);
-  DOUBLES_EQUAL(er::TightPartOf(agreed.front().mean),
-                er::TightPartOf(fresh.mean), 0.001);
+  DOUBLES_EQUAL(er::TightFraction(agreed.front().mean),
+                er::TightFraction(fresh.mean), 0.001);
 }
 
 // It has seen no request by the time of its own next exchange. Pulled to that
@@ -138,36 +138,36 @@
 // others keep for tight streams.
 TEST(Sides, ANodeThatStartsKeepsWhatItTookUntilItHasMeasured) {
   Play(8s, 117, 145);
-  const double part = er::TightPartOf(agreed.front().mean);
-  er::AgreedDemand fresh;
+  const double part = er::TightFraction(agreed.front().mean);
+  er::FleetDemand fresh;
   er::Agree(fresh, agreed.front().mean);
-  const er::SideMeter idle;
+  const er::SplitDemandMeter idle;
   er::Pull(fresh, idle, now);
   er::Pull(fresh, idle, now + 200ms);
-  DOUBLES_EQUAL(part, er::TightPartOf(fresh.mean), 0.001);
+  DOUBLES_EQUAL(part, er::TightFraction(fresh.mean), 0.001);
   CHECK(fresh.mean.tight > agreed.front().mean.tight / 2);
 }
 
 // A node that knows nothing yet would pull the others' figure to nothing.
 TEST(Sides, ANodeThatKnowsNothingChangesNoFigure) {
-  er::AgreedDemand known;
+  er::FleetDemand known;
   er::Agree(known, {4, 8});
   er::Agree(known, {});
   DOUBLES_EQUAL(4, known.mean.tight, 0);
 }
 
 TEST(Sides, EachKindFindsRoomBeforeItsDemandIsKnown) {
-  DOUBLES_EQUAL(er::kDefaultTightFraction, er::TightPartOf({}), 0);
-  DOUBLES_EQUAL(er::kMinTightFraction, er::TightPartOf({0, 10}), 0);
-  DOUBLES_EQUAL(er::kMaxTightFraction, er::TightPartOf({10, 0}), 0);
+  DOUBLES_EQUAL(er::kDefaultTightFraction, er::TightFraction({}), 0);
+  DOUBLES_EQUAL(er::kMinTightFraction, er::TightFraction({0, 10}), 0);
+  DOUBLES_EQUAL(er::kMaxTightFraction, er::TightFraction({10, 0}), 0);
 }
 
 // An engine of 128 slots runs a stream beside many others, and its part of the
 // engine is small. Counted as on an engine of 24, streams would be given half
 // of the engines while long prompts wait at the other half.
 TEST(Sides, AStreamTakesASmallerPartOfAnEngineWithMoreSlots) {
-  er::SideMeter small;
-  er::SideMeter large;
+  er::SplitDemandMeter small;
+  er::SplitDemandMeter large;
   Place(small, TightStream(), At(24, 600));
   Place(large, TightStream(), At(128, 600));
   CHECK(large.demand.tight > 0);
@@ -177,9 +177,9 @@
 // Engines of 24 and of 128 slots serve one service. Each counts with what a
 // request takes of it, wherever the node sends.
 TEST(Sides, EnginesOfDifferentSizesAddUp) {
-  er::SideMeter small;
-  er::SideMeter large;
-  er::SideMeter both;
+  er::SplitDemandMeter small;
+  er::SplitDemandMeter large;
+  er::SplitDemandMeter both;
   Place(small, TightStream(), At(24, 600));
   Place(large, TightStream(), At(128, 600));
   Place(both, TightStream(), At(24, 600));
@@ -192,8 +192,8 @@
 // most of the engines' time; counted as if all were held, they would be given
 // too few engines, and lose more.
 TEST(Sides, SharedPartsThatAreReadAnewCountAsDemand) {
-  er::SideMeter held;
-  er::SideMeter anew;
+  er::SplitDemandMeter held;
+  er::SplitDemandMeter anew;
   Place(held, LongPrompt(), At(24, 6600));
   Place(anew, LongPrompt(), At(24, 11'600));
   CHECK(anew.demand.rest > held.demand.rest);
@@ -205,7 +205,7 @@
   er::Demand brief = TightStream();
   brief.tight = false;
   const er::Demand plain;
-  er::SideMeter meter;
+  er::SplitDemandMeter meter;
   for (int i = 0; i < 1000; ++i) {
     Place(meter, brief, At(24, 600));
     Place(meter, plain, At(6, 0));
--- a/routing/tests/feed_fetch_test.cc
+++ b/routing/tests/feed_fetch_test.cc
@@ -8,34 +8,34 @@
 namespace er = egretladder::routing;
 using std::chrono::milliseconds;
 
-TEST_GROUP(Pulls) {
+TEST_GROUP(FeedFetches) {
   er::Time now = er::Time{} + std::chrono::hours(1);
-  er::FeedPull pull;
+  er::FeedFetch pull;
 
   std::string Next(std::uint64_t own = 0) {
-    return er::NextPull(pull, own, now);
+    return er::StartNextFetch(pull, own, now);
   }
 };
 
 // Guards against the same change arriving from each peer that has it.
-TEST(Pulls, OnePeerIsAskedAtATime) {
+TEST(FeedFetches, OnePeerIsAskedAtATime) {
   er::OnOffer(pull, "a", false, 5);
   er::OnOffer(pull, "b", false, 5);
   STRCMP_EQUAL("a", Next().c_str());
   STRCMP_EQUAL("", Next().c_str());
-  er::OnPulled(pull, "a");
+  er::OnFetchDone(pull, "a");
   STRCMP_EQUAL("", Next(5).c_str());
 }
 
 // Guards against content that crosses zones although a near peer has it.
-TEST(Pulls, ANearPeerIsAskedFirst) {
+TEST(FeedFetches, ANearPeerIsAskedFirst) {
   er::OnOffer(pull, "far", false, 9);
   er::OnOffer(pull, "near", true, 8);
   STRCMP_EQUAL("near", Next().c_str());
 }
 
 // Guards against a node that waits for a peer whose machine lost its power.
-TEST(Pulls, ASilentPeerIsLeftForAnother) {
+TEST(FeedFetches, ASilentPeerIsLeftForAnother) {
   er::OnOffer(pull, "a", true, 5);
   er::OnOffer(pull, "b", false, 5);
   STRCMP_EQUAL("a", Next().c_str());
@@ -44,37 +44,37 @@
 }
 
 // Guards against an answer of an earlier question that ends a later one.
-TEST(Pulls, ALateAnswerLeavesTheNextQuestionOpen) {
+TEST(FeedFetches, ALateAnswerLeavesTheNextQuestionOpen) {
   er::OnOffer(pull, "a", true, 5);
   er::OnOffer(pull, "b", false, 5);
   Next();
   now += er::kFetchTimeout;
   Next();
-  er::OnPulled(pull, "a");
+  er::OnFetchDone(pull, "a");
   STRCMP_EQUAL("", Next().c_str());
 }
 
 // Guards against asking a busy peer without pause, and against forgetting it.
-TEST(Pulls, ABusyPeerIsAskedAgainAfterAPause) {
+TEST(FeedFetches, ABusyPeerIsAskedAgainAfterAPause) {
   er::OnOffer(pull, "a", true, 5);
   Next();
-  er::OnPullFailed(pull, "a", er::kPullBusyPause, now);
+  er::OnFetchFailed(pull, "a", er::kFetchBusyBackoff, now);
   STRCMP_EQUAL("", Next().c_str());
-  now += er::kPullBusyPause;
+  now += er::kFetchBusyBackoff;
   STRCMP_EQUAL("a", Next().c_str());
 }
 
 // Guards against asking a peer for ever that announced changes, restarted and
 // knows less than before.
-TEST(Pulls, APeerThatSentLessThanItAnnouncedIsNotAskedAgainAtOnce) {
+TEST(FeedFetches, APeerThatSentLessThanItAnnouncedIsNotAskedAgainAtOnce) {
   er::OnOffer(pull, "a", true, 5);
   STRCMP_EQUAL("a", Next().c_str());
-  er::OnPulled(pull, "a");
+  er::OnFetchDone(pull, "a");
   STRCMP_EQUAL("", Next(2).c_str());
 }
 
 // Guards against offers that grow with the fleet.
-TEST(Pulls, OffersAreBounded) {
+TEST(FeedFetches, OffersAreBounded) {
   for (int i = 0; i < 100; ++i) {
     er::OnOffer(pull, std::to_string(i), false, 5);
   }
@@ -82,9 +82,9 @@
 }
 
 // Guards against a large change that fills the link of the node that has it.
-TEST(Pulls, LargeChangesWaitForTheLinkAndSmallOnesDont) {
+TEST(FeedFetches, LargeChangesWaitForTheLinkAndSmallOnesDont) {
   constexpr std::size_t kLarge = 100'000;
   CHECK(er::MaySend(kLarge, 0));
   CHECK_FALSE(er::MaySend(kLarge, er::kMaxPeerBacklogBytes));
-  CHECK(er::MaySend(er::kSmallChanges, 10 * er::kMaxPeerBacklogBytes));
+  CHECK(er::MaySend(er::kSmallChangesBytes, 10 * er::kMaxPeerBacklogBytes));
 }
--- a/routing/tests/members_test.cc
+++ b/routing/tests/members_test.cc
@@ -30,7 +30,8 @@
   return std::find(addresses.begin(), addresses.end(), one) != addresses.end();
 }
 
-constexpr std::size_t kRoundsPerPulse = er::kReaderPulse / er::kExchangePeriod;
+constexpr std::size_t kRoundsPerPulse =
+    er::kReaderHeartbeatInterval / er::kExchangeInterval;
 
 // Nodes that exchange with each other in rounds, without a network.
 struct Fleet {
@@ -43,8 +44,8 @@
 
   explicit Fleet(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
-      nodes.push_back(er::StartMembers(Node("n" + std::to_string(i)),
-                                       {"n0:90", "n1:90"}, kStart));
+      nodes.push_back(er::MakeMembers(Node("n" + std::to_string(i)),
+                                      {"n0:90", "n1:90"}, kStart));
       runs.push_back(true);
     }
   }
@@ -56,28 +57,28 @@
       const bool turn = !turns || (rounds + i) % 2 == 0;
       if (!turn && !er::IsSmallFleet(nodes[i])) continue;
       er::Beat(nodes[i], now);
-      const std::string peer = er::NextPeer(nodes[i], random, now);
+      const std::string peer = er::PickExchangePeer(nodes[i], random, now);
       for (std::size_t j = 0; j < nodes.size(); ++j) {
         if (nodes[j].self.peers != peer || i == j) continue;
         if (!runs[j]) {
-          if (!dark.contains(j)) er::OnUnreachable(nodes[i], peer, now);
+          if (!dark.contains(j)) er::OnPeerUnreachable(nodes[i], peer, now);
           continue;
         }
-        const er::MemberNews asks = er::ToTell(nodes[i], {}, random, now);
+        const er::MemberGossip asks = er::ToTell(nodes[i], {}, random, now);
         er::Hear(nodes[j], asks, now);
         er::Hear(nodes[i], er::ToTell(nodes[j], asks.unknown, random, now),
                  now);
-        er::OnExchanged(nodes[i], now);
-        er::OnExchanged(nodes[j], now);
+        er::OnExchangeAnswered(nodes[i], now);
+        er::OnExchangeAnswered(nodes[j], now);
       }
     }
   }
   void ShowReaders(er::Time now) {
     for (const std::size_t reader : Readers(now)) {
-      for (const std::string& peer : er::StandbysOf(nodes[reader], now)) {
+      for (const std::string& peer : er::StandbyAddresses(nodes[reader], now)) {
         for (std::size_t i = 0; i < nodes.size(); ++i) {
           if (runs[i] && nodes[i].self.peers == peer) {
-            er::OnHeardFrom(nodes[i], nodes[reader].self.peers, now);
+            er::OnPeerMessage(nodes[i], nodes[reader].self.peers, now);
           }
         }
       }
@@ -90,7 +91,7 @@
   }
   void Run(er::Time& now, std::chrono::milliseconds time) {
     for (const er::Time end = now + time; now < end;
-         now += er::kExchangePeriod) {
+         now += er::kExchangeInterval) {
       Round(now);
     }
   }
@@ -103,7 +104,7 @@
     return found;
   }
   std::vector<std::string> Told(std::size_t by, er::Time now) {
-    return er::AddressesFor(nodes[by], "a", random, now);
+    return er::DirectoryFor(nodes[by], "a", random, now);
   }
 };
 
@@ -125,35 +126,35 @@
 // Most of what is told is a hash and two numbers. A node that missed the moment
 // when others were told of a newcomer must find out who that is.
 TEST(Members, ANodeAsksWhoItIsOfWhomItHearsOnlyPulses) {
-  er::Members late = er::StartMembers(Node("late"), {}, kStart);
-  er::Members peer = er::StartMembers(Node("peer"), {}, kStart);
-  er::MemberNews met;
+  er::Members late = er::MakeMembers(Node("late"), {}, kStart);
+  er::Members peer = er::MakeMembers(Node("peer"), {}, kStart);
+  er::MemberGossip met;
   met.members = {Node("other")};
   er::Hear(peer, met, kStart);
   ek::Random random{1};
   const er::Time now = kStart + er::kNewMemberTime;
   met.members[0].heartbeat = 1;
   er::Hear(peer, met, now - 100ms);
-  const er::MemberNews told = er::ToTell(peer, {}, random, now);
+  const er::MemberGossip told = er::ToTell(peer, {}, random, now);
   LONGS_EQUAL(1, told.members.size());
   LONGS_EQUAL(1, told.pulses.size());
   er::Hear(late, told, now);
-  CHECK_FALSE(Names(er::AddressesFor(late, "a", random, now), "other:80"));
-  const er::MemberNews asks = er::ToTell(late, {}, random, now);
+  CHECK_FALSE(Names(er::DirectoryFor(late, "a", random, now), "other:80"));
+  const er::MemberGossip asks = er::ToTell(late, {}, random, now);
   LONGS_EQUAL(1, asks.unknown.size());
   er::Hear(late, er::ToTell(peer, asks.unknown, random, now), now);
-  CHECK(Names(er::AddressesFor(late, "a", random, now), "other:80"));
+  CHECK(Names(er::DirectoryFor(late, "a", random, now), "other:80"));
   CHECK(er::ToTell(late, {}, random, now).unknown.empty());
 }
 
 // A node starts again at another address while most hear of it by pulses. Its
 // old address must not be told with the new life's heartbeats.
 TEST(Members, APulseOfANewLifeIsNotTakenForTheOldOne) {
-  er::Members node = er::StartMembers(Node("n0"), {}, kStart);
-  er::MemberNews told;
+  er::Members node = er::MakeMembers(Node("n0"), {}, kStart);
+  er::MemberGossip told;
   told.members = {Node("n1", 10)};
   er::Hear(node, told, kStart);
-  er::MemberNews pulse;
+  er::MemberGossip pulse;
   pulse.pulses = {{static_cast<std::uint32_t>(ek::HashBytes("n1")), 11, 5}};
   er::Hear(node, pulse, kStart + 100ms);
   LONGS_EQUAL(10, node.others.at("n1").member.incarnation);
@@ -184,7 +185,7 @@
   fleet.runs[3] = false;
   for (int i = 0; i < 50; ++i) {
     fleet.Round(now);
-    now += er::kExchangePeriod;
+    now += er::kExchangeInterval;
     const auto told = fleet.Told(0, now);
     for (int other = 0; other < 7; ++other) {
       if (other == 3) continue;
@@ -222,7 +223,7 @@
   Fleet fleet(3);
   er::Time now = kStart;
   fleet.Run(now, 2s);
-  fleet.nodes[2] = er::StartMembers(Node("n2", 4), {"n0:90"}, now);
+  fleet.nodes[2] = er::MakeMembers(Node("n2", 4), {"n0:90"}, now);
   fleet.Run(now, 4s);
   CHECK(Names(fleet.Told(0, now), "n2:80"));
   CHECK(Names(fleet.Told(1, now), "n2:80"));
@@ -230,10 +231,10 @@
 
 // All nodes but one are gone. It still names itself.
 TEST(Members, TheLastNodeNamesItself) {
-  er::Members alone = er::StartMembers(Node("n0"), {}, kStart);
+  er::Members alone = er::MakeMembers(Node("n0"), {}, kStart);
   alone.self.leaving = true;
   ek::Random random{1};
-  CHECK(Names(er::AddressesFor(alone, "a", random, kStart), "n0:80"));
+  CHECK(Names(er::DirectoryFor(alone, "a", random, kStart), "n0:80"));
 }
 
 // The network splits in two. Each half sees fewer nodes, and must not take a
@@ -250,7 +251,7 @@
 
 // A node that just started knows nobody, and would take all for itself.
 TEST(Members, ANewNodeTakesTheSmallestPart) {
-  er::Members fresh = er::StartMembers(Node("n0"), {"n1:90"}, kStart);
+  er::Members fresh = er::MakeMembers(Node("n0"), {"n1:90"}, kStart);
   LONGS_EQUAL(er::kDefaultFleetSize, er::PartOf(fresh, kStart).nodes);
 }
 
@@ -293,11 +294,11 @@
 // Guards against callers that follow to a closed port.
 TEST(Members, ANodeThatIsAloneAndDoesntListenNamesNobody) {
   ek::Random random{1};
-  er::Members alone = er::StartMembers(Node("n0"), {}, kStart);
+  er::Members alone = er::MakeMembers(Node("n0"), {}, kStart);
   alone.self.leaving = true;
-  LONGS_EQUAL(1, er::AddressesFor(alone, "a", random, kStart).size());
+  LONGS_EQUAL(1, er::DirectoryFor(alone, "a", random, kStart).size());
   alone.listens = false;
-  CHECK(er::AddressesFor(alone, "a", random, kStart).empty());
+  CHECK(er::DirectoryFor(alone, "a", random, kStart).empty());
 }
 
 // Guards against a store that is met by the whole fleet when it comes back.
@@ -323,8 +324,8 @@
 // Guards against gossip of hundreds of nodes of which four fifths crosses
 // zones, and against a zone that hears nothing of the others.
 TEST(Members, MostExchangesOfALargeFleetStayInTheZone) {
-  er::Members node = er::StartMembers(Node("n0"), {"n1:90"}, kStart);
-  er::MemberNews told;
+  er::Members node = er::MakeMembers(Node("n0"), {"n1:90"}, kStart);
+  er::MemberGossip told;
   for (int i = 1; i < 100; ++i) {
     er::Member other = Node("n" + std::to_string(i));
     other.zone = i < 20 ? "a" : "b";
@@ -335,7 +336,7 @@
   std::size_t near = 0;
   constexpr std::size_t kTurns = 1000;
   for (std::size_t i = 0; i < kTurns; ++i) {
-    const std::string peer = er::NextPeer(node, random, kStart);
+    const std::string peer = er::PickExchangePeer(node, random, kStart);
     const auto at = std::find_if(
         told.members.begin(), told.members.end(),
         [&peer](const er::Member& member) { return member.peers == peer; });
--- a/routing/tests/next_step_test.cc
+++ b/routing/tests/next_step_test.cc
@@ -5,22 +5,23 @@
 #include <array>
 
 namespace er = egretladder::routing;
-using er::AttemptEnd;
+using er::AttemptOutcome;
 using er::NextStep;
 
 namespace {
 
-constexpr std::array<AttemptEnd, 8> kEnds = {
-    AttemptEnd::kNotSent, AttemptEnd::kFull,      AttemptEnd::kWrongInstance,
-    AttemptEnd::kBroken,  AttemptEnd::kBadAnswer, AttemptEnd::kSilent,
-    AttemptEnd::kFailed,  AttemptEnd::kSucceeded,
+constexpr std::array<AttemptOutcome, 8> kEnds = {
+    AttemptOutcome::kNotSent,       AttemptOutcome::kFull,
+    AttemptOutcome::kWrongInstance, AttemptOutcome::kBroken,
+    AttemptOutcome::kBadAnswer,     AttemptOutcome::kSilent,
+    AttemptOutcome::kFailed,        AttemptOutcome::kSucceeded,
 };
 
-er::AfterAttempt Ask(AttemptEnd end) {
-  er::AfterAttempt after;
+er::NextStepInput Ask(AttemptOutcome end) {
+  er::NextStepInput after;
   after.end = end;
   after.attempts = 2;
-  if (end == AttemptEnd::kNotSent) {
+  if (end == AttemptOutcome::kNotSent) {
     after.not_sent = 1;
   } else {
     (er::IsNotRun(end) ? after.not_run : after.may_have_run) = 1;
@@ -30,17 +31,18 @@
 
 }  // namespace
 
-TEST_GROUP(AfterAttempt){};
+TEST_GROUP(NextStepInput){};
 
 // A connection breaks after an order was sent. It may have been placed: sent
 // again, a small shop would have two costly parts it can't pay for; called "not
 // run", its caller would send it again itself.
-TEST(AfterAttempt, WorkThatRunsOnceIsNeverSentAgainUnlessItCertainlyDidNotRun) {
-  for (const AttemptEnd end : kEnds) {
+TEST(NextStepInput,
+     WorkThatRunsOnceIsNeverSentAgainUnlessItCertainlyDidNotRun) {
+  for (const AttemptOutcome end : kEnds) {
     for (const bool time_left : {false, true}) {
-      er::AfterAttempt after = Ask(end);
+      er::NextStepInput after = Ask(end);
       after.time_left = time_left;
-      const NextStep step = er::DecideNext(after);
+      const NextStep step = er::DecideNextStep(after);
       if (er::IsNotRun(end)) {
         CHECK(step == (time_left ? NextStep::kSendAgain : NextStep::kRefuse));
       } else {
@@ -53,13 +55,13 @@
 
 // One endpoint broke off while it ran the request, the next says it is full.
 // "Not run" would be untrue of the first.
-TEST(AfterAttempt, IsNeverRefusedAsNotRunOnceItMayHaveRun) {
-  for (const AttemptEnd end : kEnds) {
-    er::AfterAttempt after = Ask(end);
+TEST(NextStepInput, IsNeverRefusedAsNotRunOnceItMayHaveRun) {
+  for (const AttemptOutcome end : kEnds) {
+    er::NextStepInput after = Ask(end);
     after.may_repeat = true;
     after.may_have_run = 1;
     after.time_left = false;
-    CHECK(er::DecideNext(after) != NextStep::kRefuse);
+    CHECK(er::DecideNextStep(after) != NextStep::kRefuse);
   }
 }
 
@@ -67,48 +69,48 @@
 // a millisecond must not be refused while the others are free; one that is
 // turned away by endpoint after endpoint must, or it would knock at all of
 // them.
-TEST(AfterAttempt, RefusedConnectionsAreGonePastAndFullEndpointsAreNot) {
-  er::AfterAttempt after = Ask(AttemptEnd::kNotSent);
+TEST(NextStepInput, RefusedConnectionsAreGonePastAndFullEndpointsAreNot) {
+  er::NextStepInput after = Ask(AttemptOutcome::kNotSent);
   after.not_sent = 7;
-  CHECK(er::DecideNext(after) == NextStep::kSendAgain);
+  CHECK(er::DecideNextStep(after) == NextStep::kSendAgain);
   after.not_sent = 8;
-  CHECK(er::DecideNext(after) == NextStep::kRefuse);
-  after = Ask(AttemptEnd::kFull);
+  CHECK(er::DecideNextStep(after) == NextStep::kRefuse);
+  after = Ask(AttemptOutcome::kFull);
   after.not_run = 3;
-  CHECK(er::DecideNext(after) == NextStep::kRefuse);
+  CHECK(er::DecideNextStep(after) == NextStep::kRefuse);
 }
 
-TEST(AfterAttempt, RepeatableWorkUsesItsAttempts) {
-  er::AfterAttempt after = Ask(AttemptEnd::kBroken);
+TEST(NextStepInput, RepeatableWorkUsesItsAttempts) {
+  er::NextStepInput after = Ask(AttemptOutcome::kBroken);
   after.may_repeat = true;
-  CHECK(er::DecideNext(after) == NextStep::kSendAgain);
+  CHECK(er::DecideNextStep(after) == NextStep::kSendAgain);
   after.may_have_run = 2;
-  CHECK(er::DecideNext(after) == NextStep::kUnknown);
-  after.end = AttemptEnd::kFailed;
-  CHECK(er::DecideNext(after) == NextStep::kPassOn);
+  CHECK(er::DecideNextStep(after) == NextStep::kUnknown);
+  after.end = AttemptOutcome::kFailed;
+  CHECK(er::DecideNextStep(after) == NextStep::kPassOn);
 }
 
 // An engine dies in the middle of a stream of which the caller has a part.
-TEST(AfterAttempt, AStreamIsResumedOrBrokenOffButNeverBegunAnew) {
-  er::AfterAttempt after = Ask(AttemptEnd::kBroken);
+TEST(NextStepInput, AStreamIsResumedOrBrokenOffButNeverBegunAnew) {
+  er::NextStepInput after = Ask(AttemptOutcome::kBroken);
   after.answer_begun = true;
   after.may_repeat = true;
   after.resumable = true;
-  CHECK(er::DecideNext(after) == NextStep::kResume);
-  after.end = AttemptEnd::kFull;
-  CHECK(er::DecideNext(after) == NextStep::kResume);
+  CHECK(er::DecideNextStep(after) == NextStep::kResume);
+  after.end = AttemptOutcome::kFull;
+  CHECK(er::DecideNextStep(after) == NextStep::kResume);
   after.resumable = false;
-  for (const AttemptEnd end : kEnds) {
-    if (end == AttemptEnd::kSucceeded) continue;
+  for (const AttemptOutcome end : kEnds) {
+    if (end == AttemptOutcome::kSucceeded) continue;
     after.end = end;
-    CHECK(er::DecideNext(after) == NextStep::kBreakOff);
+    CHECK(er::DecideNextStep(after) == NextStep::kBreakOff);
   }
 }
 
 // Every endpoint of a service is full. Knocking at all of them would add to
 // what makes them full.
-TEST(AfterAttempt, GivesUpAfterAFewFullEndpoints) {
-  er::AfterAttempt after = Ask(AttemptEnd::kFull);
+TEST(NextStepInput, GivesUpAfterAFewFullEndpoints) {
+  er::NextStepInput after = Ask(AttemptOutcome::kFull);
   after.not_run = er::kMaxNotRunAttempts;
-  CHECK(er::DecideNext(after) == NextStep::kRefuse);
+  CHECK(er::DecideNextStep(after) == NextStep::kRefuse);
 }
--- a/routing/tests/pace_test.cc
+++ b/routing/tests/pace_test.cc
@@ -13,8 +13,8 @@
   void See(er::EnginePace & engine, double pause_ms, int times,
            double running = 0) {
     for (int i = 0; i < times; ++i) {
-      er::OnPause(engine, service, running,
-                  std::chrono::duration<double, std::milli>(pause_ms));
+      er::OnEventInterval(engine, service, running,
+                          std::chrono::duration<double, std::milli>(pause_ms));
     }
   }
 };
@@ -52,16 +52,16 @@
 }
 
 TEST(Pace, TheLengthOfStreamsIsLearnedByRoute) {
-  DOUBLES_EQUAL(er::kDefaultStreamEvents, er::EventsExpected(service, "chat"),
-                0);
+  DOUBLES_EQUAL(er::kDefaultStreamEvents,
+                er::ExpectedStreamEvents(service, "chat"), 0);
   for (int i = 0; i < 200; ++i) er::OnStreamEnded(service, "chat", 50, 1500ms);
   for (int i = 0; i < 200; ++i) er::OnStreamEnded(service, "tag", 3, 90ms);
-  DOUBLES_EQUAL(50, er::EventsExpected(service, "chat"), 0.1);
-  DOUBLES_EQUAL(3, er::EventsExpected(service, "tag"), 0.1);
-  DOUBLES_EQUAL(1500, er::LengthExpected(service, "chat"), 1);
-  DOUBLES_EQUAL(90, er::LengthExpected(service, "tag"), 1);
+  DOUBLES_EQUAL(50, er::ExpectedStreamEvents(service, "chat"), 0.1);
+  DOUBLES_EQUAL(3, er::ExpectedStreamEvents(service, "tag"), 0.1);
+  DOUBLES_EQUAL(1500, er::ExpectedStreamMs(service, "chat"), 1);
+  DOUBLES_EQUAL(90, er::ExpectedStreamMs(service, "tag"), 1);
   DOUBLES_EQUAL(er::kDefaultStreamEvents * er::kDefaultEventMs,
-                er::LengthExpected(service, "other"), 0);
+                er::ExpectedStreamMs(service, "other"), 0);
 }
 
 // Lengths of one route differ by a factor of ten. A node that counts on the
@@ -70,9 +70,9 @@
   for (int stream = 0; stream < 200; ++stream) {
     er::OnStreamEnded(service, "record", stream % 20 == 0 ? 60 : 5, 1s);
   }
-  CHECK(er::EventsExpected(service, "record") < 30);
-  CHECK(er::EventsAtMost(service, "record") > 30);
-  CHECK(er::EventsAtMost(service, "record") <= 60);
+  CHECK(er::ExpectedStreamEvents(service, "record") < 30);
+  CHECK(er::LongStreamEvents(service, "record") > 30);
+  CHECK(er::LongStreamEvents(service, "record") <= 60);
 }
 
 // A node that just started has seen short streams end, since the long ones are
@@ -81,7 +81,8 @@
   for (int stream = 0; stream < 5; ++stream) {
     er::OnStreamEnded(service, "record", 5, 1s);
   }
-  CHECK(er::EventsAtMost(service, "record") > er::kDefaultLongStreamEvents / 2);
+  CHECK(er::LongStreamEvents(service, "record") >
+        er::kDefaultLongStreamEvents / 2);
   er::OnStreamRunning(service, "record", 300);
-  DOUBLES_EQUAL(300, er::EventsAtMost(service, "record"), 0);
+  DOUBLES_EQUAL(300, er::LongStreamEvents(service, "record"), 0);
 }
--- a/routing/tests/placement_load_test.cc
+++ b/routing/tests/placement_load_test.cc
@@ -88,7 +88,7 @@
   Load(std::size_t nodes, std::size_t engines) : engines_(engines) {
     for (std::size_t i = 0; i < nodes; ++i) {
       sets_.push_back(std::make_unique<er::EndpointSet>());
-      sets_.back()->tight_part = 0.35;
+      sets_.back()->tight_fraction = 0.35;
       for (std::size_t e = 0; e < engines; ++e) Register(*sets_.back(), e);
     }
   }
@@ -134,7 +134,7 @@
     entry.service = "engines";
     entry.zone = "a";
     entry.slots = kSlots;
-    er::OnEntry(set, entry, kStart);
+    er::OnEntryPublished(set, entry, kStart);
   }
 
   void Arrive(double expected, bool tight, double ms) {
@@ -153,11 +153,12 @@
     demand.prompt_tokens = tight ? 800 : 11'600;
     const std::uint64_t session = 1 + ek::RandomBelow(random_, 300);
     demand.parts = {{session, tight ? 200U : 5000U}, {0, tight ? 600U : 6600U}};
-    const er::FleetPart fleet{sets_.size(), "n", {}, "a"};
+    const er::FleetSnapshot fleet{sets_.size(), "n", {}, "a"};
     const er::Placement placement =
         er::Place(set, demand, {}, fleet, random_, now_);
     if (placement.endpoint == nullptr) return;
-    er::OnSent(*placement.endpoint, demand, ++attempts_, placement, now_);
+    er::OnAttemptSent(*placement.endpoint, demand, ++attempts_, placement,
+                      now_);
     Engine& engine =
         engines_[std::stoul(placement.endpoint->entry.id.substr(1))];
     Run run;
@@ -167,15 +168,16 @@
     run.to_make = demand.events * kTokensPerEvent;
     run.done = [this, &set, &engine, demand, placement, ms,
                 attempt = attempts_](const Run& over) {
-      er::OnStarted(*placement.endpoint, demand, attempt, placement);
+      er::OnAttemptStarted(*placement.endpoint, demand, attempt, placement);
       er::OnDone(*placement.endpoint);
       if (!over.tight) return;
       pauses_.push_back(over.longest_pause);
       lengths_.push_back(engine.time - ms);
-      er::OnPause(placement.endpoint->pace, set.paces["engines"],
-                  placement.endpoint->in_flight,
-                  std::chrono::duration<double, std::milli>((engine.time - ms) /
-                                                            demand.events));
+      er::OnEventInterval(placement.endpoint->pace,
+                          set.service_paces["engines"],
+                          placement.endpoint->in_flight,
+                          std::chrono::duration<double, std::milli>(
+                              (engine.time - ms) / demand.events));
     };
     engine.runs.push_back(std::move(run));
   }
--- a/routing/tests/placement_test.cc
+++ b/routing/tests/placement_test.cc
@@ -23,7 +23,7 @@
 TEST_GROUP(Place) {
   er::EndpointSet set;
   er::Service engines{.name = "engines"};
-  er::FleetPart fleet{1, "n1", {"n1"}, "a"};
+  er::FleetSnapshot fleet{1, "n1", {"n1"}, "a"};
   ek::Random random{7};
 
   void Add(const std::string& id, const std::string& zone = "a") {
@@ -33,7 +33,7 @@
     entry.address = "10.0.0.1:80";
     entry.zone = zone;
     entry.slots = 16;
-    er::OnEntry(set, entry, kStart);
+    er::OnEntryPublished(set, entry, kStart);
   }
   er::Endpoint& At(const std::string& id) { return *set.by_id[id]; }
 
@@ -55,7 +55,7 @@
     return demand;
   }
   bool IsForTight(const er::Endpoint& endpoint) const {
-    return endpoint.order < set.tight_part;
+    return endpoint.order < set.tight_fraction;
   }
   er::Demand Plain() const {
     er::Demand demand;
@@ -91,7 +91,7 @@
   std::map<std::string, int> sent;
   for (std::uint64_t n = 1; n <= 40; ++n) {
     const er::Placement placement = Choose(demand);
-    er::OnSent(*placement.endpoint, demand, n, placement, kStart);
+    er::OnAttemptSent(*placement.endpoint, demand, n, placement, kStart);
     ++sent[placement.endpoint->entry.id];
   }
   CHECK(sent.size() >= 2);
@@ -109,9 +109,10 @@
     for (std::uint64_t session = 1; session <= 120; ++session) {
       const er::Demand demand = Prompt(session);
       const er::Placement placement = Choose(demand);
-      er::OnSent(*placement.endpoint, demand, ++attempt, placement, kStart);
+      er::OnAttemptSent(*placement.endpoint, demand, ++attempt, placement,
+                        kStart);
       ++readers[session][placement.endpoint->entry.id];
-      er::OnStarted(*placement.endpoint, demand, attempt, placement);
+      er::OnAttemptStarted(*placement.endpoint, demand, attempt, placement);
       placement.endpoint->waiting_tokens[0] = 150'000.0 * (session % 5) / 5;
       placement.endpoint->in_flight = 0;
     }
@@ -127,7 +128,7 @@
   CHECK(Choose(Plain()).endpoint == set.by_id["near"]);
   At("near").in_flight = 8;
   CHECK(Choose(Plain()).endpoint == set.by_id["far"]);
-  At("far").others_in_flight = 12;
+  At("far").peers_in_flight = 12;
   CHECK(Choose(Plain()).endpoint == set.by_id["near"]);
 }
 
@@ -150,7 +151,7 @@
 TEST(Place, AnEndpointThatFailsLosesItsWork) {
   Add("bad");
   Add("good");
-  for (int i = 0; i < 5; ++i) er::OnFailed(At("bad"), kStart);
+  for (int i = 0; i < 5; ++i) er::OnAttemptFailed(At("bad"), kStart);
   At("good").in_flight = 10;
   CHECK(Choose(Plain()).endpoint == set.by_id["good"]);
   CHECK(Choose(Plain(), kStart + 20s).endpoint == set.by_id["bad"]);
@@ -161,7 +162,7 @@
 TEST(Place, ASilentEndpointIsLeft) {
   Add("mute");
   er::Placement to_mute = Choose(Plain());
-  er::OnSent(At("mute"), Plain(), 1, to_mute, kStart);
+  er::OnAttemptSent(At("mute"), Plain(), 1, to_mute, kStart);
   Add("good");
   At("good").in_flight = 6;
   CHECK(Choose(Plain(), kStart + 2s).endpoint == set.by_id["good"]);
@@ -195,16 +196,17 @@
     entry.address = "10.0.0.1:80";
     entry.slots = 1000;
     entry.cold_left = 3s;
-    er::OnEntry(one, entry, kStart);
+    er::OnEntryPublished(one, entry, kStart);
   }
   std::vector<er::Time> arrivals;
   std::uint64_t attempt = 0;
   for (er::Time now = kStart; now < kStart + 3s; now += 5ms) {
     for (std::size_t i = 0; i < kNodes; ++i) {
-      const er::FleetPart part{kNodes, names[i], names, "a"};
+      const er::FleetSnapshot part{kNodes, names[i], names, "a"};
       const auto placement = er::Place(sets[i], Plain(), {}, part, random, now);
       if (placement.endpoint == nullptr) continue;
-      er::OnSent(*placement.endpoint, Plain(), ++attempt, placement, now);
+      er::OnAttemptSent(*placement.endpoint, Plain(), ++attempt, placement,
+                        now);
       arrivals.push_back(now);
     }
   }
@@ -224,7 +226,7 @@
   for (int i = 0; i < 90; ++i) names.push_back("node-" + std::to_string(i));
   std::size_t senders = 0;
   for (const std::string& name : names) {
-    const er::FleetPart part{names.size(), name, names, "a"};
+    const er::FleetSnapshot part{names.size(), name, names, "a"};
     if (er::IsSender(At("cold"), kColdRate, part)) ++senders;
   }
   LONGS_EQUAL(er::kMaxColdSenders, senders);
@@ -234,7 +236,7 @@
 // rate for itself, since the others still send.
 TEST(Place, ANodeCutOffFromALargeFleetDoesNotTakeTheWholeRate) {
   Add("cold");
-  const er::FleetPart part{90, "alone", {"alone"}, "a"};
+  const er::FleetSnapshot part{90, "alone", {"alone"}, "a"};
   CHECK_FALSE(er::IsSender(At("cold"), kColdRate, part));
 }
 
@@ -253,7 +255,7 @@
   er::OnConnectFailed(At("x"), kStart);
   CHECK(Choose(Plain()).reason == PlacementReason::kAllDown);
   At("x").trust = {};
-  er::OnFull(At("x"), 60ms, kStart);
+  er::OnEndpointFull(At("x"), 60ms, kStart);
   CHECK(Choose(Plain()).reason == PlacementReason::kAllFull);
 }
 
@@ -278,7 +280,7 @@
 // pause in the middle of their answer.
 TEST(Place, LongPromptsStayAwayFromTightStreamsWhereThereAreManyEngines) {
   for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
-  set.tight_part = 0.25;
+  set.tight_fraction = 0.25;
   std::size_t together = 0;
   for (std::uint64_t session = 1; session <= 200; ++session) {
     if (!IsForTight(*Choose(Tight(session)).endpoint)) ++together;
@@ -291,9 +293,9 @@
 // late, while the others have room.
 TEST(Place, LongPromptsGoToTheOtherSideWhereTheirsIsFull) {
   for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
-  set.tight_part = 0.25;
+  set.tight_fraction = 0.25;
   for (const auto& [id, endpoint] : set.by_id) {
-    if (!IsForTight(*endpoint)) er::OnFull(*endpoint, 60ms, kStart);
+    if (!IsForTight(*endpoint)) er::OnEndpointFull(*endpoint, 60ms, kStart);
   }
   for (std::uint64_t session = 1; session <= 200; ++session) {
     const er::Placement placement = Choose(Prompt(session));
@@ -304,7 +306,7 @@
 
 TEST(Place, FewEnginesServeAll) {
   for (int i = 0; i < 12; ++i) Add("e" + std::to_string(i));
-  set.tight_part = 0.25;
+  set.tight_fraction = 0.25;
   std::size_t at_tight = 0;
   for (std::uint64_t session = 1; session <= 300; ++session) {
     if (IsForTight(*Choose(Prompt(session)).endpoint)) ++at_tight;
@@ -320,7 +322,7 @@
   for (std::uint64_t n = 1; n <= 120; ++n) {
     const er::Demand demand = Tight(5);
     const er::Placement placement = Choose(demand);
-    er::OnSent(*placement.endpoint, demand, n, placement, kStart);
+    er::OnAttemptSent(*placement.endpoint, demand, n, placement, kStart);
     ++sent[placement.endpoint->entry.id];
   }
   for (const auto& [id, count] : sent) CHECK(count <= 14);
@@ -329,7 +331,7 @@
 // Operators measure what a mechanism is worth by a setting that leaves it out.
 TEST(Place, AMechanismThatIsSwitchedOffTakesNoPart) {
   for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
-  set.tight_part = 0.25;
+  set.tight_fraction = 0.25;
   set.off.set(static_cast<std::size_t>(er::Mechanism::kEngineSplit));
   set.off.set(static_cast<std::size_t>(er::Mechanism::kZone));
   std::size_t at_tight = 0;
--- a/routing/tests/retry_budget_test.cc
+++ b/routing/tests/retry_budget_test.cc
@@ -10,17 +10,17 @@
 namespace {
 
 constexpr er::Time kStart{std::chrono::hours(1)};
-constexpr er::RetryRule kRule{0.2, 54, 10s};
+constexpr er::RetryBudgetRule kRule{0.2, 54, 10s};
 
 }  // namespace
 
-TEST_GROUP(RetryShare){};
+TEST_GROUP(NodeRetryBudget){};
 
 // Every endpoint fails for a minute. Without a bound each request would become
 // two, and the failing endpoints would get twice the load.
-TEST(RetryShare, AllNodesTogetherStayWithinTheRuleInEveryWindow) {
+TEST(NodeRetryBudget, AllNodesTogetherStayWithinTheRuleInEveryWindow) {
   constexpr std::size_t kNodes = 7;
-  std::vector<er::RetryShare> shares(kNodes);
+  std::vector<er::NodeRetryBudget> shares(kNodes);
   std::vector<er::Time> repeats;
   std::size_t requests = 0;
   for (er::Time now = kStart; now < kStart + 60s; now += 10ms) {
@@ -39,8 +39,8 @@
   CHECK(repeats.size() > 600);
 }
 
-TEST(RetryShare, AQuietNodeMayRepeatAFew) {
-  er::RetryShare share;
+TEST(NodeRetryBudget, AQuietNodeMayRepeatAFew) {
+  er::NodeRetryBudget share;
   er::OnRequest(share, kRule, kStart);
   CHECK(er::TakeRetry(share, kRule, {7, 1min}, kStart));
   int more = 0;
@@ -53,12 +53,12 @@
 
 // Guards against a fleet whose nodes are restarted in turn and each repeat,
 // with every start, as much as if nothing had been repeated before.
-TEST(RetryShare, NodesThatRestartStayWithinTheSlack) {
+TEST(NodeRetryBudget, NodesThatRestartStayWithinTheSlack) {
   constexpr std::size_t kNodes = 7;
   constexpr auto kLife = 3s;
   std::size_t repeats = 0;
   for (std::size_t node = 0; node < kNodes; ++node) {
-    er::RetryShare share;
+    er::NodeRetryBudget share;
     er::Time started = kStart;
     for (er::Time now = kStart; now < kStart + kRule.window; now += 100ms) {
       if (now - started >= kLife) {
@@ -74,8 +74,8 @@
   CHECK(repeats >= kNodes);
 }
 
-TEST(RetryShare, AProcessThatJustStartedMayRepeatOnce) {
-  er::RetryShare share;
+TEST(NodeRetryBudget, AProcessThatJustStartedMayRepeatOnce) {
+  er::NodeRetryBudget share;
   CHECK(er::TakeRetry(share, kRule, {7, 0s}, kStart));
   CHECK_FALSE(er::TakeRetry(share, kRule, {7, 0s}, kStart));
 }
--- a/routing/tests/route_table_test.cc
+++ b/routing/tests/route_table_test.cc
@@ -19,7 +19,7 @@
   table.accounts = {{.name = "a", .tier = 1},
                     {.name = "b", .tier = {}},
                     {.name = "c", .tier = 0}};
-  table.account_of_key = {{"key-a", 0}, {"key-b", 1}, {"key-c", 2}};
+  table.account_by_key = {{"key-a", 0}, {"key-b", 1}, {"key-c", 2}};
   table.has_accounts = true;
   er::IndexTable(table);
   return table;
@@ -42,10 +42,10 @@
 
 TEST(RouteTable, SplitsByWeight) {
   const er::RouteTable table = MakeTable();
-  LONGS_EQUAL(0, er::DrawTarget(table.routes[0], 0.0).idx);
-  LONGS_EQUAL(0, er::DrawTarget(table.routes[0], 0.89).idx);
-  LONGS_EQUAL(1, er::DrawTarget(table.routes[0], 0.91).idx);
-  LONGS_EQUAL(1, er::DrawTarget(table.routes[0], 0.999).idx);
+  LONGS_EQUAL(0, er::PickTarget(table.routes[0], 0.0).idx);
+  LONGS_EQUAL(0, er::PickTarget(table.routes[0], 0.89).idx);
+  LONGS_EQUAL(1, er::PickTarget(table.routes[0], 0.91).idx);
+  LONGS_EQUAL(1, er::PickTarget(table.routes[0], 0.999).idx);
 }
 
 // A burst of long prompts fills the engines' memory. By the account's tier
--- a/routing/tests/spread_test.cc
+++ b/routing/tests/spread_test.cc
@@ -31,11 +31,11 @@
 constexpr auto kExchangeTime = 1000ms;
 // 10 Mbit/s.
 constexpr double kBytesPerUs = 1.25;
-constexpr std::array kFeeds = {er::Feed::kRules, er::Feed::kEndpoints};
+constexpr std::array kFeedCount = {er::Feed::kRules, er::Feed::kEndpoints};
 
 struct Node {
   er::Catalog catalog;
-  er::Pulls pulls;
+  er::FeedFetches feed_fetches;
   er::Time link_free{};
   std::size_t received = 0;  // Contents.
   bool dead = false;
@@ -46,7 +46,7 @@
  public:
   Fleet() : nodes_(kNodes) {
     for (std::size_t i = 0; i < kNodes; ++i) {
-      for (const er::Feed feed : kFeeds) {
+      for (const er::Feed feed : kFeedCount) {
         er::Apply(nodes_[i].catalog, {feed, true, 1, {{"one", "", 1}}}, now_);
       }
       At(milliseconds(ek::RandomBelow(random_, 200)),
@@ -62,7 +62,7 @@
     bytes_[feed] = bytes;
     for (std::size_t i = 0; i < readers; ++i) {
       Take(i, {feed, false, revision, {{"one", "", revision}}},
-           er::kToldAtOnce);
+           er::kReaderFanout);
     }
   }
 
@@ -90,7 +90,8 @@
   bool AllKnow(std::uint64_t revision, er::Feed feed) const {
     for (const Node& node : nodes_) {
       if (node.dead) continue;
-      if (er::ProgressOf(node.catalog, feed).known < revision) return false;
+      if (er::GetFeedProgress(node.catalog, feed).known < revision)
+        return false;
     }
     return true;
   }
@@ -101,12 +102,12 @@
   }
 
   void Exchange(std::size_t i) {
-    At(er::kExchangePeriodLarge, [this, i] { Exchange(i); });
+    At(er::kLargeFleetExchangeInterval, [this, i] { Exchange(i); });
     if (nodes_[i].dead) return;
-    const std::size_t peers = er::PeersToTry(Hanging(i));
+    const std::size_t peers = er::MaxPeersToTry(Hanging(i));
     for (std::size_t n = 0; n < peers; ++n) ExchangeWith(i, Draw(i));
     // As the periodic look does.
-    for (const er::Feed feed : kFeeds) Ask(i, feed);
+    for (const er::Feed feed : kFeedCount) Ask(i, feed);
   }
 
   std::size_t Hanging(std::size_t i) {
@@ -115,8 +116,9 @@
       unanswered.pop_front();
     }
     return static_cast<std::size_t>(std::count_if(
-        unanswered.begin(), unanswered.end(),
-        [this](er::Time begun) { return now_ - begun >= er::kHanging; }));
+        unanswered.begin(), unanswered.end(), [this](er::Time begun) {
+          return now_ - begun >= er::kExchangeStallTime;
+        }));
   }
 
   void ExchangeWith(std::size_t i, std::size_t peer) {
@@ -129,8 +131,8 @@
   }
 
   void Tell(std::size_t from, std::size_t to) {
-    for (const er::Feed feed : kFeeds) {
-      const auto progress = er::ProgressOf(nodes_[from].catalog, feed);
+    for (const er::Feed feed : kFeedCount) {
+      const auto progress = er::GetFeedProgress(nodes_[from].catalog, feed);
       At(kOneWay,
          [this, from, to, feed, progress] { Hear(from, to, feed, progress); });
     }
@@ -140,8 +142,8 @@
             const er::FeedProgress& progress) {
     Node& node = nodes_[to];
     if (node.dead) return;
-    if (!er::TakeProgress(node.catalog, feed, progress)) return;
-    er::OnOffer(er::PullOf(node.pulls, feed), std::to_string(from),
+    if (!er::ApplyPeerProgress(node.catalog, feed, progress)) return;
+    er::OnOffer(er::GetFeedFetch(node.feed_fetches, feed), std::to_string(from),
                 from % kZones == to % kZones, progress.known);
     Ask(to, feed);
   }
@@ -149,8 +151,8 @@
   void Ask(std::size_t i, er::Feed feed) {
     Node& node = nodes_[i];
     const std::string peer =
-        er::NextPull(er::PullOf(node.pulls, feed),
-                     er::ProgressOf(node.catalog, feed).known, now_);
+        er::StartNextFetch(er::GetFeedFetch(node.feed_fetches, feed),
+                           er::GetFeedProgress(node.catalog, feed).known, now_);
     if (peer.empty()) return;
     At(kOneWay, [this, i, feed, peer] { Serve(std::stoul(peer), i, feed); });
   }
@@ -165,8 +167,8 @@
     const std::size_t bytes = bytes_[feed];
     if (!er::MaySend(bytes, unsent)) {
       At(kOneWay, [this, from, to, feed] {
-        er::OnPullFailed(er::PullOf(nodes_[to].pulls, feed),
-                         std::to_string(from), er::kPullBusyPause, now_);
+        er::OnFetchFailed(er::GetFeedFetch(nodes_[to].feed_fetches, feed),
+                          std::to_string(from), er::kFetchBusyBackoff, now_);
         Ask(to, feed);
       });
       return;
@@ -174,12 +176,13 @@
     const microseconds sending(
         static_cast<std::int64_t>(static_cast<double>(bytes) / kBytesPerUs));
     server.link_free = std::max(server.link_free, now_) + sending;
-    const auto after = er::ProgressOf(nodes_[to].catalog, feed).known;
+    const auto after = er::GetFeedProgress(nodes_[to].catalog, feed).known;
     const er::Changes changes = er::ChangesSince(server.catalog, feed, after);
     At(server.link_free - now_ + kOneWay, [this, from, to, feed, changes] {
-      er::OnPulled(er::PullOf(nodes_[to].pulls, feed), std::to_string(from));
+      er::OnFetchDone(er::GetFeedFetch(nodes_[to].feed_fetches, feed),
+                      std::to_string(from));
       ++nodes_[to].received;
-      Take(to, changes, er::kToldOnward);
+      Take(to, changes, er::kRelayFanout);
       Ask(to, feed);
     });
   }
--- a/routing/tests/stop_admission_test.cc
+++ b/routing/tests/stop_admission_test.cc
@@ -5,7 +5,7 @@
 using namespace std::chrono_literals;
 namespace ep = egretladder::policy;
 namespace er = egretladder::routing;
-using er::StopVerdict;
+using er::StopAdmissionVerdict;
 
 namespace {
 
@@ -20,8 +20,8 @@
   return plan;
 }
 
-er::StopAsk Arriving(std::chrono::milliseconds since) {
-  er::StopAsk ask;
+er::StopAdmissionInput Arriving(std::chrono::milliseconds since) {
+  er::StopAdmissionInput ask;
   ask.arrived = since;
   ask.since = since;
   ask.deadline = 8000ms;
@@ -36,47 +36,51 @@
 // Callers don't know yet that the node stops, and send what they always send.
 // Refusing all of it would take one try from each of them for nothing.
 TEST(StopTake, WhatIsExpectedToEndInTimeIsTaken) {
-  CHECK(er::DecideTake(Plan(), Arriving(100ms)) ==
-        StopVerdict::kExpectedInTime);
-  CHECK(er::DecideTake(Plan(), Arriving(2900ms)) ==
-        StopVerdict::kExpectedInTime);
+  CHECK(er::DecideStopAdmission(Plan(), Arriving(100ms)) ==
+        StopAdmissionVerdict::kExpectedInTime);
+  CHECK(er::DecideStopAdmission(Plan(), Arriving(2900ms)) ==
+        StopAdmissionVerdict::kExpectedInTime);
 }
 
 // A long stream behind a queue reaches a node that stops. Taken, it would be
 // cut in the middle of its answer.
 TEST(StopTake, WhatMayOutlastTheGraceIsRefused) {
-  er::StopAsk ask = Arriving(2900ms);
+  er::StopAdmissionInput ask = Arriving(2900ms);
   ask.longest = 4500ms;
-  CHECK(er::DecideTake(Plan(), ask) == StopVerdict::kTooLong);
+  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLong);
   ask.arrived = ask.since = 2000ms;
-  CHECK(er::DecideTake(Plan(), ask) == StopVerdict::kExpectedInTime);
+  CHECK(er::DecideStopAdmission(Plan(), ask) ==
+        StopAdmissionVerdict::kExpectedInTime);
 }
 
 // A caller kept the address for longer than it should. An estimate may be
 // wrong; a deadline can't be.
 TEST(StopTake, AfterTheAddressesLapsedOnlyADeadlineCounts) {
-  er::StopAsk ask = Arriving(3000ms);
-  CHECK(er::DecideTake(Plan(), ask) == StopVerdict::kTooLate);
+  er::StopAdmissionInput ask = Arriving(3000ms);
+  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLate);
   ask.deadline = 4300ms;
-  CHECK(er::DecideTake(Plan(), ask) == StopVerdict::kEndsByDeadline);
+  CHECK(er::DecideStopAdmission(Plan(), ask) ==
+        StopAdmissionVerdict::kEndsByDeadline);
   ask.deadline = 4301ms;
-  CHECK(er::DecideTake(Plan(), ask) == StopVerdict::kTooLate);
+  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLate);
   ask = Arriving(3200ms);
   ask.deadline = 100ms;
-  CHECK(er::DecideTake(Plan(), ask) == StopVerdict::kTooLate);
+  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLate);
 }
 
 // A request came before the stop and waited in the node, which is full. It has
 // not run, so that its caller can be sent elsewhere as soon as the rest of the
 // grace time is too short for it, and not before.
 TEST(StopTake, WhatWaitsIsJudgedByWhatIsLeft) {
-  er::StopAsk ask = Arriving(-200ms);
+  er::StopAdmissionInput ask = Arriving(-200ms);
   ask.since = 3100ms;
-  CHECK(er::DecideTake(Plan(), ask) == StopVerdict::kExpectedInTime);
+  CHECK(er::DecideStopAdmission(Plan(), ask) ==
+        StopAdmissionVerdict::kExpectedInTime);
   ask.since = 5000ms;
-  CHECK(er::DecideTake(Plan(), ask) == StopVerdict::kTooLong);
+  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLong);
   ask.deadline = 2000ms;
-  CHECK(er::DecideTake(Plan(), ask) == StopVerdict::kEndsByDeadline);
+  CHECK(er::DecideStopAdmission(Plan(), ask) ==
+        StopAdmissionVerdict::kEndsByDeadline);
 }
 
 // Operators give a stop more or less time; the same requests are then taken
@@ -84,13 +88,14 @@
 TEST(StopTake, FollowsTheGraceTime) {
   ep::StopPlan plan = Plan();
   plan.grace = 30s;
-  er::StopAsk ask = Arriving(2900ms);
+  er::StopAdmissionInput ask = Arriving(2900ms);
   ask.longest = 25s;
   ask.deadline = 60s;
-  CHECK(er::DecideTake(plan, ask) == StopVerdict::kExpectedInTime);
+  CHECK(er::DecideStopAdmission(plan, ask) ==
+        StopAdmissionVerdict::kExpectedInTime);
   plan.grace = 4s;
   ask.longest = 500ms;
-  CHECK(er::DecideTake(plan, ask) == StopVerdict::kTooLong);
+  CHECK(er::DecideStopAdmission(plan, ask) == StopAdmissionVerdict::kTooLong);
 }
 
 // Streams of one route differ by a factor of ten. What counts is how long a
@@ -99,7 +104,7 @@
   er::EndpointSet set;
   er::Service service;
   service.name = "engines";
-  er::ServicePace& pace = set.paces["engines"];
+  er::ServicePace& pace = set.service_paces["engines"];
   pace.unloaded_event_ms = 20;
   er::Demand demand;
   demand.service = &service;
@@ -107,9 +112,9 @@
   er::Placement placement;
   placement.endpoint = std::make_shared<er::Endpoint>();
   placement.expected_ms = 300;
-  CHECK(er::LongestWhole(set, demand, placement) == 1300ms);
+  CHECK(er::EstimateLongAnswerTime(set, demand, placement) == 1300ms);
   placement.endpoint->in_flight = 10;
-  CHECK(er::LongestWhole(set, demand, placement) > 1500ms);
+  CHECK(er::EstimateLongAnswerTime(set, demand, placement) > 1500ms);
   demand.longest = 0;
-  CHECK(er::LongestWhole(set, demand, placement) == 300ms);
+  CHECK(er::EstimateLongAnswerTime(set, demand, placement) == 300ms);
 }
--- a/routing/tests/suspects_test.cc
+++ b/routing/tests/suspects_test.cc
@@ -17,7 +17,7 @@
   er::Suspects other;
 
   void Break(std::uint64_t endpoint, er::Time sent, er::Time broke) {
-    er::OnBroke(suspects, kBody, {endpoint, sent, broke});
+    er::OnConnectionBroke(suspects, kBody, {endpoint, sent, broke});
   }
   // Each is sent after the one before broke.
   void CrashInTurn(std::uint64_t count) {
@@ -29,8 +29,8 @@
     return er::HeldFor(suspects, kBody, now) > 0ms;
   }
   void TellOther(er::Time now) {
-    for (const er::ToldSuspect& told : er::SuspectsToTell(suspects, now)) {
-      er::HearSuspect(other, told, now);
+    for (const er::SuspectGossip& told : er::MakeSuspectGossip(suspects, now)) {
+      er::ApplySuspectGossip(other, told, now);
     }
   }
 };
@@ -58,10 +58,10 @@
 // A frequent read had bad luck at two endpoints and was answered by the next.
 TEST(Suspects, AnAnswerClearsARequest) {
   CrashInTurn(2);
-  er::OnRan(suspects, kBody, kStart + 250ms);
+  er::OnRequestRan(suspects, kBody, kStart + 250ms);
   Break(9, kStart + 300ms, kStart + 320ms);
   CHECK_FALSE(IsHeld(kStart + 1s));
-  er::OnRan(suspects, kBody + 1, kStart);
+  er::OnRequestRan(suspects, kBody + 1, kStart);
   LONGS_EQUAL(1, suspects.by_request.size());
 }
 
@@ -69,9 +69,9 @@
 // crash, and all of them together must stop it.
 TEST(Suspects, NodesPutTogetherWhatEachSaw) {
   Break(1, kStart, kStart + 20ms);
-  er::OnBroke(other, kBody, {2, kStart + 100ms, kStart + 120ms});
+  er::OnConnectionBroke(other, kBody, {2, kStart + 100ms, kStart + 120ms});
   TellOther(kStart + 200ms);
-  er::OnBroke(other, kBody, {3, kStart + 300ms, kStart + 320ms});
+  er::OnConnectionBroke(other, kBody, {3, kStart + 300ms, kStart + 320ms});
   CHECK(er::HeldFor(other, kBody, kStart + 400ms) > 0ms);
   // Told again, and late, it stays as it is.
   TellOther(kStart + 500ms);
@@ -84,7 +84,7 @@
   CrashInTurn(3);
   TellOther(kStart + 500ms);
   CHECK(er::HeldFor(other, kBody, kStart + 1s) > 0ms);
-  er::OnRan(suspects, kBody, kStart + 1s);
+  er::OnRequestRan(suspects, kBody, kStart + 1s);
   TellOther(kStart + 2s);
   LONGS_EQUAL(0, er::HeldFor(other, kBody, kStart + 2s).count());
 }
@@ -96,13 +96,14 @@
   er::Time now = kStart + 300ms;
   for (int round = 0; round < 60; ++round) {
     TellOther(now - 20ms);
-    for (const er::ToldSuspect& told : er::SuspectsToTell(other, now - 20ms)) {
-      er::HearSuspect(suspects, told, now);
+    for (const er::SuspectGossip& told :
+         er::MakeSuspectGossip(other, now - 20ms)) {
+      er::ApplySuspectGossip(suspects, told, now);
     }
     now += 100ms;
   }
-  CHECK(er::SuspectsToTell(suspects, now).empty());
-  CHECK(er::SuspectsToTell(other, now).empty());
+  CHECK(er::MakeSuspectGossip(suspects, now).empty());
+  CHECK(er::MakeSuspectGossip(other, now).empty());
   CHECK_FALSE(IsHeld(kStart + er::kSuspectHoldTime + 1s));
 }
 
@@ -110,13 +111,13 @@
 // memory and messages stay bounded.
 TEST(Suspects, AreBoundedAndForgotten) {
   for (std::uint64_t body = 0; body < 2 * er::kMaxSuspects; ++body) {
-    er::OnBroke(suspects, body, {1, kStart, kStart + body * 1us});
+    er::OnConnectionBroke(suspects, body, {1, kStart, kStart + body * 1us});
   }
   LONGS_EQUAL(er::kMaxSuspects, suspects.by_request.size());
   CHECK(suspects.by_request.contains(2 * er::kMaxSuspects - 1));
   LONGS_EQUAL(er::kMaxSuspectsPerExchange,
-              er::SuspectsToTell(suspects, kStart + 1s).size());
-  CHECK(er::SuspectsToTell(suspects, kStart + 4s).empty());
+              er::MakeSuspectGossip(suspects, kStart + 1s).size());
+  CHECK(er::MakeSuspectGossip(suspects, kStart + 4s).empty());
   er::ForgetSuspects(suspects, kStart + er::kSuspectRetention + 1s);
   CHECK(suspects.by_request.empty());
 }
