--- a/routing/include/egretladder/routing/admission.h
+++ b/routing/include/egretladder/routing/admission.h
@@ -28,7 +28,7 @@
 
 /// What the decision depends on.
 struct AdmissionInput {
-  Time waits_since{};     ///< Since it has needed an endpoint.
+  Time waiting_since{};   ///< Since it has needed an endpoint.
   Time deadline{};        ///< The earlier of the caller's and the route's.
   milliseconds target{};  ///< Promised time to the first event.
   /// It was sent before, so that giving up loses work: it waits longer.
--- a/routing/include/egretladder/routing/endpoints.h
+++ b/routing/include/egretladder/routing/endpoints.h
@@ -154,7 +154,8 @@
 bool IsZoneOut(const EndpointSet& set, std::string_view zone);
 
 /// What the engines of the service have in common.
-const ServicePace& PaceOf(const EndpointSet& set, const std::string& service);
+const ServicePace& FindServicePace(const EndpointSet& set,
+                                   const std::string& service);
 
 /// Evidence of this node's own requests.
 void OnSignOfLife(Endpoint& endpoint, Time now);
--- a/routing/include/egretladder/routing/engine_split.h
+++ b/routing/include/egretladder/routing/engine_split.h
@@ -57,10 +57,11 @@
 };
 
 /// A peer told its figure.
-void Agree(FleetDemand& agreed, const SplitDemand& told);
+void MergePeerDemand(FleetDemand& agreed, const SplitDemand& told);
 /// FeedFetches the figure towards the demand measured here; call at each
 /// exchange.
-void Pull(FleetDemand& agreed, const SplitDemandMeter& meter, Time now);
+void FollowMeasuredDemand(FleetDemand& agreed, const SplitDemandMeter& meter,
+                          Time now);
 
 /// The part of the engines that is for tight streams.
 double TightFraction(const SplitDemand& mean);
--- a/routing/include/egretladder/routing/feed_fetch.h
+++ b/routing/include/egretladder/routing/feed_fetch.h
@@ -62,6 +62,6 @@
 /// Load: a large change of the rules, for which many peers ask at once. Sent to
 /// all of them together, it fills this node's link until none has it in time,
 /// and callers' answers wait behind it.
-bool MaySend(std::size_t bytes, std::size_t unsent);
+bool CanSendChanges(std::size_t bytes, std::size_t unsent);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/limits.h
+++ b/routing/include/egretladder/routing/limits.h
@@ -226,7 +226,7 @@
 
 /// Requests that wait at a node. Beyond it the least urgent are refused; their
 /// bodies count against the node's memory besides.
-inline constexpr std::size_t kWaitingMost = 1000;
+inline constexpr std::size_t kMaxWaitingRequests = 1000;
 /// Part of its target time that a request waits for an endpoint to come free
 /// before it is refused: its caller still has time to come back elsewhere.
 inline constexpr double kMaxWaitRatio = 0.5;
--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -80,12 +80,12 @@
                     Time now);
 
 /// Raises the own heartbeat; call once an exchange period.
-void Beat(Members& members, Time now);
+void IncrementHeartbeat(Members& members, Time now);
 
 /// Takes what a peer told. Returns those that are new or came back, for the
 /// log.
-std::vector<std::string> Hear(Members& members, const MemberGossip& told,
-                              Time now);
+std::vector<std::string> ApplyMemberGossip(Members& members,
+                                           const MemberGossip& told, Time now);
 
 /// A peer answered an exchange.
 void OnExchangeAnswered(Members& members, Time now);
@@ -97,9 +97,9 @@
 
 /// What to tell: this node, those met lately and those that the peer doesn't
 /// know (`asked`) whole, and of the others some pulses.
-MemberGossip ToTell(const Members& members,
-                    const std::vector<std::uint32_t>& asked,
-                    kernel::Random& random, Time now);
+MemberGossip MakeMemberGossip(const Members& members,
+                              const std::vector<std::uint32_t>& asked,
+                              kernel::Random& random, Time now);
 
 /// Peer address for the next exchange: a member drawn at random, or now and
 /// then a seed that isn't known yet; empty: none.
@@ -133,7 +133,7 @@
 
 /// This node's part of what all share. After a start, in a partition and after
 /// losses the fleet counts as large as it was known to be.
-FleetSnapshot PartOf(Members& members, Time now);
+FleetSnapshot MakeFleetSnapshot(Members& members, Time now);
 
 /// Forgets members unheard for `kMemberRetention`. Returns their names.
 std::vector<std::string> ForgetMembers(Members& members, Time now);
--- a/routing/include/egretladder/routing/next_step.h
+++ b/routing/include/egretladder/routing/next_step.h
@@ -48,9 +48,9 @@
 /// What the decision depends on.
 struct NextStepInput {
   AttemptOutcome end = AttemptOutcome::kBroken;
-  bool may_repeat = false;         ///< `MayRepeat` of the route.
+  bool is_repeatable = false;      ///< `MayRepeat` of the route.
   bool resumable = false;          ///< A stream that may go on elsewhere.
-  bool answer_begun = false;       ///< The caller has a part of an answer.
+  bool is_answer_started = false;  ///< The caller has a part of an answer.
   std::uint32_t attempts = 1;      ///< Allowed by the route.
   std::uint32_t may_have_run = 0;  ///< Attempts so far that may have run.
   std::uint32_t not_run = 0;  ///< Attempts so far that an endpoint turned away.
--- a/routing/include/egretladder/routing/placement.h
+++ b/routing/include/egretladder/routing/placement.h
@@ -107,9 +107,10 @@
 
 /// Chooses among the endpoints of the demand's service, leaving out those in
 /// `tried`. Takes nothing: call `OnAttemptSent` for what is then sent.
-Placement Place(const EndpointSet& set, const Demand& demand,
-                const std::vector<EndpointPtr>& tried,
-                const FleetSnapshot& fleet, kernel::Random& random, Time now);
+Placement ChoosePlacement(const EndpointSet& set, const Demand& demand,
+                          const std::vector<EndpointPtr>& tried,
+                          const FleetSnapshot& fleet, kernel::Random& random,
+                          Time now);
 
 /// Counts a request that is about to be sent, and takes this node's turn where
 /// nodes share a rate.
@@ -119,6 +120,6 @@
 void OnAttemptStarted(Endpoint& endpoint, const Demand& demand,
                       std::uint64_t attempt, const Placement& placement);
 /// It ended.
-void OnDone(Endpoint& endpoint);
+void OnAttemptEnded(Endpoint& endpoint);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/route_table.h
+++ b/routing/include/egretladder/routing/route_table.h
@@ -116,13 +116,13 @@
 /// least urgent. With the account's tier first, short questions of one account
 /// were put back while long prompts of another ran on. Ranks are numbered
 /// without gaps, so that the few steps that endpoints tell apart are enough.
-Tier RankOf(const RouteTable& table, const Route& route,
-            const ClientAccount* account);
+Tier FindRank(const RouteTable& table, const Route& route,
+              const ClientAccount* account);
 
 /// The service for one request. `draw` is from 0 up to 1.
 ServiceHandle PickTarget(const Route& route, double draw);
 
 /// True when a request of the route may run a second time, whole.
-bool MayRepeat(const Route& route);
+bool IsRouteRepeatable(const Route& route);
 
 }  // namespace egretladder::routing
--- a/routing/src/admission.cc
+++ b/routing/src/admission.cc
@@ -41,7 +41,7 @@
         std::chrono::duration_cast<milliseconds>(ask.target * kMaxWaitRatio);
     const auto longest =
         std::max(part, ask.was_sent_before ? kMinResentWait : kMinWait);
-    const auto waited = now - ask.waits_since;
+    const auto waited = now - ask.waiting_since;
     const auto until_room = placement.next_turn_in.value_or(milliseconds{});
     const bool waited_enough =
         waited >= longest || left.count() <= 0 || waited + until_room > longest;
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -171,7 +171,8 @@
   return at != set.zones_out.end() && at->second;
 }
 
-const ServicePace& PaceOf(const EndpointSet& set, const std::string& service) {
+const ServicePace& FindServicePace(const EndpointSet& set,
+                                   const std::string& service) {
   static const ServicePace kNone;
   const auto at = set.service_paces.find(service);
   return at != set.service_paces.end() ? at->second : kNone;
--- a/routing/src/engine_split.cc
+++ b/routing/src/engine_split.cc
@@ -42,7 +42,7 @@
   return {meter.demand.tight * left, meter.demand.rest * left};
 }
 
-void Agree(FleetDemand& agreed, const SplitDemand& told) {
+void MergePeerDemand(FleetDemand& agreed, const SplitDemand& told) {
   if (told.tight + told.rest <= 0) return;  // It knows nothing yet.
   if (!agreed.known) {
     agreed.mean = told;
@@ -53,7 +53,8 @@
   agreed.mean.rest = (agreed.mean.rest + told.rest) / 2;
 }
 
-void Pull(FleetDemand& agreed, const SplitDemandMeter& meter, Time now) {
+void FollowMeasuredDemand(FleetDemand& agreed, const SplitDemandMeter& meter,
+                          Time now) {
   const SplitDemand own = CurrentDemand(meter, now);
   if (!agreed.known) {
     agreed.known = own.tight + own.rest > 0;
--- a/routing/src/feed_fetch.cc
+++ b/routing/src/feed_fetch.cc
@@ -66,7 +66,7 @@
   if (Offer* offer = FindOffer(pull, peer)) offer->not_before = now + pause;
 }
 
-bool MaySend(std::size_t bytes, std::size_t unsent) {
+bool CanSendChanges(std::size_t bytes, std::size_t unsent) {
   return bytes <= kSmallChangesBytes || unsent < kMaxPeerBacklogBytes;
 }
 
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -96,10 +96,12 @@
   return members;
 }
 
-void Beat(Members& members, Time /*now*/) { ++members.self.heartbeat; }
+void IncrementHeartbeat(Members& members, Time /*now*/) {
+  ++members.self.heartbeat;
+}
 
-std::vector<std::string> Hear(Members& members, const MemberGossip& told,
-                              Time now) {
+std::vector<std::string> ApplyMemberGossip(Members& members,
+                                           const MemberGossip& told, Time now) {
   std::vector<std::string> news;
   for (const Member& member : told.members) {
     ApplyMember(members, member, now, news);
@@ -141,9 +143,9 @@
   }
 }
 
-MemberGossip ToTell(const Members& members,
-                    const std::vector<std::uint32_t>& asked,
-                    kernel::Random& random, Time now) {
+MemberGossip MakeMemberGossip(const Members& members,
+                              const std::vector<std::uint32_t>& asked,
+                              kernel::Random& random, Time now) {
   std::vector<const KnownMember*> there;
   for (const auto& [node, known] : members.others) {
     // What is silent is not told: it would look new to a node that starts.
@@ -256,7 +258,7 @@
   return members.max_nodes;
 }
 
-FleetSnapshot PartOf(Members& members, Time now) {
+FleetSnapshot MakeFleetSnapshot(Members& members, Time now) {
   FleetSnapshot part;
   part.nodes = EstimateFleetSize(members, now);
   part.self = members.self.node;
--- a/routing/src/next_step.cc
+++ b/routing/src/next_step.cc
@@ -9,7 +9,7 @@
 }
 
 NextStep DecideAfterNotRun(const NextStepInput& after) {
-  if (after.answer_begun) {
+  if (after.is_answer_started) {
     return after.resumable && CanTryAgain(after) ? NextStep::kResume
                                                  : NextStep::kBreakOff;
   }
@@ -69,10 +69,10 @@
   if (after.end == AttemptOutcome::kSucceeded) return NextStep::kPassOn;
   if (IsNotRun(after.end)) return DecideAfterNotRun(after);
   const bool more = after.time_left && after.may_have_run < after.attempts;
-  if (after.answer_begun) {
+  if (after.is_answer_started) {
     return after.resumable && more ? NextStep::kResume : NextStep::kBreakOff;
   }
-  if (after.may_repeat && more) return NextStep::kSendAgain;
+  if (after.is_repeatable && more) return NextStep::kSendAgain;
   return after.end == AttemptOutcome::kFailed ? NextStep::kPassOn
                                               : NextStep::kUnknown;
 }
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -202,9 +202,10 @@
   return "unknown";
 }
 
-Placement Place(const EndpointSet& set, const Demand& demand,
-                const std::vector<EndpointPtr>& tried,
-                const FleetSnapshot& fleet, kernel::Random& random, Time now) {
+Placement ChoosePlacement(const EndpointSet& set, const Demand& demand,
+                          const std::vector<EndpointPtr>& tried,
+                          const FleetSnapshot& fleet, kernel::Random& random,
+                          Time now) {
   Placement best;
   UsableEndpoints usable = FindUsable(set, demand, tried, fleet, now);
   if (usable.endpoints.empty() &&
@@ -232,7 +233,7 @@
     preferred = std::min(kPreferredEndpoints, usable.endpoints.size());
   }
   DrawRandomCandidates(usable.endpoints, preferred, random);
-  const ServicePace& pace = PaceOf(set, demand.service->name);
+  const ServicePace& pace = FindServicePace(set, demand.service->name);
   double least = std::numeric_limits<double>::max();
   for (std::size_t i = 0; i < usable.endpoints.size(); ++i) {
     const EndpointPtr& endpoint = usable.endpoints[i];
@@ -280,7 +281,7 @@
   waiting = std::max(0.0, waiting - placement.uncached_tokens);
 }
 
-void OnDone(Endpoint& endpoint) {
+void OnAttemptEnded(Endpoint& endpoint) {
   if (endpoint.in_flight > 0) --endpoint.in_flight;
 }
 
--- a/routing/src/route_table.cc
+++ b/routing/src/route_table.cc
@@ -78,8 +78,8 @@
                                           : &table.accounts[at->second];
 }
 
-Tier RankOf(const RouteTable& table, const Route& route,
-            const ClientAccount* account) {
+Tier FindRank(const RouteTable& table, const Route& route,
+              const ClientAccount* account) {
   const auto at = table.ranks.find(TierPair(route, account));
   return at == table.ranks.end() ? route.tier : at->second;
 }
@@ -95,7 +95,7 @@
   return route.targets.back().service;
 }
 
-bool MayRepeat(const Route& route) {
+bool IsRouteRepeatable(const Route& route) {
   return route.kind == RouteKind::kIdempotent ||
          (route.kind == RouteKind::kStream && route.resumable);
 }
--- a/routing/src/stop_admission.cc
+++ b/routing/src/stop_admission.cc
@@ -50,8 +50,8 @@
   if (demand.longest > 1) {
     const double running = endpoint.in_flight + endpoint.peers_in_flight;
     ms += (demand.longest - 1) *
-          ExpectedEventMs(endpoint.pace, PaceOf(set, demand.service->name),
-                          running);
+          ExpectedEventMs(endpoint.pace,
+                          FindServicePace(set, demand.service->name), running);
   } else {
     ms += endpoint.trust.mean_answer_ms * kLongAnswerFactor;
   }
--- a/routing/tests/admission_test.cc
+++ b/routing/tests/admission_test.cc
@@ -12,7 +12,7 @@
 
 er::AdmissionInput Ask() {
   er::AdmissionInput ask;
-  ask.waits_since = kStart;
+  ask.waiting_since = kStart;
   ask.deadline = kStart + 8s;
   ask.target = 1000ms;
   return ask;
--- a/routing/tests/advertised_limits_test.cc
+++ b/routing/tests/advertised_limits_test.cc
@@ -109,7 +109,7 @@
       er::Demand demand;
       demand.service = &service_;
       const auto placement =
-          er::Place(sets_[i], demand, {}, part, random_, now_);
+          er::ChoosePlacement(sets_[i], demand, {}, part, random_, now_);
       if (placement.endpoint == nullptr) continue;
       er::OnAttemptSent(*placement.endpoint, demand, ++attempts_, placement,
                         now_);
@@ -274,7 +274,7 @@
   ek::Random random{5};
   for (int i = 0; i < 20; ++i) {
     const auto placement =
-        er::Place(set, demand, {}, alone, random, kStart + 1ms);
+        er::ChoosePlacement(set, demand, {}, alone, random, kStart + 1ms);
     CHECK(placement.endpoint == set.by_id["free"]);
   }
 }
@@ -288,7 +288,7 @@
   ek::Random random{5};
   er::OnAdvertisedLimit(set, *set.by_id["one"], 1, kStart);
   er::OnAdvertisedLimit(set, *set.by_id["two"], 4, kStart);
-  auto none = er::Place(set, demand, {}, alone, random, kStart);
+  auto none = er::ChoosePlacement(set, demand, {}, alone, random, kStart);
   CHECK(none.endpoint == nullptr);
   CHECK(none.reason == er::PlacementReason::kAllLimited);
   // The first turn comes within one pause of the larger limit.
@@ -296,6 +296,6 @@
   // One that is full for a moment may be free before that.
   er::OnAdvertisedLimit(set, *set.by_id["two"], std::nullopt, kStart);
   er::OnEndpointFull(*set.by_id["two"], 200ms, kStart);
-  none = er::Place(set, demand, {}, alone, random, kStart);
+  none = er::ChoosePlacement(set, demand, {}, alone, random, kStart);
   CHECK(none.endpoint == nullptr && !none.next_turn_in);
 }
--- a/routing/tests/engine_split_test.cc
+++ b/routing/tests/engine_split_test.cc
@@ -49,8 +49,8 @@
     return placement;
   }
 
-  void Place(er::SplitDemandMeter & meter, const er::Demand& demand,
-             const er::Placement& placement) const {
+  void ChoosePlacement(er::SplitDemandMeter & meter, const er::Demand& demand,
+                       const er::Placement& placement) const {
     er::OnPlaced(meter, demand, placement, now);
   }
 
@@ -61,7 +61,8 @@
     const er::Placement placement = At(24, uncached);
     double due = per_second * std::chrono::duration<double>(step).count();
     while (due > 0 && (due >= 1 || ek::RandomFraction(random) < due)) {
-      Place(meters[ek::RandomBelow(random, kNodes)], demand, placement);
+      ChoosePlacement(meters[ek::RandomBelow(random, kNodes)], demand,
+                      placement);
       due -= 1;
     }
   }
@@ -75,12 +76,12 @@
       Arrive(LongPrompt(), rest, 10ms);
       if ((now - kStart) % 200ms != 0ms) continue;
       for (std::size_t i = 0; i < kNodes; ++i) {
-        er::Pull(agreed[i], meters[i], now);
+        er::FollowMeasuredDemand(agreed[i], meters[i], now);
         if (!exchange) continue;
         const std::size_t peer = ek::RandomBelow(random, kNodes);
         const er::SplitDemand told = agreed[i].mean;
-        er::Agree(agreed[i], agreed[peer].mean);
-        er::Agree(agreed[peer], told);
+        er::MergePeerDemand(agreed[i], agreed[peer].mean);
+        er::MergePeerDemand(agreed[peer], told);
       }
     }
   }
@@ -128,7 +129,7 @@
 TEST(Sides, ANodeThatStartsTakesWhatItsPeersAgreedOn) {
   Play(8s, 117, 145);
   er::FleetDemand fresh;
-  er::Agree(fresh, agreed.front().mean);
+  er::MergePeerDemand(fresh, agreed.front().mean);
   DOUBLES_EQUAL(er::TightFraction(agreed.front().mean),
                 er::TightFraction(fresh.mean), 0.001);
 }
@@ -140,10 +141,10 @@
   Play(8s, 117, 145);
   const double part = er::TightFraction(agreed.front().mean);
   er::FleetDemand fresh;
-  er::Agree(fresh, agreed.front().mean);
+  er::MergePeerDemand(fresh, agreed.front().mean);
   const er::SplitDemandMeter idle;
-  er::Pull(fresh, idle, now);
-  er::Pull(fresh, idle, now + 200ms);
+  er::FollowMeasuredDemand(fresh, idle, now);
+  er::FollowMeasuredDemand(fresh, idle, now + 200ms);
   DOUBLES_EQUAL(part, er::TightFraction(fresh.mean), 0.001);
   CHECK(fresh.mean.tight > agreed.front().mean.tight / 2);
 }
@@ -151,8 +152,8 @@
 // A node that knows nothing yet would pull the others' figure to nothing.
 TEST(Sides, ANodeThatKnowsNothingChangesNoFigure) {
   er::FleetDemand known;
-  er::Agree(known, {4, 8});
-  er::Agree(known, {});
+  er::MergePeerDemand(known, {4, 8});
+  er::MergePeerDemand(known, {});
   DOUBLES_EQUAL(4, known.mean.tight, 0);
 }
 
@@ -168,8 +169,8 @@
 TEST(Sides, AStreamTakesASmallerPartOfAnEngineWithMoreSlots) {
   er::SplitDemandMeter small;
   er::SplitDemandMeter large;
-  Place(small, TightStream(), At(24, 600));
-  Place(large, TightStream(), At(128, 600));
+  ChoosePlacement(small, TightStream(), At(24, 600));
+  ChoosePlacement(large, TightStream(), At(128, 600));
   CHECK(large.demand.tight > 0);
   CHECK(large.demand.tight < small.demand.tight / 2);
 }
@@ -180,10 +181,10 @@
   er::SplitDemandMeter small;
   er::SplitDemandMeter large;
   er::SplitDemandMeter both;
-  Place(small, TightStream(), At(24, 600));
-  Place(large, TightStream(), At(128, 600));
-  Place(both, TightStream(), At(24, 600));
-  Place(both, TightStream(), At(128, 600));
+  ChoosePlacement(small, TightStream(), At(24, 600));
+  ChoosePlacement(large, TightStream(), At(128, 600));
+  ChoosePlacement(both, TightStream(), At(24, 600));
+  ChoosePlacement(both, TightStream(), At(128, 600));
   DOUBLES_EQUAL(small.demand.tight + large.demand.tight, both.demand.tight,
                 0.0001);
 }
@@ -194,8 +195,8 @@
 TEST(Sides, SharedPartsThatAreReadAnewCountAsDemand) {
   er::SplitDemandMeter held;
   er::SplitDemandMeter anew;
-  Place(held, LongPrompt(), At(24, 6600));
-  Place(anew, LongPrompt(), At(24, 11'600));
+  ChoosePlacement(held, LongPrompt(), At(24, 6600));
+  ChoosePlacement(anew, LongPrompt(), At(24, 11'600));
   CHECK(anew.demand.rest > held.demand.rest);
 }
 
@@ -207,14 +208,14 @@
   const er::Demand plain;
   er::SplitDemandMeter meter;
   for (int i = 0; i < 1000; ++i) {
-    Place(meter, brief, At(24, 600));
-    Place(meter, plain, At(6, 0));
+    ChoosePlacement(meter, brief, At(24, 600));
+    ChoosePlacement(meter, plain, At(6, 0));
   }
   DOUBLES_EQUAL(0, meter.demand.tight, 0);
   DOUBLES_EQUAL(0, meter.demand.rest, 0);
-  Place(meter, LongPrompt(), At(24, 6600));
+  ChoosePlacement(meter, LongPrompt(), At(24, 6600));
   const er::SplitDemand before = meter.demand;
-  Place(meter, brief, At(24, 600));
+  ChoosePlacement(meter, brief, At(24, 600));
   DOUBLES_EQUAL(before.rest, meter.demand.rest, 0);
 }
 
--- a/routing/tests/feed_fetch_test.cc
+++ b/routing/tests/feed_fetch_test.cc
@@ -84,7 +84,8 @@
 // Guards against a large change that fills the link of the node that has it.
 TEST(FeedFetches, LargeChangesWaitForTheLinkAndSmallOnesDont) {
   constexpr std::size_t kLarge = 100'000;
-  CHECK(er::MaySend(kLarge, 0));
-  CHECK_FALSE(er::MaySend(kLarge, er::kMaxPeerBacklogBytes));
-  CHECK(er::MaySend(er::kSmallChangesBytes, 10 * er::kMaxPeerBacklogBytes));
+  CHECK(er::CanSendChanges(kLarge, 0));
+  CHECK_FALSE(er::CanSendChanges(kLarge, er::kMaxPeerBacklogBytes));
+  CHECK(er::CanSendChanges(er::kSmallChangesBytes,
+                           10 * er::kMaxPeerBacklogBytes));
 }
--- a/routing/tests/members_test.cc
+++ b/routing/tests/members_test.cc
@@ -56,7 +56,7 @@
       // A node that knows its fleet to be large exchanges every other time.
       const bool turn = !turns || (rounds + i) % 2 == 0;
       if (!turn && !er::IsSmallFleet(nodes[i])) continue;
-      er::Beat(nodes[i], now);
+      er::IncrementHeartbeat(nodes[i], now);
       const std::string peer = er::PickExchangePeer(nodes[i], random, now);
       for (std::size_t j = 0; j < nodes.size(); ++j) {
         if (nodes[j].self.peers != peer || i == j) continue;
@@ -64,10 +64,12 @@
           if (!dark.contains(j)) er::OnPeerUnreachable(nodes[i], peer, now);
           continue;
         }
-        const er::MemberGossip asks = er::ToTell(nodes[i], {}, random, now);
-        er::Hear(nodes[j], asks, now);
-        er::Hear(nodes[i], er::ToTell(nodes[j], asks.unknown, random, now),
-                 now);
+        const er::MemberGossip asks =
+            er::MakeMemberGossip(nodes[i], {}, random, now);
+        er::ApplyMemberGossip(nodes[j], asks, now);
+        er::ApplyMemberGossip(
+            nodes[i], er::MakeMemberGossip(nodes[j], asks.unknown, random, now),
+            now);
         er::OnExchangeAnswered(nodes[i], now);
         er::OnExchangeAnswered(nodes[j], now);
       }
@@ -130,21 +132,22 @@
   er::Members peer = er::MakeMembers(Node("peer"), {}, kStart);
   er::MemberGossip met;
   met.members = {Node("other")};
-  er::Hear(peer, met, kStart);
+  er::ApplyMemberGossip(peer, met, kStart);
   ek::Random random{1};
   const er::Time now = kStart + er::kNewMemberTime;
   met.members[0].heartbeat = 1;
-  er::Hear(peer, met, now - 100ms);
-  const er::MemberGossip told = er::ToTell(peer, {}, random, now);
+  er::ApplyMemberGossip(peer, met, now - 100ms);
+  const er::MemberGossip told = er::MakeMemberGossip(peer, {}, random, now);
   LONGS_EQUAL(1, told.members.size());
   LONGS_EQUAL(1, told.pulses.size());
-  er::Hear(late, told, now);
+  er::ApplyMemberGossip(late, told, now);
   CHECK_FALSE(Names(er::DirectoryFor(late, "a", random, now), "other:80"));
-  const er::MemberGossip asks = er::ToTell(late, {}, random, now);
+  const er::MemberGossip asks = er::MakeMemberGossip(late, {}, random, now);
   LONGS_EQUAL(1, asks.unknown.size());
-  er::Hear(late, er::ToTell(peer, asks.unknown, random, now), now);
+  er::ApplyMemberGossip(
+      late, er::MakeMemberGossip(peer, asks.unknown, random, now), now);
   CHECK(Names(er::DirectoryFor(late, "a", random, now), "other:80"));
-  CHECK(er::ToTell(late, {}, random, now).unknown.empty());
+  CHECK(er::MakeMemberGossip(late, {}, random, now).unknown.empty());
 }
 
 // A node starts again at another address while most hear of it by pulses. Its
@@ -153,13 +156,13 @@
   er::Members node = er::MakeMembers(Node("n0"), {}, kStart);
   er::MemberGossip told;
   told.members = {Node("n1", 10)};
-  er::Hear(node, told, kStart);
+  er::ApplyMemberGossip(node, told, kStart);
   er::MemberGossip pulse;
   pulse.pulses = {{static_cast<std::uint32_t>(ek::HashBytes("n1")), 11, 5}};
-  er::Hear(node, pulse, kStart + 100ms);
+  er::ApplyMemberGossip(node, pulse, kStart + 100ms);
   LONGS_EQUAL(10, node.others.at("n1").member.incarnation);
   ek::Random random{1};
-  LONGS_EQUAL(1, er::ToTell(node, {}, random, kStart).unknown.size());
+  LONGS_EQUAL(1, er::MakeMemberGossip(node, {}, random, kStart).unknown.size());
 }
 
 // The size of the first letter. A living node that is heard of too rarely drops
@@ -169,11 +172,11 @@
   fleet.turns = true;
   er::Time now = kStart;
   fleet.Run(now, 10s);
-  LONGS_EQUAL(390, er::PartOf(fleet.nodes[0], now).names.size());
-  LONGS_EQUAL(390, er::PartOf(fleet.nodes[200], now).names.size());
+  LONGS_EQUAL(390, er::MakeFleetSnapshot(fleet.nodes[0], now).names.size());
+  LONGS_EQUAL(390, er::MakeFleetSnapshot(fleet.nodes[200], now).names.size());
   fleet.LosePower(3);
   fleet.Run(now, er::kLargeFleetMaxMemberSilence + 2s);
-  LONGS_EQUAL(389, er::PartOf(fleet.nodes[0], now).names.size());
+  LONGS_EQUAL(389, er::MakeFleetSnapshot(fleet.nodes[0], now).names.size());
 }
 
 // A node loses its power. Callers that are told its address connect to nothing
@@ -243,16 +246,17 @@
   Fleet fleet(7);
   er::Time now = kStart;
   fleet.Run(now, 4s);
-  LONGS_EQUAL(7, er::PartOf(fleet.nodes[0], now).nodes);
+  LONGS_EQUAL(7, er::MakeFleetSnapshot(fleet.nodes[0], now).nodes);
   now += 10s;  // Nobody is heard.
-  LONGS_EQUAL(7, er::PartOf(fleet.nodes[0], now).nodes);
-  LONGS_EQUAL(1, er::PartOf(fleet.nodes[0], now).names.size());
+  LONGS_EQUAL(7, er::MakeFleetSnapshot(fleet.nodes[0], now).nodes);
+  LONGS_EQUAL(1, er::MakeFleetSnapshot(fleet.nodes[0], now).names.size());
 }
 
 // A node that just started knows nobody, and would take all for itself.
 TEST(Members, ANewNodeTakesTheSmallestPart) {
   er::Members fresh = er::MakeMembers(Node("n0"), {"n1:90"}, kStart);
-  LONGS_EQUAL(er::kDefaultFleetSize, er::PartOf(fresh, kStart).nodes);
+  LONGS_EQUAL(er::kDefaultFleetSize,
+              er::MakeFleetSnapshot(fresh, kStart).nodes);
 }
 
 // Ninety nodes that all watch the store would cost ninety calls for each
@@ -331,7 +335,7 @@
     other.zone = i < 20 ? "a" : "b";
     told.members.push_back(other);
   }
-  er::Hear(node, told, kStart);
+  er::ApplyMemberGossip(node, told, kStart);
   ek::Random random{5};
   std::size_t near = 0;
   constexpr std::size_t kTurns = 1000;
--- a/routing/tests/next_step_test.cc
+++ b/routing/tests/next_step_test.cc
@@ -58,7 +58,7 @@
 TEST(NextStepInput, IsNeverRefusedAsNotRunOnceItMayHaveRun) {
   for (const AttemptOutcome end : kEnds) {
     er::NextStepInput after = Ask(end);
-    after.may_repeat = true;
+    after.is_repeatable = true;
     after.may_have_run = 1;
     after.time_left = false;
     CHECK(er::DecideNextStep(after) != NextStep::kRefuse);
@@ -82,7 +82,7 @@
 
 TEST(NextStepInput, RepeatableWorkUsesItsAttempts) {
   er::NextStepInput after = Ask(AttemptOutcome::kBroken);
-  after.may_repeat = true;
+  after.is_repeatable = true;
   CHECK(er::DecideNextStep(after) == NextStep::kSendAgain);
   after.may_have_run = 2;
   CHECK(er::DecideNextStep(after) == NextStep::kUnknown);
@@ -93,8 +93,8 @@
 // An engine dies in the middle of a stream of which the caller has a part.
 TEST(NextStepInput, AStreamIsResumedOrBrokenOffButNeverBegunAnew) {
   er::NextStepInput after = Ask(AttemptOutcome::kBroken);
-  after.answer_begun = true;
-  after.may_repeat = true;
+  after.is_answer_started = true;
+  after.is_repeatable = true;
   after.resumable = true;
   CHECK(er::DecideNextStep(after) == NextStep::kResume);
   after.end = AttemptOutcome::kFull;
--- a/routing/tests/placement_load_test.cc
+++ b/routing/tests/placement_load_test.cc
@@ -155,7 +155,7 @@
     demand.parts = {{session, tight ? 200U : 5000U}, {0, tight ? 600U : 6600U}};
     const er::FleetSnapshot fleet{sets_.size(), "n", {}, "a"};
     const er::Placement placement =
-        er::Place(set, demand, {}, fleet, random_, now_);
+        er::ChoosePlacement(set, demand, {}, fleet, random_, now_);
     if (placement.endpoint == nullptr) return;
     er::OnAttemptSent(*placement.endpoint, demand, ++attempts_, placement,
                       now_);
@@ -169,7 +169,7 @@
     run.done = [this, &set, &engine, demand, placement, ms,
                 attempt = attempts_](const Run& over) {
       er::OnAttemptStarted(*placement.endpoint, demand, attempt, placement);
-      er::OnDone(*placement.endpoint);
+      er::OnAttemptEnded(*placement.endpoint);
       if (!over.tight) return;
       pauses_.push_back(over.longest_pause);
       lengths_.push_back(engine.time - ms);
--- a/routing/tests/placement_test.cc
+++ b/routing/tests/placement_test.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_GROUP(Place) {
+TEST_GROUP(ChoosePlacement) {
   er::EndpointSet set;
   er::Service engines{.name = "engines"};
   er::FleetSnapshot fleet{1, "n1", {"n1"}, "a"};
@@ -63,11 +63,11 @@
     return demand;
   }
   er::Placement Choose(const er::Demand& demand, er::Time now = kStart) {
-    return er::Place(set, demand, {}, fleet, random, now);
+    return er::ChoosePlacement(set, demand, {}, fleet, random, now);
   }
 };
 
-TEST(Place, ASessionStaysWithItsEndpointOnEveryNode) {
+TEST(ChoosePlacement, ASessionStaysWithItsEndpointOnEveryNode) {
   for (const char* id : {"w", "x", "y", "z"}) Add(id);
   std::map<std::string, int> chosen;
   for (std::uint64_t session = 1; session <= 200; ++session) {
@@ -85,7 +85,7 @@
 // One session gets much of the traffic. All of it at one endpoint would queue
 // for seconds there while the others stand idle; all of it everywhere would be
 // read anew everywhere.
-TEST(Place, AHotSessionSpillsToFewEndpoints) {
+TEST(ChoosePlacement, AHotSessionSpillsToFewEndpoints) {
   for (int i = 0; i < 12; ++i) Add("e" + std::to_string(i));
   const er::Demand demand = Prompt(5);
   std::map<std::string, int> sent;
@@ -100,7 +100,7 @@
 
 // A burst of long prompts over many sessions. What spills is read anew at the
 // second endpoint, and every engine is busy with parts that another one holds.
-TEST(Place, ABurstOverManySessionsReadsFewPartsTwice) {
+TEST(ChoosePlacement, ABurstOverManySessionsReadsFewPartsTwice) {
   for (int i = 0; i < 12; ++i) Add("e" + std::to_string(i));
   std::map<std::uint64_t, std::map<std::string, int>> readers;
   std::uint64_t attempt = 0;
@@ -122,7 +122,7 @@
   CHECK(copies <= 120 + 12);
 }
 
-TEST(Place, WorkGoesToTheLeastLoadedAndNearest) {
+TEST(ChoosePlacement, WorkGoesToTheLeastLoadedAndNearest) {
   Add("far", "b");
   Add("near");
   CHECK(Choose(Plain()).endpoint == set.by_id["near"]);
@@ -134,7 +134,7 @@
 
 // An engine with free slots reads a long prompt of a lower rank. It reads on to
 // the end, and a parent's question behind it has its first event late.
-TEST(Place, AQuestionDoesNotWaitBehindAPromptThatIsBeingRead) {
+TEST(ChoosePlacement, AQuestionDoesNotWaitBehindAPromptThatIsBeingRead) {
   Add("reading", "a");
   Add("idle", "b");
   At("reading").waiting_tokens[2] = 50'000;
@@ -148,7 +148,7 @@
 
 // An endpoint fails its requests at once. It looks idle, and without a price on
 // failures it would draw all work and fail it.
-TEST(Place, AnEndpointThatFailsLosesItsWork) {
+TEST(ChoosePlacement, AnEndpointThatFailsLosesItsWork) {
   Add("bad");
   Add("good");
   for (int i = 0; i < 5; ++i) er::OnAttemptFailed(At("bad"), kStart);
@@ -159,7 +159,7 @@
 
 // An endpoint hangs: it accepts requests and answers none. Its health check
 // still passes.
-TEST(Place, ASilentEndpointIsLeft) {
+TEST(ChoosePlacement, ASilentEndpointIsLeft) {
   Add("mute");
   er::Placement to_mute = Choose(Plain());
   er::OnAttemptSent(At("mute"), Plain(), 1, to_mute, kStart);
@@ -168,7 +168,7 @@
   CHECK(Choose(Plain(), kStart + 2s).endpoint == set.by_id["good"]);
 }
 
-TEST(Place, NothingGoesToLeavingOnesOrZonesOut) {
+TEST(ChoosePlacement, NothingGoesToLeavingOnesOrZonesOut) {
   Add("x");
   At("x").phase = er::EndpointPhase::kLeaving;
   CHECK(Choose(Plain()).reason == PlacementReason::kAllLeaving);
@@ -181,7 +181,7 @@
 
 // Endpoints come back cold, and every node sends them work at once: they crash.
 // The rate that they bear holds for the sum over all nodes, at every second.
-TEST(Place, AColdEndpointGetsNoMoreThanItsRateFromAllNodesTogether) {
+TEST(ChoosePlacement, AColdEndpointGetsNoMoreThanItsRateFromAllNodesTogether) {
   constexpr std::size_t kNodes = 7;
   engines.cold_per_second = 19;
   std::vector<er::EndpointSet> sets(kNodes);
@@ -203,7 +203,8 @@
   for (er::Time now = kStart; now < kStart + 3s; now += 5ms) {
     for (std::size_t i = 0; i < kNodes; ++i) {
       const er::FleetSnapshot part{kNodes, names[i], names, "a"};
-      const auto placement = er::Place(sets[i], Plain(), {}, part, random, now);
+      const auto placement =
+          er::ChoosePlacement(sets[i], Plain(), {}, part, random, now);
       if (placement.endpoint == nullptr) continue;
       er::OnAttemptSent(*placement.endpoint, Plain(), ++attempt, placement,
                         now);
@@ -220,7 +221,7 @@
 }
 
 // A fleet of ninety nodes, which know each other: only a few of them may send.
-TEST(Place, FewNodesOfALargeFleetSendToAColdEndpoint) {
+TEST(ChoosePlacement, FewNodesOfALargeFleetSendToAColdEndpoint) {
   Add("cold");
   std::vector<std::string> names;
   for (int i = 0; i < 90; ++i) names.push_back("node-" + std::to_string(i));
@@ -234,13 +235,13 @@
 
 // The network splits, and a node sees itself alone. It must not take the whole
 // rate for itself, since the others still send.
-TEST(Place, ANodeCutOffFromALargeFleetDoesNotTakeTheWholeRate) {
+TEST(ChoosePlacement, ANodeCutOffFromALargeFleetDoesNotTakeTheWholeRate) {
   Add("cold");
   const er::FleetSnapshot part{90, "alone", {"alone"}, "a"};
   CHECK_FALSE(er::IsSender(At("cold"), kColdRate, part));
 }
 
-TEST(Place, OneNodeTakesNoMoreThanItsPartOfTheSlots) {
+TEST(ChoosePlacement, OneNodeTakesNoMoreThanItsPartOfTheSlots) {
   Add("x");
   fleet.nodes = 8;
   At("x").in_flight = 4;
@@ -249,7 +250,7 @@
   CHECK(Choose(Plain()).endpoint == set.by_id["x"]);
 }
 
-TEST(Place, SaysWhyThereIsNone) {
+TEST(ChoosePlacement, SaysWhyThereIsNone) {
   CHECK(Choose(Plain()).reason == PlacementReason::kNoneKnown);
   Add("x");
   er::OnConnectFailed(At("x"), kStart);
@@ -262,23 +263,24 @@
 // All endpoints of a service but one are down, and that one failed a read once.
 // Waiting for the others, the caller would get nothing for a second and then a
 // failure.
-TEST(Place, TheOnlyEndpointIsTriedAgain) {
+TEST(ChoosePlacement, TheOnlyEndpointIsTriedAgain) {
   Add("x");
   Add("down");
   er::OnConnectFailed(At("down"), kStart);
-  const auto again =
-      er::Place(set, Plain(), {set.by_id["x"]}, fleet, random, kStart);
+  const auto again = er::ChoosePlacement(set, Plain(), {set.by_id["x"]}, fleet,
+                                         random, kStart);
   CHECK(again.endpoint == set.by_id["x"]);
   Add("other");
-  const auto elsewhere =
-      er::Place(set, Plain(), {set.by_id["x"]}, fleet, random, kStart);
+  const auto elsewhere = er::ChoosePlacement(set, Plain(), {set.by_id["x"]},
+                                             fleet, random, kStart);
   CHECK(elsewhere.endpoint == set.by_id["other"]);
 }
 
 // Short streams whose events must follow each other closely run beside long
 // prompts. Each part of a prompt that is read delays them, and callers see a
 // pause in the middle of their answer.
-TEST(Place, LongPromptsStayAwayFromTightStreamsWhereThereAreManyEngines) {
+TEST(ChoosePlacement,
+     LongPromptsStayAwayFromTightStreamsWhereThereAreManyEngines) {
   for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
   set.tight_fraction = 0.25;
   std::size_t together = 0;
@@ -291,7 +293,7 @@
 
 // All engines for long prompts are full. A prompt that waited for them would be
 // late, while the others have room.
-TEST(Place, LongPromptsGoToTheOtherSideWhereTheirsIsFull) {
+TEST(ChoosePlacement, LongPromptsGoToTheOtherSideWhereTheirsIsFull) {
   for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
   set.tight_fraction = 0.25;
   for (const auto& [id, endpoint] : set.by_id) {
@@ -304,7 +306,7 @@
   }
 }
 
-TEST(Place, FewEnginesServeAll) {
+TEST(ChoosePlacement, FewEnginesServeAll) {
   for (int i = 0; i < 12; ++i) Add("e" + std::to_string(i));
   set.tight_fraction = 0.25;
   std::size_t at_tight = 0;
@@ -316,7 +318,7 @@
 
 // One question is asked by a quarter of all callers. What its requests share is
 // read in two milliseconds; kept together for it, they fill one engine.
-TEST(Place, ASmallSharedPartKeepsNothingTogether) {
+TEST(ChoosePlacement, ASmallSharedPartKeepsNothingTogether) {
   for (int i = 0; i < 12; ++i) Add("e" + std::to_string(i));
   std::map<std::string, int> sent;
   for (std::uint64_t n = 1; n <= 120; ++n) {
@@ -329,7 +331,7 @@
 }
 
 // Operators measure what a mechanism is worth by a setting that leaves it out.
-TEST(Place, AMechanismThatIsSwitchedOffTakesNoPart) {
+TEST(ChoosePlacement, AMechanismThatIsSwitchedOffTakesNoPart) {
   for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
   set.tight_fraction = 0.25;
   set.off.set(static_cast<std::size_t>(er::Mechanism::kEngineSplit));
--- a/routing/tests/route_table_test.cc
+++ b/routing/tests/route_table_test.cc
@@ -57,20 +57,21 @@
   const er::ClientAccount* second = er::FindAccount(table, "key-a");
   const er::Route& quick = table.routes[0];
   const er::Route& deep = table.routes[1];
-  CHECK(er::RankOf(table, quick, first) < er::RankOf(table, quick, second));
-  CHECK(er::RankOf(table, quick, second) < er::RankOf(table, deep, first));
-  CHECK(er::RankOf(table, deep, first) < er::RankOf(table, deep, second));
+  CHECK(er::FindRank(table, quick, first) < er::FindRank(table, quick, second));
+  CHECK(er::FindRank(table, quick, second) < er::FindRank(table, deep, first));
+  CHECK(er::FindRank(table, deep, first) < er::FindRank(table, deep, second));
   // An account without a tier of its own counts as its route's.
   const er::ClientAccount* without = er::FindAccount(table, "key-b");
-  CHECK(er::RankOf(table, quick, without) < er::RankOf(table, quick, second));
-  CHECK(er::RankOf(table, deep, without) < 10);
+  CHECK(er::FindRank(table, quick, without) <
+        er::FindRank(table, quick, second));
+  CHECK(er::FindRank(table, deep, without) < 10);
 }
 
 TEST(RouteTable, KnowsWhatMayRunTwice) {
   er::Route route{.kind = er::RouteKind::kOnce};
-  CHECK_FALSE(er::MayRepeat(route));
+  CHECK_FALSE(er::IsRouteRepeatable(route));
   route.kind = er::RouteKind::kStream;
-  CHECK_FALSE(er::MayRepeat(route));
+  CHECK_FALSE(er::IsRouteRepeatable(route));
   route.resumable = true;
-  CHECK(er::MayRepeat(route));
+  CHECK(er::IsRouteRepeatable(route));
 }
--- a/routing/tests/spread_test.cc
+++ b/routing/tests/spread_test.cc
@@ -133,13 +133,14 @@
   void Tell(std::size_t from, std::size_t to) {
     for (const er::Feed feed : kFeedCount) {
       const auto progress = er::GetFeedProgress(nodes_[from].catalog, feed);
-      At(kOneWay,
-         [this, from, to, feed, progress] { Hear(from, to, feed, progress); });
+      At(kOneWay, [this, from, to, feed, progress] {
+        ApplyMemberGossip(from, to, feed, progress);
+      });
     }
   }
 
-  void Hear(std::size_t from, std::size_t to, er::Feed feed,
-            const er::FeedProgress& progress) {
+  void ApplyMemberGossip(std::size_t from, std::size_t to, er::Feed feed,
+                         const er::FeedProgress& progress) {
     Node& node = nodes_[to];
     if (node.dead) return;
     if (!er::ApplyPeerProgress(node.catalog, feed, progress)) return;
@@ -165,7 +166,7 @@
     const auto unsent = static_cast<std::size_t>(
         static_cast<double>(busy_us.count()) * kBytesPerUs);
     const std::size_t bytes = bytes_[feed];
-    if (!er::MaySend(bytes, unsent)) {
+    if (!er::CanSendChanges(bytes, unsent)) {
       At(kOneWay, [this, from, to, feed] {
         er::OnFetchFailed(er::GetFeedFetch(nodes_[to].feed_fetches, feed),
                           std::to_string(from), er::kFetchBusyBackoff, now_);
