--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -36,7 +36,7 @@
 
 /// A heartbeat of a node that others know already: 16 bytes, where a `Member`
 /// takes about 130.
-struct Pulse {
+struct MemberHeartbeat {
   std::uint32_t node = 0;  ///< Low half of the hash of its name.
   std::uint32_t life = 0;  ///< Low half of its incarnation.
   std::uint64_t heartbeat = 0;
@@ -47,7 +47,7 @@
 /// What one exchange tells of members.
 struct MemberGossip {
   std::vector<Member> members;  ///< The sender first.
-  std::vector<Pulse> pulses;
+  std::vector<MemberHeartbeat> pulses;
   /// Nodes of which the sender heard a pulse and doesn't know who they are.
   std::vector<std::uint32_t> unknown;
 };
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -56,14 +56,14 @@
   news.push_back(told.node);
 }
 
-Member WithHeartbeat(Member member, const Pulse& pulse) {
+Member WithHeartbeat(Member member, const MemberHeartbeat& pulse) {
   member.heartbeat = pulse.heartbeat;
   member.leaving = pulse.leaving;
   member.store_troubled = pulse.store_troubled;
   return member;
 }
 
-Pulse MakeHeartbeat(const Member& member) {
+MemberHeartbeat MakeHeartbeat(const Member& member) {
   return {NodeKey(member.node), LowHalf(member.incarnation), member.heartbeat,
           member.leaving, member.store_troubled};
 }
@@ -110,7 +110,7 @@
   for (auto& [node, known] : members.others)
     by_key.emplace(NodeKey(node), &known);
   const std::uint32_t self = NodeKey(members.self.node);
-  for (const Pulse& pulse : told.pulses) {
+  for (const MemberHeartbeat& pulse : told.pulses) {
     const auto at = by_key.find(pulse.node);
     const Member* known = at != by_key.end()   ? &at->second->member
                           : pulse.node == self ? &members.self
