--- a/routing/include/egretladder/routing/next_step.h
+++ b/routing/include/egretladder/routing/next_step.h
@@ -55,7 +55,7 @@
   std::uint32_t may_have_run = 0;  ///< Attempts so far that may have run.
   std::uint32_t not_run = 0;  ///< Attempts so far that an endpoint turned away.
   std::uint32_t not_sent = 0;  ///< Attempts so far without a connection.
-  bool time_left = true;
+  bool has_time_left = true;
 };
 
 /// Sends that endpoints turned away, before a request is refused. Each meets
--- a/routing/src/next_step.cc
+++ b/routing/src/next_step.cc
@@ -4,7 +4,7 @@
 namespace {
 
 bool CanTryAgain(const NextStepInput& after) {
-  return after.time_left && after.not_run < kMaxNotRunAttempts &&
+  return after.has_time_left && after.not_run < kMaxNotRunAttempts &&
          after.not_sent < kMaxNotSentAttempts;
 }
 
@@ -68,7 +68,7 @@
 NextStep DecideNextStep(const NextStepInput& after) {
   if (after.end == AttemptOutcome::kSucceeded) return NextStep::kPassOn;
   if (IsNotRun(after.end)) return DecideAfterNotRun(after);
-  const bool more = after.time_left && after.may_have_run < after.attempts;
+  const bool more = after.has_time_left && after.may_have_run < after.attempts;
   if (after.is_answer_started) {
     return after.resumable && more ? NextStep::kResume : NextStep::kBreakOff;
   }
--- a/routing/tests/next_step_test.cc
+++ b/routing/tests/next_step_test.cc
@@ -39,12 +39,13 @@
 TEST(NextStepInput,
      WorkThatRunsOnceIsNeverSentAgainUnlessItCertainlyDidNotRun) {
   for (const AttemptOutcome end : kEnds) {
-    for (const bool time_left : {false, true}) {
+    for (const bool has_time_left : {false, true}) {
       er::NextStepInput after = Ask(end);
-      after.time_left = time_left;
+      after.has_time_left = has_time_left;
       const NextStep step = er::DecideNextStep(after);
       if (er::IsNotRun(end)) {
-        CHECK(step == (time_left ? NextStep::kSendAgain : NextStep::kRefuse));
+        CHECK(step ==
+              (has_time_left ? NextStep::kSendAgain : NextStep::kRefuse));
       } else {
         CHECK(step != NextStep::kSendAgain && step != NextStep::kResume);
         CHECK(step != NextStep::kRefuse);
@@ -60,7 +61,7 @@
     er::NextStepInput after = Ask(end);
     after.is_repeatable = true;
     after.may_have_run = 1;
-    after.time_left = false;
+    after.has_time_left = false;
     CHECK(er::DecideNextStep(after) != NextStep::kRefuse);
   }
 }
