--- a/routing/include/egretladder/routing/endpoints.h
+++ b/routing/include/egretladder/routing/endpoints.h
@@ -90,7 +90,7 @@
   TokensByTier waiting_tokens{};
   double peers_in_flight = 0;
   double peers_waiting_tokens = 0;
-  EndpointHealth trust;
+  EndpointHealth health;
   EnginePace pace;
   /// Requests of this node without an answer so far: when sent, and until when
   /// an answer was expected.
@@ -171,7 +171,7 @@
 /// It answered whole, after `took`.
 void OnAnswered(Endpoint& endpoint, milliseconds took, Time now);
 /// Share of failures as of now.
-double FailureRate(const EndpointHealth& trust, Time now);
+double FailureRate(const EndpointHealth& health, Time now);
 /// How much longer than expected its oldest request waits for a first byte.
 milliseconds OverdueTime(const Endpoint& endpoint, Time now);
 
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -185,46 +185,46 @@
 }
 
 void OnConnectFailed(Endpoint& endpoint, Time now) {
-  EndpointHealth& trust = endpoint.trust;
+  EndpointHealth& health = endpoint.health;
   constexpr std::uint32_t kDoublings = 5;
   const auto pause =
-      kInitialConnectBackoff * (1U << std::min(trust.refused, kDoublings));
-  trust.avoid_until = now + std::min<milliseconds>(pause, kMaxConnectBackoff);
-  ++trust.refused;
+      kInitialConnectBackoff * (1U << std::min(health.refused, kDoublings));
+  health.avoid_until = now + std::min<milliseconds>(pause, kMaxConnectBackoff);
+  ++health.refused;
 }
 
 void OnAttemptFailed(Endpoint& endpoint, Time now) {
-  EndpointHealth& trust = endpoint.trust;
-  trust.failing = Smooth(FailureRate(trust, now), 1);
-  trust.failure_rate_at = now;
+  EndpointHealth& health = endpoint.health;
+  health.failing = Smooth(FailureRate(health, now), 1);
+  health.failure_rate_at = now;
 }
 
 void OnEndpointFull(Endpoint& endpoint, milliseconds pause, Time now) {
-  endpoint.trust.full_until = now + pause;
-  endpoint.trust.refused = 0;
+  endpoint.health.full_until = now + pause;
+  endpoint.health.refused = 0;
 }
 
 void OnFirstByte(Endpoint& endpoint, milliseconds took, milliseconds expected) {
   const double late =
       std::max(0.0, static_cast<double>((took - expected).count()));
-  endpoint.trust.drift_ms = Smooth(endpoint.trust.drift_ms, late);
+  endpoint.health.drift_ms = Smooth(endpoint.health.drift_ms, late);
 }
 
 void OnAnswered(Endpoint& endpoint, milliseconds took, Time now) {
-  EndpointHealth& trust = endpoint.trust;
-  trust.refused = 0;
-  trust.avoid_until = {};
-  trust.failing = Smooth(FailureRate(trust, now), 0);
-  trust.failure_rate_at = now;
+  EndpointHealth& health = endpoint.health;
+  health.refused = 0;
+  health.avoid_until = {};
+  health.failing = Smooth(FailureRate(health, now), 0);
+  health.failure_rate_at = now;
   const auto ms = static_cast<double>(took.count());
-  trust.mean_answer_ms =
-      trust.mean_answer_ms == 0 ? ms : Smooth(trust.mean_answer_ms, ms);
+  health.mean_answer_ms =
+      health.mean_answer_ms == 0 ? ms : Smooth(health.mean_answer_ms, ms);
 }
 
-double FailureRate(const EndpointHealth& trust, Time now) {
+double FailureRate(const EndpointHealth& health, Time now) {
   const auto age =
-      std::chrono::duration<double, std::milli>(now - trust.failure_rate_at);
-  return trust.failing *
+      std::chrono::duration<double, std::milli>(now - health.failure_rate_at);
+  return health.failing *
          std::exp2(-age.count() /
                    static_cast<double>(kFailureHalfLife.count()));
 }
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -90,8 +90,8 @@
       IsZoneOut(set, endpoint.entry.zone)) {
     return PlacementReason::kAllLeaving;
   }
-  if (now < endpoint.trust.avoid_until) return PlacementReason::kAllDown;
-  if (now < endpoint.trust.full_until ||
+  if (now < endpoint.health.avoid_until) return PlacementReason::kAllDown;
+  if (now < endpoint.health.full_until ||
       endpoint.in_flight >= MaxInFlightPerNode(endpoint, fleet)) {
     return PlacementReason::kAllFull;
   }
--- a/routing/src/placement_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -30,8 +30,8 @@
     return TokensAhead(endpoint, ask.demand.tier) / kPromptTokensPerMs +
            running * kCostPerRunningMs;
   }
-  const double mean = endpoint.trust.mean_answer_ms > 0
-                          ? endpoint.trust.mean_answer_ms
+  const double mean = endpoint.health.mean_answer_ms > 0
+                          ? endpoint.health.mean_answer_ms
                           : kDefaultServiceTimeMs;
   return mean * running / std::max<std::uint32_t>(endpoint.entry.slots, 1);
 }
@@ -53,10 +53,10 @@
          ExpectedEventMs(ask.endpoint.pace, ask.pace, RunningAt(ask.endpoint));
 }
 
-double Drift(const CostInput& ask) { return ask.endpoint.trust.drift_ms; }
+double Drift(const CostInput& ask) { return ask.endpoint.health.drift_ms; }
 
 double Failing(const CostInput& ask) {
-  return FailureRate(ask.endpoint.trust, ask.now) * kFailureCostMs;
+  return FailureRate(ask.endpoint.health, ask.now) * kFailureCostMs;
 }
 
 double Silence(const CostInput& ask) {
--- a/routing/src/stop_admission.cc
+++ b/routing/src/stop_admission.cc
@@ -53,7 +53,7 @@
           ExpectedEventMs(endpoint.pace,
                           FindServicePace(set, demand.service->name), running);
   } else {
-    ms += endpoint.trust.mean_answer_ms * kLongAnswerFactor;
+    ms += endpoint.health.mean_answer_ms * kLongAnswerFactor;
   }
   return milliseconds(std::llround(std::max(ms, 0.0)));
 }
--- a/routing/tests/endpoints_test.cc
+++ b/routing/tests/endpoints_test.cc
@@ -120,17 +120,17 @@
   er::OnEntryPublished(set, Entry("x"), kStart);
   er::Endpoint& endpoint = *set.by_id["x"];
   er::OnAttemptFailed(endpoint, kStart);
-  const double failing = er::FailureRate(endpoint.trust, kStart);
+  const double failing = er::FailureRate(endpoint.health, kStart);
   CHECK(failing > 0);
   DOUBLES_EQUAL(failing / 2,
-                er::FailureRate(endpoint.trust, kStart + er::kFailureHalfLife),
+                er::FailureRate(endpoint.health, kStart + er::kFailureHalfLife),
                 0.001);
   er::OnConnectFailed(endpoint, kStart);
-  CHECK(endpoint.trust.avoid_until == kStart + er::kInitialConnectBackoff);
+  CHECK(endpoint.health.avoid_until == kStart + er::kInitialConnectBackoff);
   er::OnConnectFailed(endpoint, kStart);
-  CHECK(endpoint.trust.avoid_until == kStart + 2 * er::kInitialConnectBackoff);
+  CHECK(endpoint.health.avoid_until == kStart + 2 * er::kInitialConnectBackoff);
   er::OnAnswered(endpoint, 10ms, kStart);
-  CHECK(endpoint.trust.avoid_until == er::Time{});
+  CHECK(endpoint.health.avoid_until == er::Time{});
 }
 
 TEST(Endpoints, ForgetsTheOlderHalfOfTheParts) {
--- a/routing/tests/placement_test.cc
+++ b/routing/tests/placement_test.cc
@@ -255,7 +255,7 @@
   Add("x");
   er::OnConnectFailed(At("x"), kStart);
   CHECK(Choose(Plain()).reason == PlacementReason::kAllDown);
-  At("x").trust = {};
+  At("x").health = {};
   er::OnEndpointFull(At("x"), 60ms, kStart);
   CHECK(Choose(Plain()).reason == PlacementReason::kAllFull);
 }
