--- a/routing/include/egretladder/routing/endpoints.h
+++ b/routing/include/egretladder/routing/endpoints.h
@@ -33,7 +33,7 @@
   std::uint32_t slots = 1;
   bool leaving = false;  ///< Takes no new work.
   milliseconds cold_left{};
-  std::uint64_t born = 0;  ///< Unix ms of its start; 0: not said.
+  std::uint64_t started_unix_ms = 0;  ///< Unix ms of its start; 0: not said.
 };
 
 /// A limit that an endpoint names for all nodes together.
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -106,7 +106,8 @@
   const auto at = set.by_id.find(entry.id);
   if (at == set.by_id.end()) return Add(set, entry, now);
   Endpoint& known = *at->second;
-  if (known.entry.born != entry.born || known.entry.address != entry.address ||
+  if (known.entry.started_unix_ms != entry.started_unix_ms ||
+      known.entry.address != entry.address ||
       known.entry.service != entry.service) {
     Remove(set, entry.id);
     Add(set, entry, now);
--- a/routing/tests/endpoints_test.cc
+++ b/routing/tests/endpoints_test.cc
@@ -19,7 +19,7 @@
   entry.address = "10.0.0.1:80";
   entry.zone = "a";
   entry.slots = 8;
-  entry.born = 100;
+  entry.started_unix_ms = 100;
   return entry;
 }
 
@@ -66,7 +66,7 @@
   er::RecordPromptParts(*before, {7}, kStart);
   before->in_flight = 3;
   er::EndpointEntry again = Entry("x");
-  again.born = 200;
+  again.started_unix_ms = 200;
   again.cold_left = 3s;
   CHECK(er::OnEntryPublished(set, again, kStart + 1s) ==
         EntryChange::kRestarted);
