--- a/routing/include/egretladder/routing/catalog.h
+++ b/routing/include/egretladder/routing/catalog.h
@@ -89,8 +89,8 @@
 void PruneTombstones(Catalog& catalog, Time now);
 
 /// State of one feed.
-FeedState& StateOf(Catalog& catalog, Feed feed);
+FeedState& GetFeedState(Catalog& catalog, Feed feed);
 /// As above.
-const FeedState& StateOf(const Catalog& catalog, Feed feed);
+const FeedState& GetFeedState(const Catalog& catalog, Feed feed);
 
 }  // namespace egretladder::routing
--- a/routing/src/catalog.cc
+++ b/routing/src/catalog.cc
@@ -33,16 +33,16 @@
   return feed == Feed::kRules ? "rules" : "endpoints";
 }
 
-FeedState& StateOf(Catalog& catalog, Feed feed) {
+FeedState& GetFeedState(Catalog& catalog, Feed feed) {
   return catalog.feeds[static_cast<std::size_t>(feed)];
 }
 
-const FeedState& StateOf(const Catalog& catalog, Feed feed) {
+const FeedState& GetFeedState(const Catalog& catalog, Feed feed) {
   return catalog.feeds[static_cast<std::size_t>(feed)];
 }
 
 std::vector<Item> Apply(Catalog& catalog, const Changes& changes, Time now) {
-  FeedState& feed = StateOf(catalog, changes.feed);
+  FeedState& feed = GetFeedState(catalog, changes.feed);
   std::vector<Item> news;
   for (const Item& item : changes.items) {
     feed.changed = std::max(feed.changed, item.rev);
@@ -71,7 +71,7 @@
 
 Changes ChangesSince(const Catalog& catalog, Feed feed,
                      std::uint64_t revision) {
-  const FeedState& state = StateOf(catalog, feed);
+  const FeedState& state = GetFeedState(catalog, feed);
   Changes changes;
   changes.feed = feed;
   changes.revision = state.revision;
@@ -86,12 +86,12 @@
 }
 
 FeedProgress GetFeedProgress(const Catalog& catalog, Feed feed) {
-  const FeedState& state = StateOf(catalog, feed);
+  const FeedState& state = GetFeedState(catalog, feed);
   return {state.revision, state.changed};
 }
 
 bool ApplyPeerProgress(Catalog& catalog, Feed feed, const FeedProgress& peer) {
-  FeedState& state = StateOf(catalog, feed);
+  FeedState& state = GetFeedState(catalog, feed);
   if (peer.known <= state.revision) return false;
   if (state.revision == 0 || peer.changed > state.revision) return true;
   state.revision = peer.known;
--- a/routing/tests/catalog_test.cc
+++ b/routing/tests/catalog_test.cc
@@ -47,7 +47,7 @@
   CHECK(er::Apply(catalog, Watch(6, {{"a", "ready", 6}}), kStart).empty());
   er::Apply(catalog, Watch(8, {{"a", "", 8, true}}), kStart);
   CHECK(er::Apply(catalog, Watch(7, {{"a", "draining", 7}}), kStart).empty());
-  LONGS_EQUAL(8, er::StateOf(catalog, er::Feed::kEndpoints).revision);
+  LONGS_EQUAL(8, er::GetFeedState(catalog, er::Feed::kEndpoints).revision);
 }
 
 // A removal arrives before the write it follows: the write is old by then.
@@ -68,7 +68,7 @@
   CHECK_FALSE(lacking.whole);
   const auto news = er::Apply(theirs, lacking, kStart);
   LONGS_EQUAL(2, news.size());
-  LONGS_EQUAL(9, er::StateOf(theirs, er::Feed::kEndpoints).revision);
+  LONGS_EQUAL(9, er::GetFeedState(theirs, er::Feed::kEndpoints).revision);
   CHECK(er::ChangesSince(ours, er::Feed::kEndpoints, 9).items.empty());
 }
 
