--- a/routing/src/stop_admission.cc
+++ b/routing/src/stop_admission.cc
@@ -26,8 +26,8 @@
 
 StopAdmissionVerdict DecideStopAdmission(const policy::StopPlan& plan,
                                          const StopAdmissionInput& ask) {
-  const policy::StopPhase phase = policy::PhaseOf(plan, ask.arrived);
-  const milliseconds left = policy::LeftForWork(plan, ask.since);
+  const policy::StopPhase phase = policy::GetStopPhase(plan, ask.arrived);
+  const milliseconds left = policy::TimeUntilCut(plan, ask.since);
   const bool may_take = phase == policy::StopPhase::kTaking ||
                         phase == policy::StopPhase::kSettling;
   if (!may_take) return StopAdmissionVerdict::kTooLate;
--- a/routing/tests/stop_admission_test.cc
+++ b/routing/tests/stop_admission_test.cc
@@ -12,7 +12,7 @@
 // Requests are ended 7.3 s after the stop began.
 ep::StopPlan Plan() {
   ep::StopPlan plan;
-  plan.addresses_kept = 3000ms;
+  plan.address_ttl = 3000ms;
   plan.settle = 200ms;
   plan.grace = 8000ms;
   plan.cut_margin = 700ms;
