--- a/routing/include/egretladder/routing/route_table.h
+++ b/routing/include/egretladder/routing/route_table.h
@@ -74,8 +74,8 @@
 struct IngressLimits {
   std::size_t head_bytes = std::size_t{16} << 10U;
   std::size_t body_bytes = std::size_t{4} << 20U;
-  milliseconds head_time{3000};
-  milliseconds idle_time{15000};
+  milliseconds head_timeout{3000};
+  milliseconds idle_timeout{15000};
 };
 
 /// One version of it all.
