--- a/gateway/src/endpoint_evhttp.cc
+++ b/gateway/src/endpoint_evhttp.cc
@@ -90,7 +90,8 @@
                     Later(gateway, [conclude, refused] { conclude(refused); });
                   });
   };
-  gateway.death_pauses[id] = kernel::After(*gateway.loop, kDeathPause, probe);
+  gateway.death_pauses[id] =
+      kernel::RunAfter(*gateway.loop, kDeathPause, probe);
 }
 
 // The caller gets a part of the answer from here on, so it can't be sent again.
@@ -275,7 +276,7 @@
     spec.body = call.request.body;
   }
   spec.answer_time = limits.answer_time;
-  spec.idle_time = limits.idle_time;
+  spec.idle_timeout = limits.idle_timeout;
   return spec;
 }
 
--- a/policy/include/egretladder/policy/poison.h
+++ b/policy/include/egretladder/policy/poison.h
@@ -24,7 +24,7 @@
 };
 
 /// One quarantined body, as nodes tell each other.
-struct Quarantined {
+struct QuarantineNotice {
   std::uint64_t fingerprint = 0;
   std::chrono::milliseconds left{};
   std::uint8_t deaths = 0;
@@ -34,12 +34,12 @@
 /// which became quarantined by this: at the second death under the same body,
 /// and only when it is the one suspect among those running; when several were
 /// suspects no one can say which it was, and they stay suspects.
-std::vector<Quarantined> OnEndpointDied(
+std::vector<QuarantineNotice> OnEndpointDied(
     PoisonState& state, const std::vector<std::uint64_t>& running,
     kernel::Time now);
 
 /// A body ran to its end: whatever was held against it is dropped.
-void OnRanWell(PoisonState& state, std::uint64_t fingerprint);
+void ClearSuspect(PoisonState& state, std::uint64_t fingerprint);
 
 /// True when an endpoint died under this body once: it should run beside no
 /// other such body, so that a second death tells them apart.
@@ -48,13 +48,15 @@
 
 /// Another node's blame. Returns true when the body is now quarantined and
 /// was not before.
-bool OnTold(PoisonState& state, const Quarantined& told, kernel::Time now);
+bool ApplyQuarantineNotice(PoisonState& state, const QuarantineNotice& told,
+                           kernel::Time now);
 
 /// True while a body with this fingerprint gets no endpoint.
 bool IsQuarantined(const PoisonState& state, std::uint64_t fingerprint,
                    kernel::Time now);
 
 /// What other nodes should know, quarantined or blamed once.
-std::vector<Quarantined> ListBlames(const PoisonState& state, kernel::Time now);
+std::vector<QuarantineNotice> ListQuarantineNotices(const PoisonState& state,
+                                                    kernel::Time now);
 
 }  // namespace egretladder::policy
--- a/policy/src/slots.cc
+++ b/policy/src/slots.cc
@@ -8,7 +8,7 @@
 namespace {
 
 void ChangeSlots(SlotState& state, std::uint32_t slots, kernel::Time now) {
-  state.slots = std::clamp(slots, 1U, std::max(1U, state.bears));
+  state.slots = std::clamp(slots, 1U, std::max(1U, state.max_in_flight));
   state.in_time = 0;
   state.late = 0;
   state.since = now;
@@ -23,15 +23,16 @@
 
 }  // namespace
 
-SlotReason StartSlots(SlotState& state, std::uint32_t cold_bears,
-                      std::uint32_t bears, std::uint64_t boot,
+SlotReason StartSlots(SlotState& state, std::uint32_t cold_max_in_flight,
+                      std::uint32_t max_in_flight, std::uint64_t boot,
                       kernel::Time now) {
   if (boot != state.boot) state.boot_before = state.boot;
   state.boot = boot;
-  state.cold_bears = std::max(1U, std::min(cold_bears, bears));
-  state.bears = std::max(1U, bears);
-  state.grow_fast_to = state.bears;
-  ChangeSlots(state, state.cold_bears, now);
+  state.cold_max_in_flight =
+      std::max(1U, std::min(cold_max_in_flight, max_in_flight));
+  state.max_in_flight = std::max(1U, max_in_flight);
+  state.grow_fast_to = state.max_in_flight;
+  ChangeSlots(state, state.cold_max_in_flight, now);
   return SlotReason::kStarted;
 }
 
@@ -44,7 +45,8 @@
   }
   if (evidence.boot != 0 && state.boot == 0) state.boot = evidence.boot;
   if (evidence.boot != 0 && evidence.boot != state.boot) {
-    return StartSlots(state, state.cold_bears, state.bears, evidence.boot, now);
+    return StartSlots(state, state.cold_max_in_flight, state.max_in_flight,
+                      evidence.boot, now);
   }
   state.in_time += evidence.in_time;
   state.late += evidence.late + evidence.failed;
@@ -52,24 +54,25 @@
   const double late_share =
       answers == 0 ? 0 : static_cast<double>(state.late) / answers;
   if (answers >= kAnswersToJudge && late_share >= kTurnedColdShare &&
-      state.slots > state.cold_bears) {
-    state.grow_fast_to = state.bears;
-    ChangeSlots(state, state.cold_bears, now);
+      state.slots > state.cold_max_in_flight) {
+    state.grow_fast_to = state.max_in_flight;
+    ChangeSlots(state, state.cold_max_in_flight, now);
     return SlotReason::kTurnedCold;
   }
   if (answers >= kAnswersToJudge && late_share >= kOverloadedShare) {
-    if (state.slots <= state.cold_bears) {
+    if (state.slots <= state.cold_max_in_flight) {
       ChangeSlots(state, state.slots, now);
       return SlotReason::kUnchanged;
     }
-    state.grow_fast_to = std::max(state.cold_bears, state.slots * 3 / 4);
+    state.grow_fast_to =
+        std::max(state.cold_max_in_flight, state.slots * 3 / 4);
     ChangeSlots(state, state.grow_fast_to, now);
     return SlotReason::kOverloaded;
   }
   if (answers < kAnswersPerSlotBeforeGrowth * state.slots) {
     return SlotReason::kUnchanged;
   }
-  if (state.slots >= state.bears || late_share >= kOverloadedShare) {
+  if (state.slots >= state.max_in_flight || late_share >= kOverloadedShare) {
     ChangeSlots(state, state.slots, now);
     return SlotReason::kUnchanged;
   }
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -2,14 +2,14 @@
 #include <algorithm>
 
 #include "attempts_p.h"
-#include "egretladder/routing/place_cost.h"
+#include "egretladder/routing/placement_cost.h"
 
 namespace egretladder::proxy {
 namespace {
 
 using kernel::LogLevel;
 using kernel::LogPart;
-using routing::AttemptEnd;
+using routing::AttemptOutcome;
 
 constexpr int kUnavailable = 503;
 constexpr int kMisdirected = 421;
@@ -31,8 +31,8 @@
   if (attempt.started) return;
   attempt.started = true;
   const Time now = NowOf(proxy);
-  routing::OnStarted(*attempt.endpoint, call->demand, attempt.number,
-                     attempt.placement);
+  routing::OnAttemptStarted(*attempt.endpoint, call->demand, attempt.number,
+                            attempt.placement);
   routing::OnFirstByte(
       *attempt.endpoint, Between(attempt.sent, now),
       milliseconds(static_cast<std::int64_t>(attempt.placement.expected_ms)));
@@ -40,27 +40,28 @@
                   now - call->arrived);
 }
 
-AttemptEnd EndOfWhole(const Attempt& attempt) {
+AttemptOutcome EndOfWhole(const Attempt& attempt) {
   const int status = attempt.head.status;
   if (attempt.facts.not_run) {
-    return status == kMisdirected ? AttemptEnd::kWrongInstance
-                                  : AttemptEnd::kFull;
+    return status == kMisdirected ? AttemptOutcome::kWrongInstance
+                                  : AttemptOutcome::kFull;
   }
   if (IsSuccess(status)) {
     return attempt.facts.sealed && !attempt.facts.encoded
-               ? AttemptEnd::kSucceeded
-               : AttemptEnd::kBadAnswer;
+               ? AttemptOutcome::kSucceeded
+               : AttemptOutcome::kBadAnswer;
   }
   if (PromisesNotRun(status) || attempt.facts.encoded) {
-    return AttemptEnd::kBadAnswer;
+    return AttemptOutcome::kBadAnswer;
   }
-  return status >= kServerErrors ? AttemptEnd::kFailed : AttemptEnd::kSucceeded;
+  return status >= kServerErrors ? AttemptOutcome::kFailed
+                                 : AttemptOutcome::kSucceeded;
 }
 
 net::HeadVerdict OnHead(Proxy& proxy, const CallPtr& call,
                         const net::HttpAnswerHead& head) {
   Attempt& attempt = *call->attempt;
-  const AnswerFacts facts = proxy.dialect->read_answer(head);
+  const AnswerMetadata facts = proxy.dialect->read_answer(head);
   if (!facts.id.empty() && facts.id != call->facts.id) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "foreign-answer",
                      {{"req", call->facts.id},
@@ -68,13 +69,13 @@
                       {"answers", facts.id}});
     return net::HeadVerdict::kSkip;
   }
-  routing::OnHeard(*attempt.endpoint, NowOf(proxy));
+  routing::OnSignOfLife(*attempt.endpoint, NowOf(proxy));
   if (head.status != kMisdirected) NoteLimit(proxy, *call, facts);
   attempt.head = head;
   attempt.facts = facts;
-  attempt.events = IsSuccess(head.status) && facts.is_events && facts.sealed &&
-                   !facts.encoded && !facts.not_run;
-  return net::HeadVerdict::kTake;
+  attempt.events = IsSuccess(head.status) && facts.is_event_stream &&
+                   facts.sealed && !facts.encoded && !facts.not_run;
+  return net::HeadVerdict::kAccept;
 }
 
 // One sample of the engine's pace each few events.
@@ -86,13 +87,14 @@
     return;
   }
   attempt.paced_events += events;
-  if (attempt.paced_events < routing::kPaceEvery) return;
+  if (attempt.paced_events < routing::kEventsPerPaceSample) return;
   const std::chrono::duration<double, std::milli> took = now - attempt.paced;
   routing::Endpoint& endpoint = *attempt.endpoint;
-  routing::ServicePace& pace = proxy.endpoints.paces[call.service->name];
-  routing::OnPause(endpoint.pace, pace,
-                   endpoint.in_flight + endpoint.others_in_flight,
-                   took / static_cast<double>(attempt.paced_events));
+  routing::ServicePace& pace =
+      proxy.endpoints.service_paces[call.service->name];
+  routing::OnEventInterval(endpoint.pace, pace,
+                           endpoint.in_flight + endpoint.peers_in_flight,
+                           took / static_cast<double>(attempt.paced_events));
   routing::OnStreamRunning(pace, call.route->name,
                            static_cast<double>(call.events));
   attempt.paced = now;
@@ -113,21 +115,21 @@
 // twice, with attempts, time and retries left.
 void OnImpatient(Proxy& proxy, const CallPtr& call) {
   if (call->attempt == nullptr) return;
-  const bool more = call->may_have_run + 1 < call->route->attempts;
-  if (!more || !TakeRetry(proxy, *call)) {
+  const bool has_more = call->may_have_run + 1 < call->route->attempts;
+  if (!has_more || !TakeRetry(proxy, *call)) {
     return;
   }
   net::Cancel(call->attempt->exchange);
-  EndAttempt(proxy, call, AttemptEnd::kSilent, "no event in time");
+  EndAttempt(proxy, call, AttemptOutcome::kSilent, "no event in time");
 }
 
 void SetPatience(Proxy& proxy, const CallPtr& call, milliseconds patience) {
-  call->patience = kernel::After(*proxy.loop, patience,
-                                 [&proxy, weak = std::weak_ptr<Call>(call)] {
-                                   if (const auto kept = weak.lock()) {
-                                     OnImpatient(proxy, kept);
-                                   }
-                                 });
+  call->patience = kernel::RunAfter(*proxy.loop, patience,
+                                    [&proxy, weak = std::weak_ptr<Call>(call)] {
+                                      if (const auto kept = weak.lock()) {
+                                        OnImpatient(proxy, kept);
+                                      }
+                                    });
 }
 
 milliseconds PatienceFor(const Call& call,
@@ -160,7 +162,7 @@
     if (kept == nullptr || kept->attempt == nullptr) return;
     kept->caller->OnDrained(nullptr);
     net::SetReading(kept->attempt->exchange, true);
-    if (routing::MayRepeat(*kept->route)) {
+    if (routing::IsRouteRepeatable(*kept->route)) {
       SetPatience(proxy, kept, StallOf(*kept));
     }
   });
@@ -175,24 +177,24 @@
   NotePace(proxy, *call, attempt.splitter.events - before);
   NotePause(*call, NowOf(proxy));
   if (!attempt.splitter.last_id.empty()) {
-    call->last_event = attempt.splitter.last_id;
+    call->last_event_id = attempt.splitter.last_id;
   }
   if (!call->caller->begun()) {
     call->caller->Begin(attempt.head.status, attempt.head.reason,
                         FieldsToPass(attempt.head.fields));
   }
   call->caller->Send(events);
-  if (call->caller->Unsent() > kCallerBacklog) HoldBack(proxy, call);
+  if (call->caller->UnsentBytes() > kCallerBacklog) HoldBack(proxy, call);
 }
 
 void OnBody(Proxy& proxy, const CallPtr& call, std::string_view piece) {
   Attempt& attempt = *call->attempt;
-  routing::OnHeard(*attempt.endpoint, NowOf(proxy));
+  routing::OnSignOfLife(*attempt.endpoint, NowOf(proxy));
   if (attempt.events) {
     NoteStarted(proxy, call);
     PassEvents(proxy, call, piece);
-    const bool held_back = call->caller->Unsent() > kCallerBacklog;
-    if (call->attempt != nullptr && routing::MayRepeat(*call->route) &&
+    const bool held_back = call->caller->UnsentBytes() > kCallerBacklog;
+    if (call->attempt != nullptr && routing::IsRouteRepeatable(*call->route) &&
         !held_back) {
       SetPatience(proxy, call, StallOf(*call));
     }
@@ -201,7 +203,8 @@
   attempt.body.append(piece);
   if (attempt.body.size() > kWholeAnswerMost) {
     net::Cancel(attempt.exchange);
-    EndAttempt(proxy, call, AttemptEnd::kBadAnswer, "the answer is too large");
+    EndAttempt(proxy, call, AttemptOutcome::kBadAnswer,
+               "the answer is too large");
   }
 }
 
@@ -213,20 +216,21 @@
     return;
   }
   const bool whole = attempt.splitter.rest.empty() && call->events > 0;
-  EndAttempt(proxy, call, whole ? AttemptEnd::kSucceeded : AttemptEnd::kBroken,
+  EndAttempt(proxy, call,
+             whole ? AttemptOutcome::kSucceeded : AttemptOutcome::kBroken,
              whole ? "" : "the stream ended inside an event");
 }
 
-AttemptEnd EndOfFault(net::ExchangeFault fault) {
+AttemptOutcome EndOfFault(net::ExchangeError fault) {
   switch (fault) {
-    case net::ExchangeFault::kNotConnected:
-      return AttemptEnd::kNotSent;
-    case net::ExchangeFault::kBroken:
-      return AttemptEnd::kBroken;
-    case net::ExchangeFault::kBadAnswer:
+    case net::ExchangeError::kNotConnected:
+      return AttemptOutcome::kNotSent;
+    case net::ExchangeError::kBroken:
+      return AttemptOutcome::kBroken;
+    case net::ExchangeError::kBadAnswer:
       break;
   }
-  return AttemptEnd::kBadAnswer;
+  return AttemptOutcome::kBadAnswer;
 }
 
 void LogSent(const Proxy& proxy, const Call& call, Time now) {
@@ -238,35 +242,36 @@
                     {"why", routing::NameOf(placement.reason)},
                     {"expected_ms", placement.expected_ms},
                     {"cost", routing::Describe(placement.costs)},
-                    {"tight_part", proxy.endpoints.tight_part},
+                    {"tight_part", proxy.endpoints.tight_fraction},
                     {"waited_ms", Between(call.arrived, now)},
                     {"left_ms", Between(now, call.deadline)},
                     {"in_flight", endpoint.in_flight},
-                    {"others", endpoint.others_in_flight},
+                    {"others", endpoint.peers_in_flight},
                     {"phase", routing::NameOf(endpoint.phase)},
                     {"tier", call.demand.tier},
                     {"route", call.route->name},
                     {"rules", call.table->version},
-                    {"after_event", call.last_event}});
+                    {"after_event", call.last_event_id}});
 }
 
-SendFacts FactsFor(const Call& call, Time now) {
-  SendFacts facts;
+ForwardMetadata FactsFor(const Call& call, Time now) {
+  ForwardMetadata facts;
   facts.endpoint_id = call.attempt->endpoint->entry.id;
   if (call.account != nullptr) facts.account = call.account->name;
-  facts.left = std::max(milliseconds(1), Between(now, call.deadline));
+  facts.time_left = std::max(milliseconds(1), Between(now, call.deadline));
   if (call.service->generates) {
     facts.priority = std::min(call.demand.tier, kLowestPriority);
   }
-  facts.resume_after = call.last_event;
+  facts.resume_after = call.last_event_id;
   return facts;
 }
 
-net::Reuse ReuseFor(const Call& call, Time now) {
-  if (routing::MayRepeat(*call.route)) return net::Reuse::kAny;
-  return routing::IsHeardLately(*call.attempt->endpoint, now)
-             ? net::Reuse::kYoung
-             : net::Reuse::kNone;
+net::ConnectionReuse ReuseFor(const Call& call, Time now) {
+  if (routing::IsRouteRepeatable(*call.route))
+    return net::ConnectionReuse::kAny;
+  return routing::IsRecentlyHeard(*call.attempt->endpoint, now)
+             ? net::ConnectionReuse::kRecentlyUsed
+             : net::ConnectionReuse::kNone;
 }
 
 net::ExchangeRequest ExchangeFor(const Proxy& proxy, const Call& call,
@@ -277,13 +282,13 @@
                         net::CountOf(request.fields, "Transfer-Encoding") == 0;
   net::ExchangeRequest exchange;
   exchange.address = call.attempt->endpoint->entry.address;
-  exchange.head = net::RequestText(
+  exchange.head = net::FormatRequestHead(
       request.method, request.target,
       proxy.dialect->endpoint_fields(request, FactsFor(call, now)),
       bodyless ? net::BodyFraming::kNone : net::BodyFraming::kLength,
       request.body.size());
   exchange.body = request.body;
-  exchange.is_head = request.method == "HEAD";
+  exchange.is_head_request = request.method == "HEAD";
   exchange.reuse = ReuseFor(call, now);
   return exchange;
 }
@@ -291,7 +296,7 @@
 net::ExchangeHandlers HandlersFor(Proxy& proxy, const CallPtr& call) {
   net::ExchangeHandlers handlers;
   handlers.may_send = [call] {
-    call->attempt->left = true;
+    call->attempt->time_left = true;
     return true;
   };
   handlers.on_head = [&proxy, call](const net::HttpAnswerHead& head) {
@@ -301,7 +306,7 @@
     OnBody(proxy, call, piece);
   };
   handlers.on_end = [&proxy, call] { OnEnd(proxy, call); };
-  handlers.on_fault = [&proxy, call](net::ExchangeFault fault,
+  handlers.on_error = [&proxy, call](net::ExchangeError fault,
                                      const std::string& detail) {
     EndAttempt(proxy, call, EndOfFault(fault), detail);
   };
@@ -320,13 +325,13 @@
   attempt.placement = placement;
   attempt.sent = now;
   routing::OnPlaced(proxy.sides, call->demand, placement, now);
-  routing::OnSent(*placement.endpoint, call->demand, attempt.number, placement,
-                  now);
+  routing::OnAttemptSent(*placement.endpoint, call->demand, attempt.number,
+                         placement, now);
   kernel::Observe(proxy.metrics, call->measures->waited, now - call->arrived);
   LogSent(proxy, *call, now);
   attempt.exchange = proxy.client->Start(ExchangeFor(proxy, *call, now),
                                          HandlersFor(proxy, call));
-  if (routing::MayRepeat(*call->route)) {
+  if (routing::IsRouteRepeatable(*call->route)) {
     SetPatience(proxy, call, PatienceFor(*call, placement));
   }
 }
--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -14,14 +14,15 @@
 std::size_t UnsentOf(const PeerNet& net) {
   return std::accumulate(net.in.begin(), net.in.end(), std::size_t{0},
                          [](std::size_t sum, const auto& peer) {
-                           return sum + peer->stream.WaitingOutput();
+                           return sum + peer->stream.PendingOutputBytes();
                          });
 }
 
 kernel::Result<const PackedChanges*> ContentAfter(Proxy& proxy, Feed feed,
                                                   std::uint64_t after) {
   KeptContent& kept = proxy.peers->content[static_cast<std::size_t>(feed)];
-  const std::uint64_t revision = routing::StateOf(proxy.catalog, feed).revision;
+  const std::uint64_t revision =
+      routing::GetFeedState(proxy.catalog, feed).revision;
   const bool troubled = IsStoreTroubled(proxy);
   if (kept.after == after && kept.revision == revision &&
       kept.store_troubled == troubled) {
@@ -42,7 +43,7 @@
 void LogTransfer(const Proxy& proxy, Feed feed, const std::string& from,
                  const PackedChanges& packed, std::uint64_t revision,
                  Time asked) {
-  if (packed.bytes.size() <= routing::kSmallChanges) return;
+  if (packed.bytes.size() <= routing::kSmallChangesBytes) return;
   kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "fetched",
                    {{"feed", routing::NameOf(feed)},
                     {"from", from},
@@ -55,18 +56,20 @@
 void OnContent(Proxy& proxy, Feed feed, const std::string& from,
                const PackedChanges& packed, Time asked) {
   auto received = UnpackChanges(packed, feed);
-  routing::FeedPull& pull = routing::PullOf(proxy.peers->pulls, feed);
+  routing::FeedFetch& pull =
+      routing::GetFeedFetch(proxy.peers->feed_fetches, feed);
   if (!received) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kWarning, "fetch-refused",
                      {{"feed", routing::NameOf(feed)},
                       {"from", from},
                       {"why", kernel::Describe(received.error())}});
     CountFetch(proxy, "refused");
-    routing::OnPullFailed(pull, from, routing::kPullSilentPause, NowOf(proxy));
+    routing::OnFetchFailed(pull, from, routing::kFetchTimeoutBackoff,
+                           NowOf(proxy));
     return;
   }
   CountFetch(proxy, "taken");
-  routing::OnPulled(pull, from);
+  routing::OnFetchDone(pull, from);
   LogTransfer(proxy, feed, from, packed, received.value().changes.revision,
               asked);
   TakeChanges(proxy, received.value().changes, Source::kPeer,
@@ -80,8 +83,9 @@
              answer.totalSize().wordCount);
   if (answer.getBusy()) {
     CountFetch(proxy, "busy");
-    routing::OnPullFailed(routing::PullOf(proxy.peers->pulls, feed), from,
-                          routing::kPullBusyPause, NowOf(proxy));
+    routing::OnFetchFailed(
+        routing::GetFeedFetch(proxy.peers->feed_fetches, feed), from,
+        routing::kFetchBusyBackoff, NowOf(proxy));
     return;
   }
   const auto bytes = answer.getPacked().getBytes();
@@ -94,14 +98,15 @@
 void Fetch(Proxy& proxy, Feed feed, const std::string& from) {
   PeerOut* peer = PeerAt(*proxy.peers, from);
   const Time now = NowOf(proxy);
-  routing::FeedPull& pull = routing::PullOf(proxy.peers->pulls, feed);
+  routing::FeedFetch& pull =
+      routing::GetFeedFetch(proxy.peers->feed_fetches, feed);
   if (peer == nullptr) {
-    routing::OnPullFailed(pull, from, routing::kPullSilentPause, now);
+    routing::OnFetchFailed(pull, from, routing::kFetchTimeoutBackoff, now);
     return;
   }
   auto request = peer->peer.fetchRequest();
   request.setFeed(static_cast<std::uint8_t>(feed));
-  request.setAfter(routing::StateOf(proxy.catalog, feed).revision);
+  request.setAfter(routing::GetFeedState(proxy.catalog, feed).revision);
   OnAsk(*peer, now);
   peer->tasks.add(
       request.send().then([&proxy, peer, feed, from, now](auto&& answer) {
@@ -116,7 +121,7 @@
 // is about to answer the same.
 bool WaitsForStore(const Proxy& proxy, Feed feed) {
   return proxy.reads_store && !IsStoreTroubled(proxy) &&
-         routing::StateOf(proxy.catalog, feed).revision == 0 &&
+         routing::GetFeedState(proxy.catalog, feed).revision == 0 &&
          NowOf(proxy) - proxy.store_from < kStoreFirst;
 }
 
@@ -125,7 +130,7 @@
 void ServeContent(Proxy& proxy, bool near, std::uint8_t feed_number,
                   std::uint64_t after,
                   exchange::Peer::FetchResults::Builder results) {
-  if (feed_number >= routing::kFeeds) {  // Of a newer node.
+  if (feed_number >= routing::kFeedCount) {  // Of a newer node.
     results.setBusy(true);
     return;
   }
@@ -139,7 +144,7 @@
     return;
   }
   const PackedChanges& packed = *content.value();
-  if (!routing::MaySend(packed.bytes.size(), UnsentOf(*proxy.peers))) {
+  if (!routing::CanSendChanges(packed.bytes.size(), UnsentOf(*proxy.peers))) {
     results.setBusy(true);
     return;
   }
@@ -158,10 +163,11 @@
   bool lacks = false;
   for (std::size_t i = 0; i < progress.size(); ++i) {
     const auto feed = static_cast<Feed>(i);
-    const std::uint64_t own = routing::StateOf(proxy.catalog, feed).revision;
+    const std::uint64_t own =
+        routing::GetFeedState(proxy.catalog, feed).revision;
     if (own == 0 && progress[i].known == 0) OnPeerKnowsNothing(proxy);
-    if (!routing::TakeProgress(proxy.catalog, feed, progress[i])) continue;
-    routing::OnOffer(proxy.peers->pulls.feeds[i], peer, near,
+    if (!routing::ApplyPeerProgress(proxy.catalog, feed, progress[i])) continue;
+    routing::OnOffer(proxy.peers->feed_fetches.feeds[i], peer, near,
                      progress[i].known);
     lacks = true;
   }
@@ -169,12 +175,12 @@
 }
 
 void FetchNews(Proxy& proxy) {
-  for (std::size_t i = 0; i < routing::kFeeds; ++i) {
+  for (std::size_t i = 0; i < routing::kFeedCount; ++i) {
     const auto feed = static_cast<Feed>(i);
     if (WaitsForStore(proxy, feed)) continue;
-    const std::string peer = routing::NextPull(
-        proxy.peers->pulls.feeds[i],
-        routing::StateOf(proxy.catalog, feed).revision, NowOf(proxy));
+    const std::string peer = routing::StartNextFetch(
+        proxy.peers->feed_fetches.feeds[i],
+        routing::GetFeedState(proxy.catalog, feed).revision, NowOf(proxy));
     if (!peer.empty()) Fetch(proxy, feed, peer);
   }
 }
--- a/proxy/src/named_limits.cc
+++ b/proxy/src/named_limits.cc
@@ -1,6 +1,5 @@
 // Limits that endpoints name: from their answers, and from peers.
-#include "egretladder/routing/named_limits.h"
-
+#include "egretladder/routing/advertised_limits.h"
 #include "news_codec_p.h"
 
 namespace egretladder::proxy {
@@ -20,16 +19,17 @@
 
 }  // namespace
 
-void NoteLimit(Proxy& proxy, const Call& call, const AnswerFacts& facts) {
+void NoteLimit(Proxy& proxy, const Call& call, const AnswerMetadata& facts) {
   routing::Endpoint& endpoint = *call.attempt->endpoint;
-  if (facts.limit_unclear) {
+  if (facts.is_limit_invalid) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "limit-unclear",
                      {{"req", call.facts.id}, {"endpoint", endpoint.entry.id}});
     return;
   }
   if (!facts.limit && !facts.sealed) return;
   const double before = endpoint.limit.per_second;
-  if (routing::OnLimit(proxy.endpoints, endpoint, facts.limit, NowOf(proxy))) {
+  if (routing::OnAdvertisedLimit(proxy.endpoints, endpoint, facts.limit,
+                                 NowOf(proxy))) {
     LogLimit(endpoint, before, "answer");
   }
 }
@@ -37,13 +37,13 @@
 void WriteLimits(Proxy& proxy, exchange::News::Builder news) {
   if (proxy.endpoints.limited.empty()) return;
   const auto told =
-      routing::LimitsToTell(proxy.endpoints, proxy.random, NowOf(proxy));
+      routing::MakeLimitGossip(proxy.endpoints, proxy.random, NowOf(proxy));
   auto list = news.initLimits(static_cast<unsigned>(told.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setEndpoint(told[i].endpoint);
     list[i].setPerSecond(told[i].per_second);
     list[i].setNamedAgoMs(static_cast<std::uint32_t>(
-        std::max<std::int64_t>(0, told[i].named_ago.count())));
+        std::max<std::int64_t>(0, told[i].advertised_ago.count())));
   }
 }
 
@@ -53,7 +53,7 @@
     const auto at = proxy.endpoints.by_id.find(id);
     if (at == proxy.endpoints.by_id.end()) continue;
     const double before = at->second->limit.per_second;
-    const bool changed = routing::HearLimit(
+    const bool changed = routing::ApplyLimitGossip(
         proxy.endpoints,
         {id, told.getPerSecond(), milliseconds(told.getNamedAgoMs())},
         NowOf(proxy));
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -12,7 +12,7 @@
 #include "egretladder/net/kj_loop.h"
 #include "egretladder/net/rpc_connection.h"
 #include "egretladder/net/socket.h"
-#include "egretladder/routing/pulls.h"
+#include "egretladder/routing/feed_fetch.h"
 #include "news_codec_p.h"
 
 namespace egretladder::proxy {
@@ -33,7 +33,7 @@
   Time opened{};
   Time asked{};                ///< Last.
   std::size_t unanswered = 0;  ///< Calls.
-  Time waits_since{};          ///< While one is unanswered.
+  Time waiting_since{};        ///< While one is unanswered.
   bool exchanging = false;     ///< An exchange is unanswered.
   bool answered = false;       ///< At least one call was.
   bool broken = false;
@@ -56,10 +56,10 @@
   net::Listener listener;
   std::map<std::string, std::unique_ptr<PeerOut>> out;
   std::vector<std::unique_ptr<net::RpcServerConnection>> in;
-  routing::Pulls pulls;
-  std::array<KeptContent, routing::kFeeds> content;
-  kernel::Watch sweep;
-  kernel::Watch soon;
+  routing::FeedFetches feed_fetches;
+  std::array<KeptContent, routing::kFeedCount> content;
+  kernel::EventWatcher sweep;
+  kernel::EventWatcher soon;
   bool soon_armed = false;
   std::size_t announce_to = 0;  ///< Peers, at the next turn.
 };
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -18,15 +18,15 @@
 #include "egretladder/proxy/dialect.h"
 #include "egretladder/proxy/limits.h"
 #include "egretladder/proxy/proxy.h"
-#include "egretladder/routing/admit.h"
-#include "egretladder/routing/after_attempt.h"
+#include "egretladder/routing/admission.h"
 #include "egretladder/routing/catalog.h"
+#include "egretladder/routing/engine_split.h"
 #include "egretladder/routing/members.h"
-#include "egretladder/routing/place.h"
-#include "egretladder/routing/readers.h"
-#include "egretladder/routing/retry_share.h"
-#include "egretladder/routing/sides.h"
-#include "egretladder/routing/stop_take.h"
+#include "egretladder/routing/next_step.h"
+#include "egretladder/routing/placement.h"
+#include "egretladder/routing/retry_budget.h"
+#include "egretladder/routing/stop_admission.h"
+#include "egretladder/routing/store_readers.h"
 #include "egretladder/routing/suspects.h"
 
 namespace egretladder::proxy {
@@ -48,13 +48,13 @@
   routing::Placement placement;
   net::HttpExchangePtr exchange;
   Time sent{};
-  bool left = false;     ///< Its first byte left this node.
-  bool started = false;  ///< The endpoint answered or sent an event.
-  bool events = false;   ///< The answer is a stream, passed on as it comes.
-  Time paced{};          ///< Begin of the present sample of its pace.
+  bool time_left = false;  ///< Its first byte left this node.
+  bool started = false;    ///< The endpoint answered or sent an event.
+  bool events = false;     ///< The answer is a stream, passed on as it comes.
+  Time paced{};            ///< Begin of the present sample of its pace.
   std::uint64_t paced_events = 0;  ///< Events in that sample so far.
   net::HttpAnswerHead head;
-  AnswerFacts facts;
+  AnswerMetadata facts;
   std::string body;  ///< Of an answer that is held whole.
   net::EventSplitter splitter;
 };
@@ -63,7 +63,7 @@
 struct Call {
   std::uint64_t number = 0;
   net::HttpCallPtr caller;
-  CallFacts facts;
+  RequestMetadata facts;
   routing::RouteTablePtr table;  ///< In force when it arrived.
   const routing::Route* route = nullptr;
   const routing::ClientAccount* account = nullptr;  ///< Null: none.
@@ -78,15 +78,15 @@
   std::uint32_t not_sent = 0;  ///< Attempts without a connection.
   std::uint32_t arrivals = 0;  ///< Sends that reached an endpoint.
   std::unique_ptr<Attempt> attempt;
-  std::string last_event;  ///< That the caller got from this node.
+  std::string last_event_id;  ///< That the caller got from this node.
   std::uint64_t events = 0;
   Time first_event_at{};
   Time last_event_at{};
   milliseconds longest_pause{};  ///< Between two events that callers got.
   bool waiting = false;
-  Time waits_since{};  ///< Since it has needed an endpoint.
-  kernel::Watch timeout;
-  kernel::Watch patience;
+  Time waiting_since{};  ///< Since it has needed an endpoint.
+  kernel::EventWatcher timeout;
+  kernel::EventWatcher patience;
   std::size_t body_bytes = 0;
   std::uint64_t fingerprint = 0;  ///< Of what it asks; 0: not needed so far.
   int refused_with = 0;     ///< Status of this node's own refusal; 0: none.
@@ -108,7 +108,7 @@
   int status = 0;
   milliseconds backoff{};
   bool waits_for_rules = false;  ///< Tried again once the rules were read.
-  kernel::Watch timer;
+  kernel::EventWatcher timer;
   std::uint64_t calls = 0;
 };
 
@@ -151,9 +151,9 @@
   routing::EndpointSet endpoints;
   routing::Members members;
   std::map<std::string, PeerLoads> peer_loads;
-  routing::SideMeter sides;
-  routing::AgreedDemand agreed;
-  std::unordered_map<std::string, routing::RetryShare> retry_shares;
+  routing::SplitDemandMeter sides;
+  routing::FleetDemand agreed;
+  std::unordered_map<std::string, routing::NodeRetryBudget> retry_shares;
   routing::Suspects suspects;
   Time store_trouble{};  ///< Last failed call; default: none.
 
@@ -163,22 +163,22 @@
   std::unique_ptr<net::HttpServer> ready;
   std::unique_ptr<net::HttpServer> directory;
   std::unique_ptr<net::HttpServer> metrics_server;
-  std::array<StoreReader, routing::kFeeds> readers;
+  std::array<StoreReader, routing::kFeedCount> readers;
   bool reads_store = false;  ///< Else other nodes read it for this one.
   /// A node that knows nothing reads the store from then on.
   Time store_from{};
   std::unordered_map<std::uint64_t, CallPtr> calls;
   std::map<std::pair<routing::Tier, std::uint64_t>, CallPtr> waiting;
-  kernel::Watch waiting_timer;
+  kernel::EventWatcher waiting_timer;
   bool waiting_timed = false;
   std::size_t body_bytes = 0;
   std::uint64_t last_number = 0;
   Time ticked{};
   Time exchanged{};  ///< When the last exchange began.
-  kernel::Watch tick;
-  kernel::Watch exchange_tick;
-  kernel::Watch standby_tick;  ///< While it reads the store.
-  kernel::Watch standby_soon;
+  kernel::EventWatcher tick;
+  kernel::EventWatcher exchange_tick;
+  kernel::EventWatcher standby_tick;  ///< While it reads the store.
+  kernel::EventWatcher standby_soon;
   bool leaving = false;
   Time leaving_since{};
   Time listened_until{};  ///< Default: it listens.
@@ -195,9 +195,9 @@
 }
 
 /// Those among whom the allowance of repeats is shared.
-inline routing::RetryFleet RetryFleetOf(Proxy& proxy) {
+inline routing::RetryBudgetFleet RetryFleetOf(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  return {routing::NodesOf(proxy.members, now),
+  return {routing::EstimateFleetSize(proxy.members, now),
           Between(proxy.members.started, now)};
 }
 
@@ -231,7 +231,7 @@
 /// True when an endpoint may run the request, or may have.
 inline bool WasSent(const Call& call) {
   return call.may_have_run > 0 ||
-         (call.attempt != nullptr && call.attempt->left);
+         (call.attempt != nullptr && call.attempt->time_left);
 }
 /// Ends the call without a whole answer, as truthfully as its state allows: a
 /// begun answer is broken off, a request that left this node may have run, any
@@ -258,13 +258,13 @@
                   const routing::Placement& placement);
 /// Stops the attempt without a decision; the endpoint sees a closed connection.
 void DropAttempt(Proxy& proxy, const CallPtr& call);
-void EndAttempt(Proxy& proxy, const CallPtr& call, routing::AttemptEnd end,
+void EndAttempt(Proxy& proxy, const CallPtr& call, routing::AttemptOutcome end,
                 const std::string& detail);
 
 // named_limits.cc
 /// Takes what an answer says of its endpoint's limit. A success without one, or
 /// a failure of the endpoint's own, says that there is none any more.
-void NoteLimit(Proxy& proxy, const Call& call, const AnswerFacts& facts);
+void NoteLimit(Proxy& proxy, const Call& call, const AnswerMetadata& facts);
 
 // answers.cc
 /// A page of the node itself: addresses, readiness, metrics.
@@ -301,7 +301,7 @@
 kernel::Result<PeerNetPtr> OpenPeers(Proxy& proxy, std::string* address);
 /// One exchange with one peer.
 void Exchange(Proxy& proxy);
-/// Tells `kToldAtOnce` peers drawn at random at once.
+/// Tells `kReaderFanout` peers drawn at random at once.
 void TellMany(Proxy& proxy);
 /// A reader shows the nodes that would take its place that it is there.
 void TellStandbys(Proxy& proxy);
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -59,7 +59,7 @@
       buffer_.get(),
       [](bufferevent* buffer, void* arg) {
         auto* self = static_cast<Wire*>(arg);
-        const std::string_view input = net::InputOf(buffer);
+        const std::string_view input = net::PendingInput(buffer);
         self->received_.append(input);
         net::Consume(buffer, input.size());
         if (self->changed_) self->changed_();
@@ -99,7 +99,7 @@
 }
 
 std::size_t Wire::unsent() const {
-  return buffer_ == nullptr ? 0 : net::WaitingOutput(buffer_.get());
+  return buffer_ == nullptr ? 0 : net::PendingOutputBytes(buffer_.get());
 }
 
 std::size_t Wire::waiting() const {
@@ -165,9 +165,9 @@
 }
 
 std::string EventBytes(int number, const std::string& data) {
-  return net::ChunkText("id: " + std::to_string(number) + "\ndata: " +
-                        (data.empty() ? "t" + std::to_string(number) : data) +
-                        "\n\n");
+  return net::FormatChunk("id: " + std::to_string(number) + "\ndata: " +
+                          (data.empty() ? "t" + std::to_string(number) : data) +
+                          "\n\n");
 }
 
 std::string EventsText(int from, int to) {
@@ -357,8 +357,8 @@
   return std::string(net::ValueOf(request.fields, "X-Id"));
 }
 
-kernel::Result<CallFacts> ReadCall(const net::HttpRequest& request) {
-  CallFacts facts;
+kernel::Result<RequestMetadata> ReadCall(const net::HttpRequest& request) {
+  RequestMetadata facts;
   facts.id = RequestId(request);
   facts.key = net::ValueOf(request.fields, "X-Key");
   facts.deadline = milliseconds(std::atoi(
@@ -367,18 +367,18 @@
 }
 
 net::HttpFields EndpointFields(const net::HttpRequest& request,
-                               const SendFacts& facts) {
+                               const ForwardMetadata& facts) {
   return {{"Host", "h"},
           {"X-Id", RequestId(request)},
           {"X-After", facts.resume_after}};
 }
 
-AnswerFacts ReadAnswer(const net::HttpAnswerHead& head) {
-  AnswerFacts facts;
+AnswerMetadata ReadAnswer(const net::HttpAnswerHead& head) {
+  AnswerMetadata facts;
   facts.id = net::ValueOf(head.fields, "X-Id");
   facts.not_run = net::CountOf(head.fields, "X-Not-Run") > 0;
   facts.sealed = net::CountOf(head.fields, "X-Seal") > 0;
-  facts.is_events =
+  facts.is_event_stream =
       net::ValueOf(head.fields, "Content-Type") == "text/event-stream";
   return facts;
 }
@@ -402,7 +402,7 @@
     .watch_target = WatchTarget,
     .read_page = ReadPage,
     .read_changes = ReadChanges,
-    .is_rules = IsRules,
+    .is_rules_key = IsRules,
     .zone_out = ZoneOut,
     .read_rules = ReadRules,
     .endpoint_id = EndpointId,
@@ -411,9 +411,9 @@
     .read_call = ReadCall,
     .endpoint_fields = EndpointFields,
     .read_answer = ReadAnswer,
-    .is_directory = IsDirectory,
+    .is_directory_request = IsDirectory,
     .directory_body = DirectoryBody,
-    .is_ready = IsReadyPage,
+    .is_readiness_request = IsReadyPage,
 };
 const kernel::PluginRegistrar<Dialect> kRegistrar("plain", kPlain);
 
@@ -430,7 +430,7 @@
                      .refusal_body = {},
                      .make_buffer = {}}) {
   if (!server_.Listen("127.0.0.1:0")) std::abort();
-  watch_end_ = kernel::Every(loop, 2s, [this] { EndWatches(); });
+  watch_end_ = kernel::RunEvery(loop, 2s, [this] { EndWatches(); });
 }
 
 void Store::Put(const std::string& key, const std::string& value) {
@@ -530,7 +530,7 @@
   add("talk", RouteKind::kStream, 2).resumable = true;
   add("tell", RouteKind::kStream, 1);
   table.accounts = {{.name = "t", .tier = {}}};
-  table.account_of_key = {{"k1", 0}, {"k2", 0}};
+  table.account_by_key = {{"k1", 0}, {"k2", 0}};
   table.has_accounts = true;
   table.limits.body_bytes = std::size_t{16} << 20U;
   return table;
@@ -544,11 +544,11 @@
          ask.body;
 }
 
-World::World() : loop(kernel::OpenLoop()), store(loop) {
+World::World() : loop(kernel::CreateLoop()), store(loop) {
   // As in the program: a connection that ended is written to.
   std::signal(SIGPIPE, SIG_IGN);
   loop.clock = {MovedNow, &ahead_};
-  wake_ = kernel::Every(loop, 2ms, [] {});
+  wake_ = kernel::RunEvery(loop, 2ms, [] {});
 }
 
 void World::Publish(routing::RouteTable table) {
