--- a/routing/include/egretladder/routing/advertised_limits.h
+++ b/routing/include/egretladder/routing/advertised_limits.h
@@ -28,7 +28,7 @@
                        std::optional<double> per_second, Time now);
 
 /// Takes what a peer told; what this node heard later stays. Returns the same.
-bool ApplyLimitGossip(EndpointSet& set, const LimitGossip& told, Time now);
+bool ApplyLimitGossip(EndpointSet& set, const LimitGossip& gossip, Time now);
 
 /// What to tell a peer: limits heard of lately, and those that ended.
 std::vector<LimitGossip> MakeLimitGossip(EndpointSet& set,
--- a/routing/include/egretladder/routing/catalog.h
+++ b/routing/include/egretladder/routing/catalog.h
@@ -50,7 +50,7 @@
   std::uint64_t revision = 0;  ///< All changes up to here are known.
   std::uint64_t changed = 0;   ///< The last change that is known.
   /// Removals up to here were forgotten: a peer that knows less needs a list.
-  std::uint64_t forgotten = 0;
+  std::uint64_t pruned_revision = 0;
 };
 
 /// All feeds.
--- a/routing/include/egretladder/routing/endpoints.h
+++ b/routing/include/egretladder/routing/endpoints.h
@@ -39,9 +39,9 @@
 /// A limit that an endpoint names for all nodes together.
 struct AdvertisedLimit {
   double per_second = 0;  ///< 0: none.
-  Time named{};           ///< When it last said so.
-  Time began{};           ///< When this node first heard of it.
-  Time ended{};           ///< When it last ceased to name one.
+  Time advertised_at{};   ///< When it last said so.
+  Time began_at{};        ///< When this node first heard of it.
+  Time ended_at{};        ///< When it last ceased to name one.
 };
 
 /// What an entry makes of an endpoint.
@@ -58,9 +58,9 @@
 /// How far this node trusts an endpoint, from its own requests only: reports
 /// and health checks may be wrong either way.
 struct EndpointHealth {
-  double failing = 0;  ///< Share of failures, smoothed.
+  double failure_rate = 0;  ///< Share of failures, smoothed.
   Time failure_rate_at{};
-  std::uint32_t refused = 0;  ///< Connections, in a row.
+  std::uint32_t refused_connections = 0;  ///< Connections, in a row.
   Time avoid_until{};
   Time full_until{};
   double drift_ms = 0;        ///< First events later than expected, smoothed.
@@ -78,7 +78,7 @@
   EndpointEntry entry;
   /// Its place among the endpoints of its service by a hash of their names,
   /// from 0 up to 1: the same at all nodes.
-  double order = 0;
+  double hash_position = 0;
   std::uint64_t name_hash = 0;
   EndpointPhase phase = EndpointPhase::kServing;
   Time lapsed_until{};
@@ -86,7 +86,7 @@
   AdvertisedLimit limit;
   Time last_limited_send{};  ///< Last request of this node under a shared rate.
   std::uint32_t in_flight = 0;  ///< Of this node.
-  Time heard_at{};              ///< Last sign of life to this node.
+  Time last_heard_at{};         ///< Last sign of life to this node.
   TokensByTier waiting_tokens{};
   double peers_in_flight = 0;
   double peers_waiting_tokens = 0;
@@ -140,7 +140,7 @@
 /// endpoint may have been unable to renew it; it is believed for `kLapseGrace`
 /// more.
 EntryChange OnEntryRemoved(EndpointSet& set, const std::string& id,
-                           bool trouble, Time now);
+                           bool store_was_unreachable, Time now);
 
 /// Another process answers at its address: it gets no more work.
 void OnWrongInstance(EndpointSet& set, const std::string& id);
@@ -149,7 +149,7 @@
 std::vector<std::string> RemoveLapsedEndpoints(EndpointSet& set, Time now);
 
 /// Zones that operators took out get nothing new.
-void SetZoneOut(EndpointSet& set, const std::string& zone, bool out);
+void SetZoneOut(EndpointSet& set, const std::string& zone, bool is_out);
 /// True while nothing may be sent to the zone.
 bool IsZoneOut(const EndpointSet& set, std::string_view zone);
 
@@ -167,9 +167,10 @@
 /// It said that it is full.
 void OnEndpointFull(Endpoint& endpoint, milliseconds pause, Time now);
 /// Its first byte came after `took`; `expected` was the estimate.
-void OnFirstByte(Endpoint& endpoint, milliseconds took, milliseconds expected);
+void OnFirstByte(Endpoint& endpoint, milliseconds elapsed,
+                 milliseconds expected);
 /// It answered whole, after `took`.
-void OnAnswered(Endpoint& endpoint, milliseconds took, Time now);
+void OnAnswered(Endpoint& endpoint, milliseconds elapsed, Time now);
 /// Share of failures as of now.
 double FailureRate(const EndpointHealth& health, Time now);
 /// How much longer than expected its oldest request waits for a first byte.
--- a/routing/include/egretladder/routing/engine_split.h
+++ b/routing/include/egretladder/routing/engine_split.h
@@ -53,14 +53,14 @@
 struct FleetDemand {
   SplitDemand mean;
   bool known = false;
-  Time pulled{};
+  Time updated_at{};
 };
 
 /// A peer told its figure.
-void MergePeerDemand(FleetDemand& agreed, const SplitDemand& told);
+void MergePeerDemand(FleetDemand& fleet, const SplitDemand& peer);
 /// FeedFetches the figure towards the demand measured here; call at each
 /// exchange.
-void FollowMeasuredDemand(FleetDemand& agreed, const SplitDemandMeter& meter,
+void FollowMeasuredDemand(FleetDemand& fleet, const SplitDemandMeter& meter,
                           Time now);
 
 /// The part of the engines that is for tight streams.
--- a/routing/include/egretladder/routing/feed_fetch.h
+++ b/routing/include/egretladder/routing/feed_fetch.h
@@ -28,7 +28,7 @@
 /// What is offered and asked of one feed.
 struct FeedFetch {
   std::vector<Offer> offers;  ///< The oldest first.
-  std::string asked;          ///< The peer that is being asked; empty: none.
+  std::string asked_peer;     ///< The peer that is being asked; empty: none.
   Time asked_at{};
 };
 
@@ -41,20 +41,21 @@
 FeedFetch& GetFeedFetch(FeedFetches& feed_fetches, Feed feed);
 
 /// A peer announced `revision`.
-void OnOffer(FeedFetch& pull, const std::string& peer, bool near,
+void OnOffer(FeedFetch& fetch, const std::string& peer, bool near,
              std::uint64_t revision);
 
 /// The peer to ask now, of those that have more than `own`; it then counts as
 /// asked. Empty: none has, one is being asked, or all were tried just now.
-std::string StartNextFetch(FeedFetch& pull, std::uint64_t own, Time now);
+std::string StartNextFetch(FeedFetch& fetch, std::uint64_t own_revision,
+                           Time now);
 
 /// The peer that was asked answered; what it sent is taken in, and what it
 /// announced before counts no longer.
-void OnFetchDone(FeedFetch& pull, const std::string& peer);
+void OnFetchDone(FeedFetch& fetch, const std::string& peer);
 
 /// It was busy, or its connection broke: it is left alone for `pause`.
-void OnFetchFailed(FeedFetch& pull, const std::string& peer, milliseconds pause,
-                   Time now);
+void OnFetchFailed(FeedFetch& fetch, const std::string& peer,
+                   milliseconds backoff, Time now);
 
 /// True when a peer may be sent `bytes` of changes while `unsent` bytes for
 /// other peers wait here.
@@ -62,6 +63,6 @@
 /// Load: a large change of the rules, for which many peers ask at once. Sent to
 /// all of them together, it fills this node's link until none has it in time,
 /// and callers' answers wait behind it.
-bool CanSendChanges(std::size_t bytes, std::size_t unsent);
+bool CanSendChanges(std::size_t bytes, std::size_t unsent_bytes);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -55,8 +55,8 @@
 /// What this node knows of another.
 struct KnownMember {
   Member member;
-  Time heard{};              ///< When its heartbeat last rose here.
-  Time met{};                ///< When this life of it was first heard of.
+  Time heartbeat_at{};       ///< When its heartbeat last rose here.
+  Time first_seen_at{};      ///< When this life of it was first heard of.
   Time last_message_at{};    ///< Last message from it; default: none.
   bool unreachable = false;  ///< Refused a connection since.
 };
@@ -68,10 +68,10 @@
   bool listens = true;  ///< This node takes connections of callers.
   std::map<std::string, KnownMember> others;
   Time started{};
-  Time exchanged{};  ///< Last time a peer answered; default: never.
+  Time last_exchange_at{};  ///< Last time a peer answered; default: never.
   std::size_t max_nodes = 1;
   Time max_nodes_at{};
-  std::size_t seed_turn = 0;
+  std::size_t exchange_count = 0;
   std::vector<std::uint32_t> unknown;  ///< As in `MemberGossip`.
 };
 
@@ -85,20 +85,22 @@
 /// Takes what a peer told. Returns those that are new or came back, for the
 /// log.
 std::vector<std::string> ApplyMemberGossip(Members& members,
-                                           const MemberGossip& told, Time now);
+                                           const MemberGossip& gossip,
+                                           Time now);
 
 /// A peer answered an exchange.
 void OnExchangeAnswered(Members& members, Time now);
 /// A message came from the node with that peer address.
-void OnPeerMessage(Members& members, const std::string& peers, Time now);
+void OnPeerMessage(Members& members, const std::string& peer_address, Time now);
 /// Nothing listens at the peer address: its process is gone until its heartbeat
 /// rises again.
-void OnPeerUnreachable(Members& members, const std::string& peers, Time now);
+void OnPeerUnreachable(Members& members, const std::string& peer_address,
+                       Time now);
 
 /// What to tell: this node, those met lately and those that the peer doesn't
 /// know (`asked`) whole, and of the others some pulses.
 MemberGossip MakeMemberGossip(const Members& members,
-                              const std::vector<std::uint32_t>& asked,
+                              const std::vector<std::uint32_t>& requested,
                               kernel::Random& random, Time now);
 
 /// Peer address for the next exchange: a member drawn at random, or now and
@@ -110,7 +112,7 @@
 ///
 /// Load: most nodes lose their power at once. The others look for each other
 /// among peers that answer nothing, while the rules change.
-std::size_t MaxPeersToTry(std::size_t hanging);
+std::size_t MaxPeersToTry(std::size_t stalled);
 
 /// How long a member may be silent, by the size of the fleet.
 std::chrono::milliseconds MaxMemberSilence(const Members& members);
--- a/routing/include/egretladder/routing/pace.h
+++ b/routing/include/egretladder/routing/pace.h
@@ -43,12 +43,12 @@
 /// Takes one sample: `pause` between two events while `running` requests ran at
 /// the engine.
 void OnEventInterval(EnginePace& engine, ServicePace& service, double running,
-                     std::chrono::duration<double, std::milli> pause);
+                     std::chrono::duration<double, std::milli> event_interval);
 
 /// A stream of the route ended whole after `events`, which took `lasted`.
 void OnStreamEnded(ServicePace& service, const std::string& route,
                    double events,
-                   std::chrono::duration<double, std::milli> lasted);
+                   std::chrono::duration<double, std::milli> duration);
 
 /// A stream of the route is still running after `events`. Those that last long
 /// are seen here seconds before they end.
--- a/routing/include/egretladder/routing/placement_cost.h
+++ b/routing/include/egretladder/routing/placement_cost.h
@@ -20,7 +20,7 @@
 struct UncachedTokens {
   double shared = 0;  ///< Parts that other requests share.
   double own = 0;
-  double Sum() const { return shared + own; }
+  double Total() const { return shared + own; }
 };
 
 /// What the terms depend on.
@@ -35,7 +35,7 @@
 };
 
 /// All terms that aren't switched off.
-PlacementCosts ComputeCosts(const CostInput& ask,
+PlacementCosts ComputeCosts(const CostInput& input,
                             const DisabledMechanisms& off);
 
 /// The name of a mechanism as settings and logs show it.
--- a/routing/include/egretladder/routing/retry_budget.h
+++ b/routing/include/egretladder/routing/retry_budget.h
@@ -35,19 +35,19 @@
 
 /// Counts of one service, in slices of the window.
 struct NodeRetryBudget {
-  struct Slice {
+  struct Bucket {
     std::int64_t number = -1;
     std::uint32_t requests = 0;
-    std::uint32_t repeats = 0;
+    std::uint32_t retries = 0;
   };
-  std::array<Slice, kRetryBuckets> slices;
+  std::array<Bucket, kRetryBuckets> buckets;
 };
 
 /// A request for the service came in.
-void OnRequest(NodeRetryBudget& share, const RetryBudgetRule& rule, Time now);
+void OnRequest(NodeRetryBudget& budget, const RetryBudgetRule& rule, Time now);
 
 /// True when one more repeat fits; counts it then.
-bool TakeRetry(NodeRetryBudget& share, const RetryBudgetRule& rule,
+bool TakeRetry(NodeRetryBudget& budget, const RetryBudgetRule& rule,
                const RetryBudgetFleet& fleet, Time now);
 
 /// Repeats that still fit.
@@ -55,7 +55,7 @@
 /// Load: every node is restarted, some several times within the window. With
 /// its whole part of the slack at each start a node uses it as often as it
 /// starts; it is earned over the window instead, but for one repeat.
-double RetriesLeft(const NodeRetryBudget& share, const RetryBudgetRule& rule,
+double RetriesLeft(const NodeRetryBudget& budget, const RetryBudgetRule& rule,
                    const RetryBudgetFleet& fleet, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/route_table.h
+++ b/routing/include/egretladder/routing/route_table.h
@@ -120,7 +120,7 @@
               const ClientAccount* account);
 
 /// The service for one request. `draw` is from 0 up to 1.
-ServiceHandle PickTarget(const Route& route, double draw);
+ServiceHandle PickTarget(const Route& route, double random_fraction);
 
 /// True when a request of the route may run a second time, whole.
 bool IsRouteRepeatable(const Route& route);
--- a/routing/include/egretladder/routing/stop_admission.h
+++ b/routing/include/egretladder/routing/stop_admission.h
@@ -40,7 +40,7 @@
 
 /// Decides.
 StopAdmissionVerdict DecideStopAdmission(const policy::StopPlan& plan,
-                                         const StopAdmissionInput& ask);
+                                         const StopAdmissionInput& input);
 
 /// Time to the whole answer at the endpoint that was found, if any, and if the
 /// answer is a long one: by its route's streams, or by what the endpoint took
--- a/routing/include/egretladder/routing/suspects.h
+++ b/routing/include/egretladder/routing/suspects.h
@@ -70,7 +70,7 @@
 std::vector<SuspectGossip> MakeSuspectGossip(const Suspects& suspects,
                                              Time now);
 /// Takes in what a peer told. The same news again change nothing, in any order.
-void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& told,
+void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& gossip,
                         Time now);
 /// Drops what is older than `kSuspectRetention`.
 void ForgetSuspects(Suspects& suspects, Time now);
--- a/routing/src/admission.cc
+++ b/routing/src/admission.cc
@@ -32,23 +32,23 @@
   return "unknown";
 }
 
-AdmissionVerdict DecideAdmission(const AdmissionInput& ask,
+AdmissionVerdict DecideAdmission(const AdmissionInput& input,
                                  const Placement& placement, Time now) {
-  const auto left =
-      std::chrono::duration<double, std::milli>(ask.deadline - now);
+  const auto time_left =
+      std::chrono::duration<double, std::milli>(input.deadline - now);
   if (placement.endpoint == nullptr) {
-    const auto part =
-        std::chrono::duration_cast<milliseconds>(ask.target * kMaxWaitRatio);
-    const auto longest =
-        std::max(part, ask.was_sent_before ? kMinResentWait : kMinWait);
-    const auto waited = now - ask.waiting_since;
+    const auto target_wait =
+        std::chrono::duration_cast<milliseconds>(input.target * kMaxWaitRatio);
+    const auto max_wait = std::max(
+        target_wait, input.was_sent_before ? kMinResentWait : kMinWait);
+    const auto waited = now - input.waiting_since;
     const auto until_room = placement.next_turn_in.value_or(milliseconds{});
-    const bool waited_enough =
-        waited >= longest || left.count() <= 0 || waited + until_room > longest;
+    const bool waited_enough = waited >= max_wait || time_left.count() <= 0 ||
+                               waited + until_room > max_wait;
     return waited_enough ? AdmissionVerdict::kNoEndpoint
                          : AdmissionVerdict::kWait;
   }
-  if (placement.expected_ms > left.count() * kMaxExpectedWaitRatio) {
+  if (placement.expected_ms > time_left.count() * kMaxExpectedWaitRatio) {
     return AdmissionVerdict::kTooLate;
   }
   return AdmissionVerdict::kSend;
@@ -56,17 +56,17 @@
 
 milliseconds RetryAfterRejection(const Placement& placement,
                                  milliseconds target, kernel::Random& random) {
-  const double least = static_cast<double>(target.count()) / 4;
-  const double spread = 0.5 + kernel::RandomFraction(random);
+  const double min_delay_ms = static_cast<double>(target.count()) / 4;
+  const double jitter = 0.5 + kernel::RandomFraction(random);
   return milliseconds(static_cast<std::int64_t>(
-      std::max(least, ExpectedRoomMs(placement)) * spread));
+      std::max(min_delay_ms, ExpectedRoomMs(placement)) * jitter));
 }
 
 milliseconds RetryAfterNotReady(milliseconds lasted, kernel::Random& random) {
   const auto wait =
       std::clamp(lasted, kMinNotReadyRetryDelay, kMaxNotReadyRetryDelay);
-  const double spread = 0.75 + kernel::RandomFraction(random) / 2;
-  return std::chrono::duration_cast<milliseconds>(wait * spread);
+  const double jitter = 0.75 + kernel::RandomFraction(random) / 2;
+  return std::chrono::duration_cast<milliseconds>(wait * jitter);
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/advertised_limits.cc
+++ b/routing/src/advertised_limits.cc
@@ -7,24 +7,24 @@
 namespace egretladder::routing {
 namespace {
 
-bool Take(EndpointSet& set, Endpoint& endpoint, double per_second, Time named,
-          Time now) {
+bool SetLimit(EndpointSet& set, Endpoint& endpoint, double per_second,
+              Time advertised_at, Time now) {
   AdvertisedLimit& limit = endpoint.limit;
   const double before = limit.per_second;
   limit.per_second = per_second > 0 ? std::clamp(per_second, kMinLimitPerSecond,
                                                  kMaxLimitPerSecond)
                                     : 0;
-  limit.named = named;
+  limit.advertised_at = advertised_at;
   if (limit.per_second > 0) set.limited.insert(endpoint.entry.id);
-  if (limit.per_second == 0 && before > 0) limit.ended = now;
-  if (limit.per_second > 0 && before == 0) limit.began = now;
+  if (limit.per_second == 0 && before > 0) limit.ended_at = now;
+  if (limit.per_second > 0 && before == 0) limit.began_at = now;
   return std::abs(limit.per_second - before) >
          kMinLoggedLimitChangeRatio * std::max(limit.per_second, before);
 }
 
 bool IsOld(const AdvertisedLimit& limit, Time now) {
-  return limit.per_second > 0 ? now - limit.named > kLimitFreshTime
-                              : now - limit.ended > kLimitFreshTime;
+  return limit.per_second > 0 ? now - limit.advertised_at > kLimitFreshTime
+                              : now - limit.ended_at > kLimitFreshTime;
 }
 
 }  // namespace
@@ -35,17 +35,17 @@
   // the end of the limit shows.
   const double limit =
       per_second ? std::max(*per_second, kMinLimitPerSecond) : 0;
-  return Take(set, endpoint, limit, now, now);
+  return SetLimit(set, endpoint, limit, now, now);
 }
 
-bool ApplyLimitGossip(EndpointSet& set, const LimitGossip& told, Time now) {
-  const auto at = set.by_id.find(told.endpoint);
+bool ApplyLimitGossip(EndpointSet& set, const LimitGossip& gossip, Time now) {
+  const auto at = set.by_id.find(gossip.endpoint);
   if (at == set.by_id.end()) return false;
-  if (!std::isfinite(told.per_second) || told.per_second < 0) return false;
-  if (told.advertised_ago > kLimitFreshTime) return false;
-  const Time named = now - told.advertised_ago;
-  if (named <= at->second->limit.named) return false;
-  return Take(set, *at->second, told.per_second, named, now);
+  if (!std::isfinite(gossip.per_second) || gossip.per_second < 0) return false;
+  if (gossip.advertised_ago > kLimitFreshTime) return false;
+  const Time advertised_at = now - gossip.advertised_ago;
+  if (advertised_at <= at->second->limit.advertised_at) return false;
+  return SetLimit(set, *at->second, gossip.per_second, advertised_at, now);
 }
 
 std::vector<LimitGossip> MakeLimitGossip(EndpointSet& set,
@@ -54,19 +54,20 @@
     const auto at = set.by_id.find(id);
     return at == set.by_id.end() || IsOld(at->second->limit, now);
   });
-  std::vector<LimitGossip> told;
+  std::vector<LimitGossip> gossip;
   for (const std::string& id : set.limited) {
     const AdvertisedLimit& limit = set.by_id[id]->limit;
-    told.push_back(
+    gossip.push_back(
         {id, limit.per_second,
-         std::chrono::duration_cast<milliseconds>(now - limit.named)});
+         std::chrono::duration_cast<milliseconds>(now - limit.advertised_at)});
   }
   // Of many, others at each turn.
-  while (told.size() > kMaxLimitsPerExchange) {
-    std::swap(told[kernel::RandomBelow(random, told.size())], told.back());
-    told.pop_back();
+  while (gossip.size() > kMaxLimitsPerExchange) {
+    std::swap(gossip[kernel::RandomBelow(random, gossip.size())],
+              gossip.back());
+    gossip.pop_back();
   }
-  return told;
+  return gossip;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/catalog.cc
+++ b/routing/src/catalog.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // True when it is news.
-bool Take(FeedState& feed, const Item& item, Time now) {
+bool ApplyItem(FeedState& feed, const Item& item, Time now) {
   const auto at = feed.items.find(item.key);
   if (at != feed.items.end() && at->second.rev >= item.rev) return false;
   if (at == feed.items.end() && item.removed) {
@@ -43,30 +43,30 @@
 
 std::vector<Item> Apply(Catalog& catalog, const Changes& changes, Time now) {
   FeedState& feed = GetFeedState(catalog, changes.feed);
-  std::vector<Item> news;
+  std::vector<Item> changed_items;
   for (const Item& item : changes.items) {
     feed.changed = std::max(feed.changed, item.rev);
-    if (Take(feed, item, now)) news.push_back(item);
+    if (ApplyItem(feed, item, now)) changed_items.push_back(item);
   }
   if (changes.whole) {
     std::set<std::string_view> named;
     for (const Item& item : changes.items) named.insert(item.key);
-    std::vector<Item> gone;
+    std::vector<Item> removed_items;
     for (const auto& [key, item] : feed.items) {
       if (item.removed || item.rev > changes.revision || named.contains(key)) {
         continue;
       }
-      gone.push_back({key, {}, changes.revision, true});
+      removed_items.push_back({key, {}, changes.revision, true});
     }
-    for (const Item& item : gone) {
+    for (const Item& item : removed_items) {
       feed.changed = std::max(feed.changed, item.rev);
       feed.items[item.key] = item;
       feed.removed_at[item.key] = now;
-      news.push_back(item);
+      changed_items.push_back(item);
     }
   }
   feed.revision = std::max(feed.revision, changes.revision);
-  return news;
+  return changed_items;
 }
 
 Changes ChangesSince(const Catalog& catalog, Feed feed,
@@ -76,7 +76,7 @@
   changes.feed = feed;
   changes.revision = state.revision;
   if (revision >= state.revision) return changes;
-  changes.whole = revision < state.forgotten || revision == 0;
+  changes.whole = revision < state.pruned_revision || revision == 0;
   for (const auto& [key, item] : state.items) {
     if (changes.whole ? !item.removed : item.rev > revision) {
       changes.items.push_back(item);
@@ -103,7 +103,7 @@
     std::erase_if(feed.removed_at, [&feed, now](const auto& entry) {
       if (now - entry.second < kTombstoneRetention) return false;
       const auto at = feed.items.find(entry.first);
-      feed.forgotten = std::max(feed.forgotten, at->second.rev);
+      feed.pruned_revision = std::max(feed.pruned_revision, at->second.rev);
       feed.items.erase(at);
       return true;
     });
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -14,7 +14,7 @@
 void SetHashPositions(const std::vector<EndpointPtr>& by_hash) {
   const double size = static_cast<double>(by_hash.size());
   for (std::size_t i = 0; i < by_hash.size(); ++i) {
-    by_hash[i]->order = static_cast<double>(i) / size;
+    by_hash[i]->hash_position = static_cast<double>(i) / size;
   }
 }
 
@@ -53,14 +53,14 @@
       entry.leaving ? EndpointPhase::kLeaving : EndpointPhase::kServing;
   endpoint->cold_until = now + entry.cold_left;
   // What peers heard of an earlier process doesn't count.
-  endpoint->limit.named = now;
+  endpoint->limit.advertised_at = now;
   AddToService(set, endpoint);
   set.by_id[entry.id] = std::move(endpoint);
   return EntryChange::kNew;
 }
 
-double Smooth(double before, double newest) {
-  return before + kNewestAnswerWeight * (newest - before);
+double Smooth(double average, double sample) {
+  return average + kNewestAnswerWeight * (sample - average);
 }
 
 }  // namespace
@@ -132,15 +132,15 @@
 }
 
 EntryChange OnEntryRemoved(EndpointSet& set, const std::string& id,
-                           bool trouble, Time now) {
+                           bool store_was_unreachable, Time now) {
   const auto at = set.by_id.find(id);
   if (at == set.by_id.end()) return EntryChange::kNone;
-  if (trouble && at->second->phase == EndpointPhase::kServing) {
+  if (store_was_unreachable && at->second->phase == EndpointPhase::kServing) {
     at->second->phase = EndpointPhase::kLapsed;
     at->second->lapsed_until = now + kLapseGrace;
     return EntryChange::kLapsed;
   }
-  if (trouble && at->second->phase == EndpointPhase::kLapsed) {
+  if (store_was_unreachable && at->second->phase == EndpointPhase::kLapsed) {
     return EntryChange::kNone;
   }
   Remove(set, id);
@@ -152,19 +152,19 @@
 }
 
 std::vector<std::string> RemoveLapsedEndpoints(EndpointSet& set, Time now) {
-  std::vector<std::string> gone;
+  std::vector<std::string> expired;
   for (const auto& [id, endpoint] : set.by_id) {
     if (endpoint->phase == EndpointPhase::kLapsed &&
         endpoint->lapsed_until <= now) {
-      gone.push_back(id);
+      expired.push_back(id);
     }
   }
-  for (const std::string& id : gone) Remove(set, id);
-  return gone;
+  for (const std::string& id : expired) Remove(set, id);
+  return expired;
 }
 
-void SetZoneOut(EndpointSet& set, const std::string& zone, bool out) {
-  set.zones_out[zone] = out;
+void SetZoneOut(EndpointSet& set, const std::string& zone, bool is_out) {
+  set.zones_out[zone] = is_out;
 }
 
 bool IsZoneOut(const EndpointSet& set, std::string_view zone) {
@@ -179,45 +179,49 @@
   return at != set.service_paces.end() ? at->second : kNone;
 }
 
-void OnSignOfLife(Endpoint& endpoint, Time now) { endpoint.heard_at = now; }
+void OnSignOfLife(Endpoint& endpoint, Time now) {
+  endpoint.last_heard_at = now;
+}
 
 bool IsRecentlyHeard(const Endpoint& endpoint, Time now) {
-  return now - endpoint.heard_at < kRecentlyHeardWindow;
+  return now - endpoint.last_heard_at < kRecentlyHeardWindow;
 }
 
 void OnConnectFailed(Endpoint& endpoint, Time now) {
   EndpointHealth& health = endpoint.health;
-  constexpr std::uint32_t kDoublings = 5;
+  constexpr std::uint32_t kMaxDoublings = 5;
   const auto pause =
-      kInitialConnectBackoff * (1U << std::min(health.refused, kDoublings));
+      kInitialConnectBackoff *
+      (1U << std::min(health.refused_connections, kMaxDoublings));
   health.avoid_until = now + std::min<milliseconds>(pause, kMaxConnectBackoff);
-  ++health.refused;
+  ++health.refused_connections;
 }
 
 void OnAttemptFailed(Endpoint& endpoint, Time now) {
   EndpointHealth& health = endpoint.health;
-  health.failing = Smooth(FailureRate(health, now), 1);
+  health.failure_rate = Smooth(FailureRate(health, now), 1);
   health.failure_rate_at = now;
 }
 
 void OnEndpointFull(Endpoint& endpoint, milliseconds pause, Time now) {
   endpoint.health.full_until = now + pause;
-  endpoint.health.refused = 0;
+  endpoint.health.refused_connections = 0;
 }
 
-void OnFirstByte(Endpoint& endpoint, milliseconds took, milliseconds expected) {
-  const double late =
-      std::max(0.0, static_cast<double>((took - expected).count()));
-  endpoint.health.drift_ms = Smooth(endpoint.health.drift_ms, late);
+void OnFirstByte(Endpoint& endpoint, milliseconds elapsed,
+                 milliseconds expected) {
+  const double late_ms =
+      std::max(0.0, static_cast<double>((elapsed - expected).count()));
+  endpoint.health.drift_ms = Smooth(endpoint.health.drift_ms, late_ms);
 }
 
-void OnAnswered(Endpoint& endpoint, milliseconds took, Time now) {
+void OnAnswered(Endpoint& endpoint, milliseconds elapsed, Time now) {
   EndpointHealth& health = endpoint.health;
-  health.refused = 0;
+  health.refused_connections = 0;
   health.avoid_until = {};
-  health.failing = Smooth(FailureRate(health, now), 0);
+  health.failure_rate = Smooth(FailureRate(health, now), 0);
   health.failure_rate_at = now;
-  const auto ms = static_cast<double>(took.count());
+  const auto ms = static_cast<double>(elapsed.count());
   health.mean_answer_ms =
       health.mean_answer_ms == 0 ? ms : Smooth(health.mean_answer_ms, ms);
 }
@@ -225,7 +229,7 @@
 double FailureRate(const EndpointHealth& health, Time now) {
   const auto age =
       std::chrono::duration<double, std::milli>(now - health.failure_rate_at);
-  return health.failing *
+  return health.failure_rate *
          std::exp2(-age.count() /
                    static_cast<double>(kFailureHalfLife.count()));
 }
@@ -246,12 +250,12 @@
   for (const std::uint64_t part : parts) endpoint.parts[part] = now;
   if (endpoint.parts.size() <= kMaxPromptParts) return;
   // Rare: drops the older half in one go.
-  std::vector<Time> uses;
-  uses.reserve(endpoint.parts.size());
-  for (const auto& [part, used] : endpoint.parts) uses.push_back(used);
+  std::vector<Time> last_uses;
+  last_uses.reserve(endpoint.parts.size());
+  for (const auto& [part, used] : endpoint.parts) last_uses.push_back(used);
   const auto middle =
-      uses.begin() + static_cast<std::ptrdiff_t>(uses.size() / 2);
-  std::nth_element(uses.begin(), middle, uses.end());
+      last_uses.begin() + static_cast<std::ptrdiff_t>(last_uses.size() / 2);
+  std::nth_element(last_uses.begin(), middle, last_uses.end());
   std::erase_if(endpoint.parts, [oldest = *middle](const auto& entry) {
     return entry.second < oldest;
   });
--- a/routing/src/engine_split.cc
+++ b/routing/src/engine_split.cc
@@ -28,49 +28,51 @@
   if (!demand.tight && !is_long) return;
   meter.demand = CurrentDemand(meter, now);
   meter.at = now;
-  const double engines = EngineBusyMs(demand, placement) /
-                         static_cast<double>(kSplitDemandTimeConstant.count());
+  const double busy_engines =
+      EngineBusyMs(demand, placement) /
+      static_cast<double>(kSplitDemandTimeConstant.count());
   if (demand.tight) {
-    meter.demand.tight += engines * kTightDemandFactor;
+    meter.demand.tight += busy_engines * kTightDemandFactor;
   } else {
-    meter.demand.rest += engines;
+    meter.demand.rest += busy_engines;
   }
 }
 
 SplitDemand CurrentDemand(const SplitDemandMeter& meter, Time now) {
-  const double left = DecayFactor(meter.at, now);
-  return {meter.demand.tight * left, meter.demand.rest * left};
+  const double factor = DecayFactor(meter.at, now);
+  return {meter.demand.tight * factor, meter.demand.rest * factor};
 }
 
-void MergePeerDemand(FleetDemand& agreed, const SplitDemand& told) {
-  if (told.tight + told.rest <= 0) return;  // It knows nothing yet.
-  if (!agreed.known) {
-    agreed.mean = told;
-    agreed.known = true;
+void MergePeerDemand(FleetDemand& fleet, const SplitDemand& peer) {
+  if (peer.tight + peer.rest <= 0) return;  // It knows nothing yet.
+  if (!fleet.known) {
+    fleet.mean = peer;
+    fleet.known = true;
     return;
   }
-  agreed.mean.tight = (agreed.mean.tight + told.tight) / 2;
-  agreed.mean.rest = (agreed.mean.rest + told.rest) / 2;
+  fleet.mean.tight = (fleet.mean.tight + peer.tight) / 2;
+  fleet.mean.rest = (fleet.mean.rest + peer.rest) / 2;
 }
 
-void FollowMeasuredDemand(FleetDemand& agreed, const SplitDemandMeter& meter,
+void FollowMeasuredDemand(FleetDemand& fleet, const SplitDemandMeter& meter,
                           Time now) {
   const SplitDemand own = CurrentDemand(meter, now);
-  if (!agreed.known) {
-    agreed.known = own.tight + own.rest > 0;
-    agreed.mean = own;
-    agreed.pulled = now;
+  if (!fleet.known) {
+    fleet.known = own.tight + own.rest > 0;
+    fleet.mean = own;
+    fleet.updated_at = now;
     return;
   }
   // A figure taken from a peer counts from here on.
-  if (agreed.pulled == Time{}) agreed.pulled = now;
-  const std::chrono::duration<double, std::milli> since = now - agreed.pulled;
-  agreed.pulled = now;
-  const double part =
+  if (fleet.updated_at == Time{}) fleet.updated_at = now;
+  const std::chrono::duration<double, std::milli> since =
+      now - fleet.updated_at;
+  fleet.updated_at = now;
+  const double weight =
       1 - std::exp(-since.count() /
                    static_cast<double>(kFleetDemandTimeConstant.count()));
-  agreed.mean.tight += part * (own.tight - agreed.mean.tight);
-  agreed.mean.rest += part * (own.rest - agreed.mean.rest);
+  fleet.mean.tight += weight * (own.tight - fleet.mean.tight);
+  fleet.mean.rest += weight * (own.rest - fleet.mean.rest);
 }
 
 double TightFraction(const SplitDemand& mean) {
@@ -86,7 +88,7 @@
 bool IsOnDemandSide(const Endpoint& endpoint, const Demand& demand,
                     double tight_fraction) {
   if (!demand.tight && !IsLongPrompt(demand)) return true;
-  return (endpoint.order < tight_fraction) == demand.tight;
+  return (endpoint.hash_position < tight_fraction) == demand.tight;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/feed_fetch.cc
+++ b/routing/src/feed_fetch.cc
@@ -5,11 +5,11 @@
 namespace egretladder::routing {
 namespace {
 
-Offer* FindOffer(FeedFetch& pull, const std::string& peer) {
-  const auto at =
-      std::find_if(pull.offers.begin(), pull.offers.end(),
+Offer* FindOffer(FeedFetch& fetch, const std::string& peer) {
+  const auto offer_at =
+      std::find_if(fetch.offers.begin(), fetch.offers.end(),
                    [&peer](const Offer& offer) { return offer.peer == peer; });
-  return at == pull.offers.end() ? nullptr : &*at;
+  return offer_at == fetch.offers.end() ? nullptr : &*offer_at;
 }
 
 // Near ones first; among these the newest, whose link is the least likely to be
@@ -25,49 +25,53 @@
   return feed_fetches.feeds[static_cast<std::size_t>(feed)];
 }
 
-void OnOffer(FeedFetch& pull, const std::string& peer, bool near,
+void OnOffer(FeedFetch& fetch, const std::string& peer, bool near,
              std::uint64_t revision) {
-  if (Offer* offer = FindOffer(pull, peer)) {
+  if (Offer* offer = FindOffer(fetch, peer)) {
     offer->revision = std::max(offer->revision, revision);
     return;
   }
-  if (pull.offers.size() >= kMaxOffers) pull.offers.erase(pull.offers.begin());
-  pull.offers.push_back({peer, near, revision, {}});
+  if (fetch.offers.size() >= kMaxOffers)
+    fetch.offers.erase(fetch.offers.begin());
+  fetch.offers.push_back({peer, near, revision, {}});
 }
 
-std::string StartNextFetch(FeedFetch& pull, std::uint64_t own, Time now) {
-  std::erase_if(pull.offers,
-                [own](const Offer& offer) { return offer.revision <= own; });
-  if (!pull.asked.empty()) {
-    if (now - pull.asked_at < kFetchTimeout) return {};
-    const std::string silent = pull.asked;
-    OnFetchFailed(pull, silent, kFetchTimeoutBackoff, now);
+std::string StartNextFetch(FeedFetch& fetch, std::uint64_t own_revision,
+                           Time now) {
+  std::erase_if(fetch.offers, [own_revision](const Offer& offer) {
+    return offer.revision <= own_revision;
+  });
+  if (!fetch.asked_peer.empty()) {
+    if (now - fetch.asked_at < kFetchTimeout) return {};
+    const std::string silent_peer = fetch.asked_peer;
+    OnFetchFailed(fetch, silent_peer, kFetchTimeoutBackoff, now);
   }
-  const Offer* best = nullptr;
-  for (const Offer& offer : pull.offers) {
+  const Offer* best_offer = nullptr;
+  for (const Offer& offer : fetch.offers) {
     if (offer.not_before > now) continue;
-    if (best == nullptr || IsBetter(offer, *best)) best = &offer;
+    if (best_offer == nullptr || IsBetter(offer, *best_offer))
+      best_offer = &offer;
   }
-  if (best == nullptr) return {};
-  pull.asked = best->peer;
-  pull.asked_at = now;
-  return pull.asked;
+  if (best_offer == nullptr) return {};
+  fetch.asked_peer = best_offer->peer;
+  fetch.asked_at = now;
+  return fetch.asked_peer;
 }
 
-void OnFetchDone(FeedFetch& pull, const std::string& peer) {
-  if (pull.asked == peer) pull.asked.clear();
-  std::erase_if(pull.offers,
+void OnFetchDone(FeedFetch& fetch, const std::string& peer) {
+  if (fetch.asked_peer == peer) fetch.asked_peer.clear();
+  std::erase_if(fetch.offers,
                 [&peer](const Offer& offer) { return offer.peer == peer; });
 }
 
-void OnFetchFailed(FeedFetch& pull, const std::string& peer, milliseconds pause,
-                   Time now) {
-  if (pull.asked == peer) pull.asked.clear();
-  if (Offer* offer = FindOffer(pull, peer)) offer->not_before = now + pause;
+void OnFetchFailed(FeedFetch& fetch, const std::string& peer,
+                   milliseconds backoff, Time now) {
+  if (fetch.asked_peer == peer) fetch.asked_peer.clear();
+  if (Offer* offer = FindOffer(fetch, peer)) offer->not_before = now + backoff;
 }
 
-bool CanSendChanges(std::size_t bytes, std::size_t unsent) {
-  return bytes <= kSmallChangesBytes || unsent < kMaxPeerBacklogBytes;
+bool CanSendChanges(std::size_t bytes, std::size_t unsent_bytes) {
+  return bytes <= kSmallChangesBytes || unsent_bytes < kMaxPeerBacklogBytes;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -6,18 +6,18 @@
 namespace egretladder::routing {
 namespace {
 
-bool IsNewer(const Member& told, const Member& known) {
-  if (told.incarnation != known.incarnation) {
-    return told.incarnation > known.incarnation;
+bool IsNewer(const Member& reported, const Member& known) {
+  if (reported.incarnation != known.incarnation) {
+    return reported.incarnation > known.incarnation;
   }
-  return told.heartbeat > known.heartbeat;
+  return reported.heartbeat > known.heartbeat;
 }
 
 // A life under this node's name that others take for newer than this one: an
 // earlier process, or this one before the time of day went back.
-void OutbidOwnIncarnation(Members& members, const Member& told) {
+void OutbidOwnIncarnation(Members& members, const Member& reported) {
   Member& self = members.self;
-  if (IsNewer(told, self)) self.incarnation = told.incarnation + 1;
+  if (IsNewer(reported, self)) self.incarnation = reported.incarnation + 1;
 }
 
 std::uint32_t LowHalf(std::uint64_t number) {
@@ -29,31 +29,33 @@
 }
 
 // Takes what is newer of a node that is known. A new life is met anew.
-void Refresh(Members& members, KnownMember& known, const Member& told, Time now,
-             std::vector<std::string>& news) {
-  if (!IsNewer(told, known.member)) return;
-  if (!IsMemberAvailable(members, known, now)) news.push_back(told.node);
-  const bool same_life = told.incarnation == known.member.incarnation;
-  if (!same_life) known = {.met = now};
-  known.member = told;
-  known.heard = now;
+void UpdateIfNewer(Members& members, KnownMember& known, const Member& reported,
+                   Time now, std::vector<std::string>& newly_available) {
+  if (!IsNewer(reported, known.member)) return;
+  if (!IsMemberAvailable(members, known, now))
+    newly_available.push_back(reported.node);
+  const bool same_life = reported.incarnation == known.member.incarnation;
+  if (!same_life) known = {.first_seen_at = now};
+  known.member = reported;
+  known.heartbeat_at = now;
   known.unreachable = false;
 }
 
-void ApplyMember(Members& members, const Member& told, Time now,
-                 std::vector<std::string>& news) {
-  std::erase(members.unknown, NodeKey(told.node));
-  if (told.node == members.self.node) {
-    OutbidOwnIncarnation(members, told);
+void ApplyMember(Members& members, const Member& reported, Time now,
+                 std::vector<std::string>& newly_available) {
+  std::erase(members.unknown, NodeKey(reported.node));
+  if (reported.node == members.self.node) {
+    OutbidOwnIncarnation(members, reported);
     return;
   }
-  const auto at = members.others.find(told.node);
+  const auto at = members.others.find(reported.node);
   if (at != members.others.end()) {
-    Refresh(members, at->second, told, now, news);
+    UpdateIfNewer(members, at->second, reported, now, newly_available);
     return;
   }
-  members.others[told.node] = {.member = told, .heard = now, .met = now};
-  news.push_back(told.node);
+  members.others[reported.node] = {
+      .member = reported, .heartbeat_at = now, .first_seen_at = now};
+  newly_available.push_back(reported.node);
 }
 
 Member WithHeartbeat(Member member, const MemberHeartbeat& pulse) {
@@ -101,16 +103,17 @@
 }
 
 std::vector<std::string> ApplyMemberGossip(Members& members,
-                                           const MemberGossip& told, Time now) {
-  std::vector<std::string> news;
-  for (const Member& member : told.members) {
-    ApplyMember(members, member, now, news);
+                                           const MemberGossip& gossip,
+                                           Time now) {
+  std::vector<std::string> newly_available;
+  for (const Member& member : gossip.members) {
+    ApplyMember(members, member, now, newly_available);
   }
   std::unordered_map<std::uint32_t, KnownMember*> by_key;
   for (auto& [node, known] : members.others)
     by_key.emplace(NodeKey(node), &known);
   const std::uint32_t self = NodeKey(members.self.node);
-  for (const MemberHeartbeat& pulse : told.pulses) {
+  for (const MemberHeartbeat& pulse : gossip.pulses) {
     const auto at = by_key.find(pulse.node);
     const Member* known = at != by_key.end()   ? &at->second->member
                           : pulse.node == self ? &members.self
@@ -120,76 +123,84 @@
     if (known == nullptr || LowHalf(known->incarnation) != pulse.life) {
       AddUnknown(members, pulse.node);
     } else if (at != by_key.end()) {
-      Refresh(members, *at->second, WithHeartbeat(*known, pulse), now, news);
+      UpdateIfNewer(members, *at->second, WithHeartbeat(*known, pulse), now,
+                    newly_available);
     } else {
       OutbidOwnIncarnation(members, WithHeartbeat(*known, pulse));
     }
   }
-  return news;
+  return newly_available;
 }
 
-void OnExchangeAnswered(Members& members, Time now) { members.exchanged = now; }
+void OnExchangeAnswered(Members& members, Time now) {
+  members.last_exchange_at = now;
+}
 
-void OnPeerMessage(Members& members, const std::string& peers, Time now) {
+void OnPeerMessage(Members& members, const std::string& peer_address,
+                   Time now) {
   for (auto& [node, known] : members.others) {
-    if (known.member.peers == peers) known.last_message_at = now;
+    if (known.member.peers == peer_address) known.last_message_at = now;
   }
 }
 
-void OnPeerUnreachable(Members& members, const std::string& peers,
+void OnPeerUnreachable(Members& members, const std::string& peer_address,
                        Time /*now*/) {
   for (auto& [node, known] : members.others) {
-    if (known.member.peers == peers) known.unreachable = true;
+    if (known.member.peers == peer_address) known.unreachable = true;
   }
 }
 
 MemberGossip MakeMemberGossip(const Members& members,
-                              const std::vector<std::uint32_t>& asked,
+                              const std::vector<std::uint32_t>& requested,
                               kernel::Random& random, Time now) {
-  std::vector<const KnownMember*> there;
+  std::vector<const KnownMember*> reachable;
   for (const auto& [node, known] : members.others) {
-    // What is silent is not told: it would look new to a node that starts.
-    if (now - known.heard < MaxMemberSilence(members) && !known.unreachable) {
-      there.push_back(&known);
+    // What is silent is not gossip: it would look new to a node that starts.
+    if (now - known.heartbeat_at < MaxMemberSilence(members) &&
+        !known.unreachable) {
+      reachable.push_back(&known);
     }
   }
-  Shuffle(there, random);
-  MemberGossip told;
-  told.members = {members.self};
-  told.unknown = members.unknown;
-  for (const KnownMember* known : there) {
-    const bool is_asked = std::find(asked.begin(), asked.end(),
-                                    NodeKey(known->member.node)) != asked.end();
-    if ((is_asked || now - known->met < kNewMemberTime) &&
-        told.members.size() <= kMaxMembersPerExchange) {
-      told.members.push_back(known->member);
-    } else if (told.pulses.size() < kMaxHeartbeatsPerExchange) {
-      told.pulses.push_back(MakeHeartbeat(known->member));
+  Shuffle(reachable, random);
+  MemberGossip gossip;
+  gossip.members = {members.self};
+  gossip.unknown = members.unknown;
+  for (const KnownMember* known : reachable) {
+    const bool is_requested =
+        std::find(requested.begin(), requested.end(),
+                  NodeKey(known->member.node)) != requested.end();
+    if ((is_requested || now - known->first_seen_at < kNewMemberTime) &&
+        gossip.members.size() <= kMaxMembersPerExchange) {
+      gossip.members.push_back(known->member);
+    } else if (gossip.pulses.size() < kMaxHeartbeatsPerExchange) {
+      gossip.pulses.push_back(MakeHeartbeat(known->member));
     }
   }
-  return told;
+  return gossip;
 }
 
 std::string PickExchangePeer(Members& members, kernel::Random& random,
                              Time now) {
   std::vector<std::string> addresses;
-  std::vector<std::string> near;
+  std::vector<std::string> same_zone;
   for (const auto& [node, known] : members.others) {
     if (!IsMemberAvailable(members, known, now) && !known.member.leaving)
       continue;
     addresses.push_back(known.member.peers);
     if (known.member.zone == members.self.zone) {
-      near.push_back(known.member.peers);
+      same_zone.push_back(known.member.peers);
     }
   }
-  const bool stays = !IsSmallFleet(members) && !near.empty() &&
-                     kernel::RandomBelow(random, kExchangesPerOtherZone) != 0;
-  if (stays) addresses = std::move(near);
+  const bool stay_in_zone =
+      !IsSmallFleet(members) && !same_zone.empty() &&
+      kernel::RandomBelow(random, kExchangesPerOtherZone) != 0;
+  if (stay_in_zone) addresses = std::move(same_zone);
   // Every eighth turn, and whenever nobody is there, a seed: two parts of a
   // fleet that started apart meet there.
-  constexpr std::size_t kSeedTurns = 8;
-  const std::size_t turn = members.seed_turn++;
-  if ((addresses.empty() || turn % kSeedTurns == 0) && !members.seeds.empty()) {
+  constexpr std::size_t kExchangesPerSeed = 8;
+  const std::size_t exchange = members.exchange_count++;
+  if ((addresses.empty() || exchange % kExchangesPerSeed == 0) &&
+      !members.seeds.empty()) {
     const std::string& seed =
         members.seeds[kernel::RandomBelow(random, members.seeds.size())];
     if (seed != members.self.peers) return seed;
@@ -198,8 +209,8 @@
   return addresses[kernel::RandomBelow(random, addresses.size())];
 }
 
-std::size_t MaxPeersToTry(std::size_t hanging) {
-  return std::min(1 + hanging, kMaxPeersPerTurn);
+std::size_t MaxPeersToTry(std::size_t stalled) {
+  return std::min(1 + stalled, kMaxPeersPerTurn);
 }
 
 bool IsSmallFleet(const Members& members) {
@@ -214,28 +225,29 @@
 bool IsMemberAvailable(const Members& members, const KnownMember& known,
                        Time now) {
   return !known.member.leaving && !known.unreachable &&
-         now - known.heard < MaxMemberSilence(members);
+         now - known.heartbeat_at < MaxMemberSilence(members);
 }
 
 std::vector<std::string> DirectoryFor(const Members& members,
                                       std::string_view zone,
                                       kernel::Random& random, Time now) {
-  std::vector<const Member*> there;
-  if (!members.self.leaving) there.push_back(&members.self);
+  std::vector<const Member*> available;
+  if (!members.self.leaving) available.push_back(&members.self);
   for (const auto& [node, known] : members.others) {
-    if (IsMemberAvailable(members, known, now)) there.push_back(&known.member);
+    if (IsMemberAvailable(members, known, now))
+      available.push_back(&known.member);
   }
-  if (there.empty() && members.listens) there.push_back(&members.self);
-  Shuffle(there, random);
-  if (there.size() > kMaxDirectoryNodes) {
+  if (available.empty() && members.listens) available.push_back(&members.self);
+  Shuffle(available, random);
+  if (available.size() > kMaxDirectoryNodes) {
     std::stable_partition(
-        there.begin(), there.end(),
+        available.begin(), available.end(),
         [zone](const Member* member) { return member->zone == zone; });
-    there.resize(kMaxDirectoryNodes);
+    available.resize(kMaxDirectoryNodes);
   }
   std::vector<std::string> addresses;
-  addresses.reserve(there.size());
-  for (const Member* member : there) addresses.push_back(member->callers);
+  addresses.reserve(available.size());
+  for (const Member* member : available) addresses.push_back(member->callers);
   return addresses;
 }
 
@@ -245,39 +257,40 @@
                     [&members, now](const auto& entry) {
                       return IsMemberAvailable(members, entry.second, now);
                     });
-  const std::size_t seen = 1 + static_cast<std::size_t>(others);
-  if (seen >= members.max_nodes ||
+  const std::size_t nodes = 1 + static_cast<std::size_t>(others);
+  if (nodes >= members.max_nodes ||
       now - members.max_nodes_at > kFleetSizeRetention) {
-    members.max_nodes = seen;
+    members.max_nodes = nodes;
     members.max_nodes_at = now;
   }
-  constexpr std::chrono::seconds kSettled{3};
-  if (now - members.started < kSettled || members.exchanged == Time{}) {
+  constexpr std::chrono::seconds kSettlingTime{3};
+  if (now - members.started < kSettlingTime ||
+      members.last_exchange_at == Time{}) {
     return std::max(members.max_nodes, kDefaultFleetSize);
   }
   return members.max_nodes;
 }
 
 FleetSnapshot MakeFleetSnapshot(Members& members, Time now) {
-  FleetSnapshot part;
-  part.nodes = EstimateFleetSize(members, now);
-  part.self = members.self.node;
-  part.zone = members.self.zone;
-  part.names.push_back(members.self.node);
+  FleetSnapshot fleet;
+  fleet.nodes = EstimateFleetSize(members, now);
+  fleet.self = members.self.node;
+  fleet.zone = members.self.zone;
+  fleet.names.push_back(members.self.node);
   for (const auto& [node, known] : members.others) {
-    if (IsMemberAvailable(members, known, now)) part.names.push_back(node);
+    if (IsMemberAvailable(members, known, now)) fleet.names.push_back(node);
   }
-  return part;
+  return fleet;
 }
 
 std::vector<std::string> ForgetMembers(Members& members, Time now) {
-  std::vector<std::string> gone;
+  std::vector<std::string> forgotten;
   std::erase_if(members.others, [&](const auto& entry) {
-    if (now - entry.second.heard < kMemberRetention) return false;
-    gone.push_back(entry.first);
+    if (now - entry.second.heartbeat_at < kMemberRetention) return false;
+    forgotten.push_back(entry.first);
     return true;
   });
-  return gone;
+  return forgotten;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/next_step.cc
+++ b/routing/src/next_step.cc
@@ -3,25 +3,25 @@
 namespace egretladder::routing {
 namespace {
 
-bool CanTryAgain(const NextStepInput& after) {
-  return after.has_time_left && after.not_run < kMaxNotRunAttempts &&
-         after.not_sent < kMaxNotSentAttempts;
+bool CanTryAgain(const NextStepInput& input) {
+  return input.has_time_left && input.not_run < kMaxNotRunAttempts &&
+         input.not_sent < kMaxNotSentAttempts;
 }
 
-NextStep DecideAfterNotRun(const NextStepInput& after) {
-  if (after.is_answer_started) {
-    return after.resumable && CanTryAgain(after) ? NextStep::kResume
+NextStep DecideAfterNotRun(const NextStepInput& input) {
+  if (input.is_answer_started) {
+    return input.resumable && CanTryAgain(input) ? NextStep::kResume
                                                  : NextStep::kBreakOff;
   }
-  if (CanTryAgain(after)) return NextStep::kSendAgain;
+  if (CanTryAgain(input)) return NextStep::kSendAgain;
   // An earlier attempt may have run, so that "not run" would be untrue.
-  return after.may_have_run > 0 ? NextStep::kUnknown : NextStep::kRefuse;
+  return input.may_have_run > 0 ? NextStep::kUnknown : NextStep::kRefuse;
 }
 
 }  // namespace
 
-const char* NameOf(AttemptOutcome end) {
-  switch (end) {
+const char* NameOf(AttemptOutcome outcome) {
+  switch (outcome) {
     case AttemptOutcome::kNotSent:
       return "not-sent";
     case AttemptOutcome::kFull:
@@ -60,20 +60,23 @@
   return "unknown";
 }
 
-bool IsNotRun(AttemptOutcome end) {
-  return end == AttemptOutcome::kNotSent || end == AttemptOutcome::kFull ||
-         end == AttemptOutcome::kWrongInstance;
+bool IsNotRun(AttemptOutcome outcome) {
+  return outcome == AttemptOutcome::kNotSent ||
+         outcome == AttemptOutcome::kFull ||
+         outcome == AttemptOutcome::kWrongInstance;
 }
 
-NextStep DecideNextStep(const NextStepInput& after) {
-  if (after.end == AttemptOutcome::kSucceeded) return NextStep::kPassOn;
-  if (IsNotRun(after.end)) return DecideAfterNotRun(after);
-  const bool more = after.has_time_left && after.may_have_run < after.attempts;
-  if (after.is_answer_started) {
-    return after.resumable && more ? NextStep::kResume : NextStep::kBreakOff;
+NextStep DecideNextStep(const NextStepInput& input) {
+  if (input.end == AttemptOutcome::kSucceeded) return NextStep::kPassOn;
+  if (IsNotRun(input.end)) return DecideAfterNotRun(input);
+  const bool has_attempts_left =
+      input.has_time_left && input.may_have_run < input.attempts;
+  if (input.is_answer_started) {
+    return input.resumable && has_attempts_left ? NextStep::kResume
+                                                : NextStep::kBreakOff;
   }
-  if (after.is_repeatable && more) return NextStep::kSendAgain;
-  return after.end == AttemptOutcome::kFailed ? NextStep::kPassOn
+  if (input.is_repeatable && has_attempts_left) return NextStep::kSendAgain;
+  return input.end == AttemptOutcome::kFailed ? NextStep::kPassOn
                                               : NextStep::kUnknown;
 }
 
--- a/routing/src/pace.cc
+++ b/routing/src/pace.cc
@@ -21,19 +21,20 @@
 }  // namespace
 
 void OnEventInterval(EnginePace& engine, ServicePace& service, double running,
-                     std::chrono::duration<double, std::milli> pause) {
-  const double alone = pause.count() / (1 + kPaceFactorPerRunning * running);
-  Smooth(engine.unloaded_event_ms, alone, kEnginePaceWeight);
+                     std::chrono::duration<double, std::milli> event_interval) {
+  const double unloaded_ms =
+      event_interval.count() / (1 + kPaceFactorPerRunning * running);
+  Smooth(engine.unloaded_event_ms, unloaded_ms, kEnginePaceWeight);
   engine.samples = std::min(engine.samples + 1, kMaxPaceSamples);
-  Smooth(service.unloaded_event_ms, alone, kServicePaceWeight);
+  Smooth(service.unloaded_event_ms, unloaded_ms, kServicePaceWeight);
 }
 
 void OnStreamEnded(ServicePace& service, const std::string& route,
                    double events,
-                   std::chrono::duration<double, std::milli> lasted) {
+                   std::chrono::duration<double, std::milli> duration) {
   StreamLength& length = service.lengths[route];
   Smooth(length.events, events, kStreamLengthWeight);
-  Smooth(length.ms, lasted.count(), kStreamLengthWeight);
+  Smooth(length.ms, duration.count(), kStreamLengthWeight);
   length.longest =
       std::max(events, length.longest -
                            kLongStreamDecayWeight * (length.longest - events));
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -20,12 +20,11 @@
 
 std::uint32_t MaxInFlightPerNode(const Endpoint& endpoint,
                                  const FleetSnapshot& fleet) {
-  const double even =
+  const double even_share =
       static_cast<double>(endpoint.entry.slots) /
       static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
-  return std::max(
-      kMinSlotsPerNode,
-      static_cast<std::uint32_t>(std::ceil(kSlotOvercommitFactor * even)));
+  return std::max(kMinSlotsPerNode, static_cast<std::uint32_t>(std::ceil(
+                                        kSlotOvercommitFactor * even_share)));
 }
 
 bool IsCold(const Endpoint& endpoint, Time now) {
@@ -37,16 +36,16 @@
                                       Time now) {
   UncachedTokens uncached;
   uncached.own = demand.prompt_tokens;
-  bool held = true;
+  bool is_held = true;
   for (std::size_t i = 0; i < demand.parts.size(); ++i) {
     const PromptPart& part = demand.parts[i];
     // The last part is the request's own, unless it was read here before.
-    const bool last = i + 1 == demand.parts.size();
-    held = held && (HasCachedPart(endpoint, part.id, now) ||
-                    (first && !last && !IsCold(endpoint, now)));
-    if (!held && last) break;
+    const bool is_last = i + 1 == demand.parts.size();
+    is_held = is_held && (HasCachedPart(endpoint, part.id, now) ||
+                          (first && !is_last && !IsCold(endpoint, now)));
+    if (!is_held && is_last) break;
     uncached.own -= part.tokens;
-    if (!held) uncached.shared += part.tokens;
+    if (!is_held) uncached.shared += part.tokens;
   }
   uncached.own = std::max(0.0, uncached.own);
   return uncached;
@@ -128,7 +127,7 @@
   return usable;
 }
 
-std::uint64_t Weight(std::uint64_t session, const Endpoint& endpoint) {
+std::uint64_t PreferenceHash(std::uint64_t session, const Endpoint& endpoint) {
   return kernel::HashBytes(endpoint.entry.id, session);
 }
 
@@ -139,7 +138,7 @@
   std::partial_sort(
       endpoints.begin(), endpoints.begin() + static_cast<std::ptrdiff_t>(count),
       endpoints.end(), [&](const EndpointPtr& left, const EndpointPtr& right) {
-        return Weight(session, *left) > Weight(session, *right);
+        return PreferenceHash(session, *left) > PreferenceHash(session, *right);
       });
 }
 
@@ -154,16 +153,16 @@
 }
 
 // Moves random ones to places `from` and on.
-void DrawRandomCandidates(std::vector<EndpointPtr>& endpoints, std::size_t from,
-                          kernel::Random& random) {
-  const std::size_t until =
-      std::min(endpoints.size(), from + kRandomCandidates);
-  for (std::size_t i = from; i < until; ++i) {
+void DrawRandomCandidates(std::vector<EndpointPtr>& endpoints,
+                          std::size_t first_drawn, kernel::Random& random) {
+  const std::size_t end =
+      std::min(endpoints.size(), first_drawn + kRandomCandidates);
+  for (std::size_t i = first_drawn; i < end; ++i) {
     const std::size_t other =
         i + kernel::RandomBelow(random, endpoints.size() - i);
     std::swap(endpoints[i], endpoints[other]);
   }
-  endpoints.resize(until);
+  endpoints.resize(end);
 }
 
 }  // namespace
@@ -234,7 +233,7 @@
   }
   DrawRandomCandidates(usable.endpoints, preferred, random);
   const ServicePace& pace = FindServicePace(set, demand.service->name);
-  double least = std::numeric_limits<double>::max();
+  double lowest_cost = std::numeric_limits<double>::max();
   for (std::size_t i = 0; i < usable.endpoints.size(); ++i) {
     const EndpointPtr& endpoint = usable.endpoints[i];
     const bool first = session != 0 && i == 0;
@@ -243,10 +242,10 @@
     const PlacementCosts costs = ComputeCosts(
         {*endpoint, demand, uncached, pace, fleet, i < preferred, now},
         set.off);
-    if (costs.Total() >= least) continue;
-    least = costs.Total();
+    if (costs.Total() >= lowest_cost) continue;
+    lowest_cost = costs.Total();
     best = {endpoint, PlacementReason::kCheapest, costs.UntilFirstEvent(),
-            uncached.Sum(), costs};
+            uncached.Total(), costs};
     if (first) {
       best.reason = PlacementReason::kSession;
     } else if (demand.prompt_tokens > 0 && uncached.shared == 0) {
@@ -262,9 +261,9 @@
   ++endpoint.in_flight;
   endpoint.waiting_tokens[std::min<std::size_t>(demand.tier, kTiers - 1)] +=
       placement.uncached_tokens;
-  const auto expected = std::chrono::duration_cast<Time::duration>(
+  const auto expected_wait = std::chrono::duration_cast<Time::duration>(
       std::chrono::duration<double, std::milli>(placement.expected_ms));
-  endpoint.unanswered[attempt] = {now, now + expected};
+  endpoint.unanswered[attempt] = {now, now + expected_wait};
   std::vector<std::uint64_t> parts;
   parts.reserve(demand.parts.size());
   for (const PromptPart& part : demand.parts) parts.push_back(part.id);
--- a/routing/src/placement_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -10,24 +10,26 @@
   return endpoint.in_flight + endpoint.peers_in_flight;
 }
 
-bool IsGeneration(const CostInput& ask) { return ask.demand.prompt_tokens > 0; }
+bool IsGeneration(const CostInput& input) {
+  return input.demand.prompt_tokens > 0;
+}
 
 // Engines read what they have admitted in turn, and admit by rank only while
 // their slots are taken: until then all that waits is ahead, whatever its rank.
 double TokensAhead(const Endpoint& endpoint, Tier tier) {
-  const bool by_rank = RunningAt(endpoint) >= endpoint.entry.slots;
+  const bool is_full = RunningAt(endpoint) >= endpoint.entry.slots;
   double tokens = endpoint.peers_waiting_tokens;
-  for (std::size_t i = 0; i < kTiers && (i <= tier || !by_rank); ++i) {
+  for (std::size_t i = 0; i < kTiers && (i <= tier || !is_full); ++i) {
     tokens += endpoint.waiting_tokens[i];
   }
   return tokens;
 }
 
-double Queue(const CostInput& ask) {
-  const Endpoint& endpoint = ask.endpoint;
+double Queue(const CostInput& input) {
+  const Endpoint& endpoint = input.endpoint;
   const double running = RunningAt(endpoint);
-  if (IsGeneration(ask)) {
-    return TokensAhead(endpoint, ask.demand.tier) / kPromptTokensPerMs +
+  if (IsGeneration(input)) {
+    return TokensAhead(endpoint, input.demand.tier) / kPromptTokensPerMs +
            running * kCostPerRunningMs;
   }
   const double mean = endpoint.health.mean_answer_ms > 0
@@ -36,60 +38,60 @@
   return mean * running / std::max<std::uint32_t>(endpoint.entry.slots, 1);
 }
 
-double Reading(const CostInput& ask) {
-  return ask.uncached.own / kPromptTokensPerMs;
+double OwnRead(const CostInput& input) {
+  return input.uncached.own / kPromptTokensPerMs;
 }
 
-double Again(const CostInput& ask) {
-  const double times =
-      ask.preferred ? kPreferredRereadFactor : kUnpreferredRereadFactor;
-  return std::min(ask.uncached.shared * times / kPromptTokensPerMs,
+double SharedReread(const CostInput& input) {
+  const double factor =
+      input.preferred ? kPreferredRereadFactor : kUnpreferredRereadFactor;
+  return std::min(input.uncached.shared * factor / kPromptTokensPerMs,
                   kMaxRereadCostMs);
 }
 
-double OwnStreamPace(const CostInput& ask) {
-  if (!ask.demand.tight) return 0;
-  return ask.demand.events *
-         ExpectedEventMs(ask.endpoint.pace, ask.pace, RunningAt(ask.endpoint));
+double OwnStreamPace(const CostInput& input) {
+  if (!input.demand.tight) return 0;
+  return input.demand.events * ExpectedEventMs(input.endpoint.pace, input.pace,
+                                               RunningAt(input.endpoint));
 }
 
-double Drift(const CostInput& ask) { return ask.endpoint.health.drift_ms; }
+double Drift(const CostInput& input) { return input.endpoint.health.drift_ms; }
 
-double Failing(const CostInput& ask) {
-  return FailureRate(ask.endpoint.health, ask.now) * kFailureCostMs;
+double Failing(const CostInput& input) {
+  return FailureRate(input.endpoint.health, input.now) * kFailureCostMs;
 }
 
-double Silence(const CostInput& ask) {
-  return static_cast<double>(OverdueTime(ask.endpoint, ask.now).count());
+double Overdue(const CostInput& input) {
+  return static_cast<double>(OverdueTime(input.endpoint, input.now).count());
 }
 
-double Zone(const CostInput& ask) {
-  return ask.endpoint.entry.zone != ask.fleet.zone ? kOtherZoneCostMs : 0;
+double Zone(const CostInput& input) {
+  return input.endpoint.entry.zone != input.fleet.zone ? kOtherZoneCostMs : 0;
 }
 
-double Cold(const CostInput& ask) {
-  double cost = ask.now < ask.endpoint.cold_until ? kColdCostMs : 0;
-  if (ask.endpoint.phase == EndpointPhase::kLapsed) cost += kColdCostMs;
+double Cold(const CostInput& input) {
+  double cost = input.now < input.endpoint.cold_until ? kColdCostMs : 0;
+  if (input.endpoint.phase == EndpointPhase::kLapsed) cost += kColdCostMs;
   return cost;
 }
 
 struct Term {
   const char* name;
-  double (*ms)(const CostInput& ask);
-  bool before_first;  // Delays the request's own first event.
+  double (*ms)(const CostInput& input);
+  bool delays_first_event;  // Delays the request's own first event.
 };
 
-double NoCost(const CostInput& /*ask*/) { return 0; }
+double NoCost(const CostInput& /*input*/) { return 0; }
 
 // In the order of `Mechanism`.
 constexpr std::array<Term, kMechanismCount> kTerms = {{
     {"queue", Queue, true},
-    {"reading", Reading, true},
-    {"again", Again, true},
+    {"reading", OwnRead, true},
+    {"again", SharedReread, true},
     {"pace", OwnStreamPace, false},
     {"drift", Drift, true},
     {"failing", Failing, true},
-    {"silence", Silence, true},
+    {"silence", Overdue, true},
     {"zone", Zone, true},
     {"cold", Cold, true},
     {"sides", NoCost, false},
@@ -105,16 +107,16 @@
 double PlacementCosts::UntilFirstEvent() const {
   double sum = 0;
   for (std::size_t i = 0; i < kMechanismCount; ++i) {
-    if (kTerms[i].before_first) sum += ms[i];
+    if (kTerms[i].delays_first_event) sum += ms[i];
   }
   return sum;
 }
 
-PlacementCosts ComputeCosts(const CostInput& ask,
+PlacementCosts ComputeCosts(const CostInput& input,
                             const DisabledMechanisms& off) {
   PlacementCosts costs;
   for (std::size_t i = 0; i < kMechanismCount; ++i) {
-    if (!off.test(i)) costs.ms[i] = kTerms[i].ms(ask);
+    if (!off.test(i)) costs.ms[i] = kTerms[i].ms(input);
   }
   return costs;
 }
--- a/routing/src/retry_budget.cc
+++ b/routing/src/retry_budget.cc
@@ -6,56 +6,58 @@
 namespace {
 
 std::int64_t BucketNumber(const RetryBudgetRule& rule, Time now) {
-  const auto slice = rule.window / kRetryBuckets;
+  const auto bucket = rule.window / kRetryBuckets;
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              now.time_since_epoch()) /
-         slice;
+         bucket;
 }
 
-NodeRetryBudget::Slice& BucketAt(NodeRetryBudget& share, std::int64_t number) {
-  auto& slice = share.slices[static_cast<std::size_t>(number) % kRetryBuckets];
-  if (slice.number != number) slice = {number, 0, 0};
-  return slice;
+NodeRetryBudget::Bucket& BucketAt(NodeRetryBudget& budget,
+                                  std::int64_t number) {
+  auto& bucket =
+      budget.buckets[static_cast<std::size_t>(number) % kRetryBuckets];
+  if (bucket.number != number) bucket = {number, 0, 0};
+  return bucket;
 }
 
 // This process's part of the fixed allowance.
 double NodeSlack(const RetryBudgetRule& rule, const RetryBudgetFleet& fleet) {
-  const double part =
+  const double even_share =
       rule.slack / static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
-  const double lived =
+  const double window_ratio =
       std::min(1.0, std::chrono::duration<double>(fleet.age) / rule.window);
   // Enough for one repeat, if the part is.
-  const double least = std::min(part, 1 / kUsableRetryRatio);
-  return std::max(least, part * lived);
+  const double min_slack = std::min(even_share, 1 / kUsableRetryRatio);
+  return std::max(min_slack, even_share * window_ratio);
 }
 
 }  // namespace
 
-void OnRequest(NodeRetryBudget& share, const RetryBudgetRule& rule, Time now) {
-  ++BucketAt(share, BucketNumber(rule, now)).requests;
+void OnRequest(NodeRetryBudget& budget, const RetryBudgetRule& rule, Time now) {
+  ++BucketAt(budget, BucketNumber(rule, now)).requests;
 }
 
-double RetriesLeft(const NodeRetryBudget& share, const RetryBudgetRule& rule,
+double RetriesLeft(const NodeRetryBudget& budget, const RetryBudgetRule& rule,
                    const RetryBudgetFleet& fleet, Time now) {
   const std::int64_t number = BucketNumber(rule, now);
   double requests = 0;
-  double repeats = 0;
-  for (const NodeRetryBudget::Slice& slice : share.slices) {
-    if (number - slice.number >= static_cast<std::int64_t>(kRetryBuckets)) {
+  double retries = 0;
+  for (const NodeRetryBudget::Bucket& bucket : budget.buckets) {
+    if (number - bucket.number >= static_cast<std::int64_t>(kRetryBuckets)) {
       continue;
     }
-    requests += slice.requests;
-    repeats += slice.repeats;
+    requests += bucket.requests;
+    retries += bucket.retries;
   }
   const double allowed =
       kUsableRetryRatio * (rule.ratio * requests + NodeSlack(rule, fleet));
-  return std::max(0.0, allowed - repeats);
+  return std::max(0.0, allowed - retries);
 }
 
-bool TakeRetry(NodeRetryBudget& share, const RetryBudgetRule& rule,
+bool TakeRetry(NodeRetryBudget& budget, const RetryBudgetRule& rule,
                const RetryBudgetFleet& fleet, Time now) {
-  if (RetriesLeft(share, rule, fleet, now) < 1) return false;
-  ++BucketAt(share, BucketNumber(rule, now)).repeats;
+  if (RetriesLeft(budget, rule, fleet, now) < 1) return false;
+  ++BucketAt(budget, BucketNumber(rule, now)).retries;
   return true;
 }
 
--- a/routing/src/route_table.cc
+++ b/routing/src/route_table.cc
@@ -17,23 +17,23 @@
 
 std::pair<Tier, Tier> TierPair(const Route& route,
                                const ClientAccount* account) {
-  const bool own = account != nullptr && account->tier.has_value();
-  return {route.tier, own ? *account->tier : route.tier};
+  const bool has_own_tier = account != nullptr && account->tier.has_value();
+  return {route.tier, has_own_tier ? *account->tier : route.tier};
 }
 
 // By distinct tiers, since a table may hold thousands of routes and hundreds of
 // accounts.
 void NumberRanks(RouteTable& table) {
-  std::set<Tier> of_routes;
-  for (const Route& route : table.routes) of_routes.insert(route.tier);
-  std::set<Tier> of_accounts;
+  std::set<Tier> route_tiers;
+  for (const Route& route : table.routes) route_tiers.insert(route.tier);
+  std::set<Tier> account_tiers;
   for (const ClientAccount& account : table.accounts) {
-    if (account.tier.has_value()) of_accounts.insert(*account.tier);
+    if (account.tier.has_value()) account_tiers.insert(*account.tier);
   }
   table.ranks.clear();
-  for (const Tier route : of_routes) {
+  for (const Tier route : route_tiers) {
     table.ranks[{route, route}] = 0;
-    for (const Tier account : of_accounts) table.ranks[{route, account}] = 0;
+    for (const Tier account : account_tiers) table.ranks[{route, account}] = 0;
   }
   Tier next = 0;
   for (auto& [tiers, rank] : table.ranks) rank = next++;
@@ -49,8 +49,8 @@
   }
   for (auto& [host, routes] : table.routes_by_host) {
     std::stable_sort(routes.begin(), routes.end(),
-                     [&table](std::uint32_t left, std::uint32_t right) {
-                       return table.routes[left].prefix.size() >
+                     [&table](std::uint32_t remaining, std::uint32_t right) {
+                       return table.routes[remaining].prefix.size() >
                               table.routes[right].prefix.size();
                      });
   }
@@ -84,13 +84,13 @@
   return at == table.ranks.end() ? route.tier : at->second;
 }
 
-ServiceHandle PickTarget(const Route& route, double draw) {
+ServiceHandle PickTarget(const Route& route, double random_fraction) {
   std::uint64_t sum = 0;
   for (const WeightedTarget& target : route.targets) sum += target.weight;
-  double left = draw * static_cast<double>(sum);
+  double remaining = random_fraction * static_cast<double>(sum);
   for (const WeightedTarget& target : route.targets) {
-    left -= target.weight;
-    if (left < 0) return target.service;
+    remaining -= target.weight;
+    if (remaining < 0) return target.service;
   }
   return route.targets.back().service;
 }
--- a/routing/src/shared_rate.cc
+++ b/routing/src/shared_rate.cc
@@ -23,16 +23,17 @@
 std::optional<SharedRate> AdvertisedRate(const Endpoint& endpoint, Time now) {
   const AdvertisedLimit& limit = endpoint.limit;
   if (limit.per_second <= 0) return {};
-  if (now - limit.named > kLimitFreshTime) {
+  if (now - limit.advertised_at > kLimitFreshTime) {
     return SharedRate{kLimitProbeRatio * limit.per_second,
                       std::numeric_limits<std::size_t>::max(),
-                      RateReason::kLimited, limit.named + kLimitFreshTime};
+                      RateReason::kLimited,
+                      limit.advertised_at + kLimitFreshTime};
   }
   const double senders =
       kBaseLimitSenders + kLimitSendersPerRate * limit.per_second;
   return SharedRate{kUsableRateRatio * limit.per_second,
                     static_cast<std::size_t>(senders), RateReason::kLimited,
-                    limit.began};
+                    limit.began_at};
 }
 
 }  // namespace
@@ -53,28 +54,31 @@
   if (nodes <= rate.senders) return true;
   // A node that others don't know yet, or that knows few of them, is rarely
   // among them.
-  std::size_t before = (nodes - fleet.names.size()) / 2;
-  const std::uint64_t own = kernel::HashBytes(fleet.self, endpoint.name_hash);
+  std::size_t preferred_nodes = (nodes - fleet.names.size()) / 2;
+  const std::uint64_t own_hash =
+      kernel::HashBytes(fleet.self, endpoint.name_hash);
   for (const std::string& name : fleet.names) {
     // Asked for each endpoint by each request: most nodes know after a few.
-    if (before >= rate.senders) return false;
-    if (kernel::HashBytes(name, endpoint.name_hash) > own) ++before;
+    if (preferred_nodes >= rate.senders) return false;
+    if (kernel::HashBytes(name, endpoint.name_hash) > own_hash)
+      ++preferred_nodes;
   }
-  return before < rate.senders;
+  return preferred_nodes < rate.senders;
 }
 
 Time NextTurnTime(const Endpoint& endpoint, const SharedRate& rate,
                   const FleetSnapshot& fleet) {
   const std::size_t senders = std::min(EstimateFleetSize(fleet), rate.senders);
-  const std::chrono::duration<double> pause(static_cast<double>(senders) /
-                                            rate.per_second);
+  const std::chrono::duration<double> interval(static_cast<double>(senders) /
+                                               rate.per_second);
   if (endpoint.last_limited_send >= rate.since) {
     return endpoint.last_limited_send +
-           std::chrono::duration_cast<Time::duration>(pause);
+           std::chrono::duration_cast<Time::duration>(interval);
   }
-  const double part =
+  const double offset =
       kernel::HashToFraction(kernel::HashBytes(endpoint.entry.id + fleet.self));
-  return rate.since + std::chrono::duration_cast<Time::duration>(pause * part);
+  return rate.since +
+         std::chrono::duration_cast<Time::duration>(interval * offset);
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/stop_admission.cc
+++ b/routing/src/stop_admission.cc
@@ -25,19 +25,19 @@
 }
 
 StopAdmissionVerdict DecideStopAdmission(const policy::StopPlan& plan,
-                                         const StopAdmissionInput& ask) {
-  const policy::StopPhase phase = policy::GetStopPhase(plan, ask.arrived);
-  const milliseconds left = policy::TimeUntilCut(plan, ask.since);
+                                         const StopAdmissionInput& input) {
+  const policy::StopPhase phase = policy::GetStopPhase(plan, input.arrived);
+  const milliseconds time_left = policy::TimeUntilCut(plan, input.since);
   const bool may_take = phase == policy::StopPhase::kTaking ||
                         phase == policy::StopPhase::kSettling;
   if (!may_take) return StopAdmissionVerdict::kTooLate;
-  if (ask.deadline <= left) return StopAdmissionVerdict::kEndsByDeadline;
+  if (input.deadline <= time_left) return StopAdmissionVerdict::kEndsByDeadline;
   // An estimate may be wrong. That risk is worth taking only for callers that
   // could not know of the stop.
   if (phase == policy::StopPhase::kSettling)
     return StopAdmissionVerdict::kTooLate;
-  return ask.longest <= left ? StopAdmissionVerdict::kExpectedInTime
-                             : StopAdmissionVerdict::kTooLong;
+  return input.longest <= time_left ? StopAdmissionVerdict::kExpectedInTime
+                                    : StopAdmissionVerdict::kTooLong;
 }
 
 milliseconds EstimateLongAnswerTime(const EndpointSet& set,
--- a/routing/src/store_readers.cc
+++ b/routing/src/store_readers.cc
@@ -18,8 +18,8 @@
   RankedNodes ranked;
   for (const auto& [node, known] : members.others) {
     if (!IsMemberAvailable(members, known, now)) continue;
-    auto& side = kernel::HashBytes(node) > own ? ranked.before : ranked.after;
-    side.push_back(&known);
+    auto& group = kernel::HashBytes(node) > own ? ranked.before : ranked.after;
+    group.push_back(&known);
   }
   return ranked;
 }
@@ -33,9 +33,10 @@
 
 // Readers and their standbys need a while to hear of each other.
 bool IsSilent(const Members& members, const KnownMember& known,
-              milliseconds allowed, Time now) {
-  const Time told_from = std::max(known.met, members.started) + kNewMemberTime;
-  return now - std::max(known.last_message_at, told_from) > allowed;
+              milliseconds max_silence, Time now) {
+  const Time counted_from =
+      std::max(known.first_seen_at, members.started) + kNewMemberTime;
+  return now - std::max(known.last_message_at, counted_from) > max_silence;
 }
 
 }  // namespace
@@ -48,13 +49,13 @@
   const std::size_t rank = before.size();
   if (rank < kMaxReaders) return true;
   if (rank >= kMaxReaderCandidates) return false;
-  const milliseconds allowed = MaxReaderSilenceFor(rank);
-  const auto reading = std::count_if(
+  const milliseconds max_silence = MaxReaderSilenceFor(rank);
+  const auto active_readers = std::count_if(
       before.begin(), before.end(), [&](const KnownMember* known) {
         return !known->member.store_troubled &&
-               !IsSilent(members, *known, allowed, now);
+               !IsSilent(members, *known, max_silence, now);
       });
-  return static_cast<std::size_t>(reading) < kMaxReaders;
+  return static_cast<std::size_t>(active_readers) < kMaxReaders;
 }
 
 std::vector<std::string> StandbyAddresses(const Members& members, Time now) {
--- a/routing/src/suspects.cc
+++ b/routing/src/suspects.cc
@@ -10,11 +10,11 @@
 }
 
 Time LastChange(const Suspect& suspect) {
-  Time newest = suspect.cleared;
-  for (const Break& seen : suspect.breaks) {
-    newest = std::max(newest, seen.broke);
+  Time latest = suspect.cleared;
+  for (const Break& known_break : suspect.breaks) {
+    latest = std::max(latest, known_break.broke);
   }
-  return newest;
+  return latest;
 }
 
 void EvictOldestIfFull(Suspects& suspects) {
@@ -32,14 +32,16 @@
 }
 
 // Returns true when this is news.
-bool Merge(Suspect& suspect, const Break& seen) {
-  const auto known = std::find_if(
-      suspect.breaks.begin(), suspect.breaks.end(),
-      [&seen](const Break& one) { return one.endpoint == seen.endpoint; });
+bool MergeBreak(Suspect& suspect, const Break& added) {
+  const auto known =
+      std::find_if(suspect.breaks.begin(), suspect.breaks.end(),
+                   [&added](const Break& known_break) {
+                     return known_break.endpoint == added.endpoint;
+                   });
   if (known == suspect.breaks.end()) {
-    suspect.breaks.push_back(seen);
-  } else if (known->broke + kSameBreakWindow < seen.broke) {
-    *known = seen;
+    suspect.breaks.push_back(added);
+  } else if (known->broke + kSameBreakWindow < added.broke) {
+    *known = added;
   } else {
     return false;
   }
@@ -61,14 +63,14 @@
 
 CrashChain FindCrashChain(const Suspect& suspect, Time now) {
   CrashChain chain;
-  for (const Break& seen : suspect.breaks) {
-    if (seen.broke <= suspect.cleared ||
-        now - seen.broke >= kSuspectRetention) {
+  for (const Break& known_break : suspect.breaks) {
+    if (known_break.broke <= suspect.cleared ||
+        now - known_break.broke >= kSuspectRetention) {
       continue;
     }
-    if (chain.crashes > 0 && seen.sent < chain.last) continue;
+    if (chain.crashes > 0 && known_break.sent < chain.last) continue;
     ++chain.crashes;
-    chain.last = seen.broke;
+    chain.last = known_break.broke;
   }
   return chain;
 }
@@ -76,9 +78,9 @@
 }  // namespace
 
 void OnConnectionBroke(Suspects& suspects, std::uint64_t request,
-                       const Break& seen) {
+                       const Break& added) {
   Suspect& suspect = FindOrAddSuspect(suspects, request);
-  if (Merge(suspect, seen)) suspect.changed = seen.broke;
+  if (MergeBreak(suspect, added)) suspect.changed = added.broke;
 }
 
 void OnRequestRan(Suspects& suspects, std::uint64_t request, Time now) {
@@ -99,43 +101,44 @@
 
 std::vector<SuspectGossip> MakeSuspectGossip(const Suspects& suspects,
                                              Time now) {
-  std::vector<std::pair<Time, std::uint64_t>> newest;
+  std::vector<std::pair<Time, std::uint64_t>> recent;
   for (const auto& [request, suspect] : suspects.by_request) {
     if (now - suspect.changed >= kSuspectGossipTime) continue;
-    newest.emplace_back(suspect.changed, request);
+    recent.emplace_back(suspect.changed, request);
   }
-  std::sort(newest.rbegin(), newest.rend());
-  if (newest.size() > kMaxSuspectsPerExchange)
-    newest.resize(kMaxSuspectsPerExchange);
-  std::vector<SuspectGossip> told;
-  for (const auto& [time, request] : newest) {
+  std::sort(recent.rbegin(), recent.rend());
+  if (recent.size() > kMaxSuspectsPerExchange)
+    recent.resize(kMaxSuspectsPerExchange);
+  std::vector<SuspectGossip> gossip;
+  for (const auto& [time, request] : recent) {
     const Suspect& suspect = suspects.by_request.at(request);
-    SuspectGossip one;
-    one.request = request;
-    one.cleared_ago =
+    SuspectGossip suspect_gossip;
+    suspect_gossip.request = request;
+    suspect_gossip.cleared_ago =
         suspect.cleared == Time{} ? kNeverCleared : Age(suspect.cleared, now);
-    for (const Break& seen : suspect.breaks) {
-      one.breaks.push_back(
-          {seen.endpoint, Age(seen.sent, now), Age(seen.broke, now)});
+    for (const Break& known_break : suspect.breaks) {
+      suspect_gossip.breaks.push_back({known_break.endpoint,
+                                       Age(known_break.sent, now),
+                                       Age(known_break.broke, now)});
     }
-    told.push_back(std::move(one));
+    gossip.push_back(std::move(suspect_gossip));
   }
-  return told;
+  return gossip;
 }
 
-void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& told,
+void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& gossip,
                         Time now) {
-  Suspect& suspect = FindOrAddSuspect(suspects, told.request);
-  if (told.cleared_ago < kSuspectRetention) {
-    const Time cleared = now - told.cleared_ago;
+  Suspect& suspect = FindOrAddSuspect(suspects, gossip.request);
+  if (gossip.cleared_ago < kSuspectRetention) {
+    const Time cleared = now - gossip.cleared_ago;
     if (suspect.cleared + kSameBreakWindow < cleared) suspect.changed = now;
     suspect.cleared = std::max(suspect.cleared, cleared);
   }
-  for (const BreakGossip& seen : told.breaks) {
-    if (seen.broke_ago >= kSuspectRetention) continue;
-    const bool is_news = Merge(
-        suspect, {seen.endpoint, now - seen.sent_ago, now - seen.broke_ago});
-    if (is_news) suspect.changed = now;
+  for (const BreakGossip& added : gossip.breaks) {
+    if (added.broke_ago >= kSuspectRetention) continue;
+    const bool is_new = MergeBreak(
+        suspect, {added.endpoint, now - added.sent_ago, now - added.broke_ago});
+    if (is_new) suspect.changed = now;
   }
 }
 
--- a/routing/tests/endpoints_test.cc
+++ b/routing/tests/endpoints_test.cc
@@ -51,9 +51,10 @@
   er::OnEntryRemoved(set, "other", false, kStart);
   std::set<double> places;
   for (const auto& [id, endpoint] : set.by_id) {
-    DOUBLES_EQUAL(backwards.by_id[id]->order, endpoint->order, 0);
-    CHECK(endpoint->order >= 0 && endpoint->order < 1);
-    places.insert(endpoint->order);
+    DOUBLES_EQUAL(backwards.by_id[id]->hash_position, endpoint->hash_position,
+                  0);
+    CHECK(endpoint->hash_position >= 0 && endpoint->hash_position < 1);
+    places.insert(endpoint->hash_position);
   }
   LONGS_EQUAL(kCount, places.size());
 }
--- a/routing/tests/engine_split_test.cc
+++ b/routing/tests/engine_split_test.cc
@@ -221,11 +221,11 @@
 
 TEST(Sides, ShortRequestsThatMayPauseGoToBoth) {
   er::Endpoint endpoint;
-  endpoint.order = 0.1;
+  endpoint.hash_position = 0.1;
   er::Demand demand = TightStream();
   demand.tight = false;
   CHECK(er::IsOnDemandSide(endpoint, demand, 0.3));
-  endpoint.order = 0.9;
+  endpoint.hash_position = 0.9;
   CHECK(er::IsOnDemandSide(endpoint, demand, 0.3));
   CHECK_FALSE(er::IsOnDemandSide(endpoint, TightStream(), 0.3));
   CHECK(er::IsOnDemandSide(endpoint, LongPrompt(), 0.3));
--- a/routing/tests/placement_test.cc
+++ b/routing/tests/placement_test.cc
@@ -55,7 +55,7 @@
     return demand;
   }
   bool IsForTight(const er::Endpoint& endpoint) const {
-    return endpoint.order < set.tight_fraction;
+    return endpoint.hash_position < set.tight_fraction;
   }
   er::Demand Plain() const {
     er::Demand demand;
