--- a/routing/include/egretladder/routing/endpoints.h
+++ b/routing/include/egretladder/routing/endpoints.h
@@ -115,7 +115,7 @@
   std::set<std::string> limited;  ///< By id; those of which peers are told.
   std::unordered_map<std::string, ServicePace> service_paces;  ///< By service.
   double tight_fraction = kDefaultTightFraction;               ///< See sides.h.
-  DisabledMechanisms off;
+  DisabledMechanisms disabled_mechanisms;
 };
 
 /// What became of an endpoint by a change of its entry; for the log.
--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -37,8 +37,8 @@
 /// A heartbeat of a node that others know already: 16 bytes, where a `Member`
 /// takes about 130.
 struct MemberHeartbeat {
-  std::uint32_t node = 0;  ///< Low half of the hash of its name.
-  std::uint32_t life = 0;  ///< Low half of its incarnation.
+  std::uint32_t node = 0;               ///< Low half of the hash of its name.
+  std::uint32_t short_incarnation = 0;  ///< Low half of its incarnation.
   std::uint64_t heartbeat = 0;
   bool leaving = false;
   bool store_troubled = false;
@@ -65,7 +65,7 @@
 struct Members {
   Member self;
   std::vector<std::string> seeds;
-  bool listens = true;  ///< This node takes connections of callers.
+  bool is_listening = true;  ///< This node takes connections of callers.
   std::map<std::string, KnownMember> others;
   Time started{};
   Time last_exchange_at{};  ///< Last time a peer answered; default: never.
--- a/routing/include/egretladder/routing/placement_cost.h
+++ b/routing/include/egretladder/routing/placement_cost.h
@@ -36,7 +36,7 @@
 
 /// All terms that aren't switched off.
 PlacementCosts ComputeCosts(const CostInput& input,
-                            const DisabledMechanisms& off);
+                            const DisabledMechanisms& disabled_mechanisms);
 
 /// The name of a mechanism as settings and logs show it.
 const char* NameOf(Mechanism mechanism);
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -120,7 +120,8 @@
                                                : nullptr;
     // Another life may have other addresses, and of this node it may be one
     // that it has to outbid.
-    if (known == nullptr || LowHalf(known->incarnation) != pulse.life) {
+    if (known == nullptr ||
+        LowHalf(known->incarnation) != pulse.short_incarnation) {
       AddUnknown(members, pulse.node);
     } else if (at != by_key.end()) {
       UpdateIfNewer(members, *at->second, WithHeartbeat(*known, pulse), now,
@@ -237,7 +238,8 @@
     if (IsMemberAvailable(members, known, now))
       available.push_back(&known.member);
   }
-  if (available.empty() && members.listens) available.push_back(&members.self);
+  if (available.empty() && members.is_listening)
+    available.push_back(&members.self);
   Shuffle(available, random);
   if (available.size() > kMaxDirectoryNodes) {
     std::stable_partition(
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -218,7 +218,7 @@
     return best;
   }
   const auto is_off = [&set](Mechanism mechanism) {
-    return set.off.test(static_cast<std::size_t>(mechanism));
+    return set.disabled_mechanisms.test(static_cast<std::size_t>(mechanism));
   };
   const std::uint64_t session =
       is_off(Mechanism::kSessionAffinity) ? 0 : SessionHash(demand);
@@ -241,7 +241,7 @@
         EstimateUncachedTokens(*endpoint, demand, first, now);
     const PlacementCosts costs = ComputeCosts(
         {*endpoint, demand, uncached, pace, fleet, i < preferred, now},
-        set.off);
+        set.disabled_mechanisms);
     if (costs.Total() >= lowest_cost) continue;
     lowest_cost = costs.Total();
     best = {endpoint, PlacementReason::kCheapest, costs.UntilFirstEvent(),
--- a/routing/src/placement_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -113,10 +113,10 @@
 }
 
 PlacementCosts ComputeCosts(const CostInput& input,
-                            const DisabledMechanisms& off) {
+                            const DisabledMechanisms& disabled_mechanisms) {
   PlacementCosts costs;
   for (std::size_t i = 0; i < kMechanismCount; ++i) {
-    if (!off.test(i)) costs.ms[i] = kTerms[i].ms(input);
+    if (!disabled_mechanisms.test(i)) costs.ms[i] = kTerms[i].ms(input);
   }
   return costs;
 }
--- a/routing/tests/members_test.cc
+++ b/routing/tests/members_test.cc
@@ -301,7 +301,7 @@
   er::Members alone = er::MakeMembers(Node("n0"), {}, kStart);
   alone.self.leaving = true;
   LONGS_EQUAL(1, er::DirectoryFor(alone, "a", random, kStart).size());
-  alone.listens = false;
+  alone.is_listening = false;
   CHECK(er::DirectoryFor(alone, "a", random, kStart).empty());
 }
 
--- a/routing/tests/placement_load_test.cc
+++ b/routing/tests/placement_load_test.cc
@@ -95,7 +95,7 @@
 
   void SwitchOff(er::Mechanism mechanism) {
     for (const auto& set : sets_) {
-      set->off.set(static_cast<std::size_t>(mechanism));
+      set->disabled_mechanisms.set(static_cast<std::size_t>(mechanism));
     }
   }
   void Slow(std::size_t engine, double speed) {
--- a/routing/tests/placement_test.cc
+++ b/routing/tests/placement_test.cc
@@ -334,8 +334,9 @@
 TEST(ChoosePlacement, AMechanismThatIsSwitchedOffTakesNoPart) {
   for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
   set.tight_fraction = 0.25;
-  set.off.set(static_cast<std::size_t>(er::Mechanism::kEngineSplit));
-  set.off.set(static_cast<std::size_t>(er::Mechanism::kZone));
+  set.disabled_mechanisms.set(
+      static_cast<std::size_t>(er::Mechanism::kEngineSplit));
+  set.disabled_mechanisms.set(static_cast<std::size_t>(er::Mechanism::kZone));
   std::size_t at_tight = 0;
   for (std::uint64_t session = 1; session <= 200; ++session) {
     if (IsForTight(*Choose(Prompt(session)).endpoint)) ++at_tight;
