--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -113,8 +113,8 @@
   const auto calls = proxy->calls;
   for (const auto& [number, call] : calls) {
     DropAttempt(*proxy, call);
-    call->caller->OnGone(nullptr);
-    call->caller->Break();
+    call->caller->OnDisconnect(nullptr);
+    call->caller->Abort();
   }
   for (StoreReader& reader : proxy->readers) net::Cancel(reader.exchange);
   delete proxy;
@@ -131,7 +131,7 @@
   ProxyPtr proxy(new Proxy);
   proxy->loop = &loop;
   proxy->options = options;
-  proxy->endpoints.off = options.placing_without;
+  proxy->endpoints.disabled_mechanisms = options.placing_without;
   proxy->dialect = kernel::FindPlugin<Dialect>(options.dialect);
   if (proxy->dialect == nullptr) {
     return kernel::MakeError(kernel::ErrorCode::kInvalidInput, "start",
