--- a/routing/include/egretladder/routing/admission.h
+++ b/routing/include/egretladder/routing/admission.h
@@ -1,11 +1,11 @@
-// Whether a request is sent, waits or is refused: what an endpoint's expected
-// wait means for the caller.
+// Admission control: decides whether a request is sent, waits or is rejected,
+// from the expected wait at the endpoint that placement found.
 //
-// Load: a burst beyond what the engines bear. Without it every request is sent,
-// all of them start late, and callers wait seconds for answers that come after
-// their deadline. Refused at once, a caller can come back when the burst is
-// over (Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC
-// 2018: refuse early, by priority).
+// Guards against bursts beyond the engines' capacity. If every request were
+// sent, all of them would start late, and callers would wait seconds for
+// answers that arrive after their deadline. A caller that is rejected at once
+// can retry when the burst is over (Zhou et al., "Overload Control for Scaling
+// WeChat Microservices", SoCC 2018: reject early, by priority).
 #pragma once
 
 #include <chrono>
@@ -16,39 +16,41 @@
 
 namespace egretladder::routing {
 
-/// What is decided for one request now.
+/// The admission decision for one request at this moment.
 enum class AdmissionVerdict : std::uint8_t {
   kSend,
-  kWait,        ///< No endpoint may take it yet.
-  kTooLate,     ///< Its first event would come too late for its caller.
-  kNoEndpoint,  ///< It waited as long as is worth it.
+  kWait,        ///< No endpoint can take it yet.
+  kTooLate,     ///< Rejected: its first event is expected too late.
+  kNoEndpoint,  ///< Rejected: no endpoint became free within the allowed wait.
 };
-/// As logs show it.
+/// Returns the verdict's name in logs.
 const char* NameOf(AdmissionVerdict verdict);
 
-/// What the decision depends on.
+/// What the admission decision depends on.
 struct AdmissionInput {
-  Time waiting_since{};   ///< Since it has needed an endpoint.
+  Time waiting_since{};   ///< When the request began to need an endpoint.
   Time deadline{};        ///< The earlier of the caller's and the route's.
   milliseconds target{};  ///< Promised time to the first event.
-  /// It was sent before, so that giving up loses work: it waits longer.
+  /// The request was sent to an endpoint before. Rejecting it now would waste
+  /// the work done there, so it may wait longer.
   bool was_sent_before = false;
 };
 
-/// Decides. `placement` is what `Place` found.
-AdmissionVerdict DecideAdmission(const AdmissionInput& ask,
+/// Decides whether the request is sent, waits or is rejected. `placement` is
+/// the result of `ChoosePlacement` for the request.
+AdmissionVerdict DecideAdmission(const AdmissionInput& input,
                                  const Placement& placement, Time now);
 
-/// When a refused caller should come back: after the wait that it met, spread
-/// so that those refused together don't return together.
+/// Returns the retry delay for a rejected caller: the wait that the request
+/// met, with jitter so that callers rejected together don't return together.
 milliseconds RetryAfterRejection(const Placement& placement,
                                  milliseconds target, kernel::Random& random);
 
-/// When a caller should come back to a node that has known no rules for
-/// `lasted` so far: about as long again, since that is the best guess for an
-/// outage whose cause is not known. A node that just started knows them within
-/// milliseconds; one whose store is away may not for seconds, and callers have
-/// few tries.
+/// Returns the retry delay for a caller of a node that has had no rules for
+/// `lasted`. The delay is about `lasted` again, the best estimate for an outage
+/// of unknown cause: a node that just started gets its rules within
+/// milliseconds, one whose store is unreachable may need seconds, and callers
+/// have few retries.
 milliseconds RetryAfterNotReady(milliseconds lasted, kernel::Random& random);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/advertised_limits.h
+++ b/routing/include/egretladder/routing/advertised_limits.h
@@ -1,8 +1,9 @@
-// Limits that endpoints name in their answers: requests a second that they take
-// from all nodes together. How nodes share them is in shared_rate.h.
+// Rate limits that endpoints advertise in their answers: requests a second that
+// they accept from all nodes together. How nodes share them is in
+// shared_rate.h.
 //
-// Few nodes send to such an endpoint. The others hear from these that a limit
-// still holds, changed or ended.
+// Only a few nodes send to such an endpoint. The others learn from them by
+// gossip whether a limit still holds, has changed or has ended.
 #pragma once
 
 #include <optional>
@@ -14,23 +15,27 @@
 
 namespace egretladder::routing {
 
-/// What one node tells another of a limit.
+/// A limit, as nodes gossip it.
 struct LimitGossip {
   std::string endpoint;
-  double per_second = 0;  ///< 0: it ended.
-  milliseconds advertised_ago{};
+  double per_second = 0;          ///< Requests a second; 0: the limit ended.
+  milliseconds advertised_ago{};  ///< Age of the endpoint's last statement.
 };
 
-/// Takes the limit that an answer names, nothing if it names none. Returns true
-/// when the endpoint's limit began, ended or changed by more than
+/// Applies the limit that an answer advertises, nullopt if it advertises none.
+/// Returns true if the endpoint's limit began, ended or changed by more than
 /// `kMinLoggedLimitChangeRatio`.
 bool OnAdvertisedLimit(EndpointSet& set, Endpoint& endpoint,
                        std::optional<double> per_second, Time now);
 
-/// Takes what a peer told; what this node heard later stays. Returns the same.
+/// Applies a limit from a peer, unless this node knows a later one. Returns
+/// true if the limit began, ended or changed by more than
+/// `kMinLoggedLimitChangeRatio`.
 bool ApplyLimitGossip(EndpointSet& set, const LimitGossip& gossip, Time now);
 
-/// What to tell a peer: limits heard of lately, and those that ended.
+/// Returns the limits to send to a peer: those advertised within
+/// `kLimitFreshTime` and those that ended within it. If there are more than
+/// `kMaxLimitsPerExchange`, the result is a random selection.
 std::vector<LimitGossip> MakeLimitGossip(EndpointSet& set,
                                          kernel::Random& random, Time now);
 
--- a/routing/include/egretladder/routing/catalog.h
+++ b/routing/include/egretladder/routing/catalog.h
@@ -1,10 +1,11 @@
-// What is published, by revision: the part of the platform's store that this
-// node knows, and what it can pass on to peers.
+// The part of the platform's store that this node knows, by revision, in the
+// form in which it can be passed on to peers.
 //
-// Nodes read the store by list and watch. A node that the store turns away
-// learns the same changes from its peers, in the same form; a change is known
-// by its revision, so that news from two sources never go back.
-// Source: list and watch with resource versions, as in etcd's clients.
+// Nodes read the store by list and watch. A node that the store rejects gets
+// the same changes from its peers in the same form. Changes are ordered by
+// their revision, so that updates from two sources never move the state
+// backwards. The scheme follows list and watch with resource versions, as in
+// etcd's clients.
 #pragma once
 
 #include <array>
@@ -19,78 +20,81 @@
 
 using kernel::Time;
 
-/// The two parts of the store, each listed and watched by itself.
+/// The two parts of the store. Each is listed and watched separately.
 enum class Feed : std::uint8_t {
-  kRules,      ///< Routes and zones taken out.
-  kEndpoints,  ///< What endpoints say of themselves.
+  kRules,      ///< Routes and zones that are out.
+  kEndpoints,  ///< Entries that endpoints publish about themselves.
 };
-/// For logs and metrics.
+/// Returns the feed's name in logs and metrics.
 const char* NameOf(Feed feed);
 /// Number of feeds.
 inline constexpr std::size_t kFeedCount = 2;
 
-/// One item as it was written, or its removal.
+/// One item of the store as it was written, or a tombstone for its removal.
 struct Item {
   std::string key;
   std::string value;
-  std::uint64_t rev = 0;  ///< Of its last change.
-  bool removed = false;
+  std::uint64_t rev = 0;  ///< Revision of the item's last change.
+  bool removed = false;   ///< The item is a tombstone.
 };
 
-/// How far somebody knows a feed.
+/// How far a node knows a feed.
 struct FeedProgress {
-  std::uint64_t known = 0;    ///< All changes up to here; 0: none.
-  std::uint64_t changed = 0;  ///< The last of them.
+  /// All changes up to this revision are known; 0: none.
+  std::uint64_t known = 0;
+  std::uint64_t changed = 0;  ///< Revision of the last known change.
 };
 
 /// What is known of one feed.
 struct FeedState {
-  std::map<std::string, Item> items;  ///< Removed ones too, for a while.
-  std::map<std::string, Time> removed_at;
-  std::uint64_t revision = 0;  ///< All changes up to here are known.
-  std::uint64_t changed = 0;   ///< The last change that is known.
-  /// Removals up to here were forgotten: a peer that knows less needs a list.
+  std::map<std::string, Item> items;       ///< By key; includes tombstones.
+  std::map<std::string, Time> removed_at;  ///< Tombstones: when received.
+  std::uint64_t revision = 0;  ///< All changes up to this one are known.
+  std::uint64_t changed = 0;   ///< Revision of the last known change.
+  /// Tombstones up to this revision may be pruned: a peer that knows less needs
+  /// a complete list.
   std::uint64_t pruned_revision = 0;
 };
 
-/// All feeds.
+/// The state of all feeds.
 struct Catalog {
   std::array<FeedState, kFeedCount> feeds;
 };
 
-/// How long a removal is kept to be told to peers.
+/// How long a tombstone is kept so that peers still learn of the removal.
 inline constexpr std::chrono::seconds kTombstoneRetention{60};
 
-/// Changes of one feed, as one node tells another.
+/// Changes of one feed, as one node sends them to another.
 struct Changes {
   Feed feed = Feed::kRules;
-  bool whole = false;  ///< A list: what it leaves out is gone.
-  std::uint64_t revision = 0;
+  bool whole = false;  ///< A complete list: items missing from it are removed.
+  std::uint64_t revision = 0;  ///< The feed's revision after these changes.
   std::vector<Item> items;
 };
 
-/// Takes in changes, from a watch, a whole list or a peer. Returns the items
-/// that changed what is known, removals included. Old news change nothing.
+/// Applies changes from a watch, a complete list or a peer. Returns the items
+/// that changed the known state, including tombstones. Changes that are older
+/// than the known state have no effect.
 std::vector<Item> Apply(Catalog& catalog, const Changes& changes, Time now);
 
-/// What a peer that knows the feed up to `revision` lacks; no items and the
-/// same revision when it lacks nothing.
+/// Returns the changes that a peer lacks which knows the feed up to `revision`.
+/// If it lacks nothing, the result has no items and the feed's revision.
 Changes ChangesSince(const Catalog& catalog, Feed feed, std::uint64_t revision);
 
-/// How far this node knows a feed.
+/// Returns how far this node knows a feed.
 FeedProgress GetFeedProgress(const Catalog& catalog, Feed feed);
 
-/// Takes in how far a peer knows a feed. Returns true when this node lacks
-/// changes that the peer has; else it knows now, too, that nothing changed
-/// since.
+/// Applies a peer's progress in a feed. Returns true if the peer has changes
+/// that this node lacks. If the peer knows a later revision without later
+/// changes, this node's revision advances to it.
 bool ApplyPeerProgress(Catalog& catalog, Feed feed, const FeedProgress& peer);
 
-/// Forgets removals older than `kTombstoneRetention`.
+/// Drops tombstones older than `kTombstoneRetention`.
 void PruneTombstones(Catalog& catalog, Time now);
 
-/// State of one feed.
+/// Returns the state of one feed.
 FeedState& GetFeedState(Catalog& catalog, Feed feed);
-/// As above.
+/// Returns the state of one feed.
 const FeedState& GetFeedState(const Catalog& catalog, Feed feed);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/endpoints.h
+++ b/routing/include/egretladder/routing/endpoints.h
@@ -1,5 +1,6 @@
-// What one node knows of the endpoints: what they published, what this node
-// has in flight there, what peers said they have, and how far it trusts them.
+// What one node knows of the endpoints: the entries that they publish, this
+// node's requests in flight, the load that peers report, and their health as
+// this node's own requests show it.
 #pragma once
 
 #include <array>
@@ -24,162 +25,181 @@
 
 using kernel::Time;
 
-/// What an endpoint publishes of itself.
+/// What an endpoint publishes about itself.
 struct EndpointEntry {
-  std::string id;  ///< Of this start of its process.
+  /// Instance id. If it is published with another start time, address or
+  /// service, the process has restarted.
+  std::string id;
   std::string service;
   std::string address;  ///< `IP:port`.
   std::string zone;
-  std::uint32_t slots = 1;
-  bool leaving = false;  ///< Takes no new work.
-  milliseconds cold_left{};
-  std::uint64_t started_unix_ms = 0;  ///< Unix ms of its start; 0: not said.
+  std::uint32_t slots = 1;   ///< Requests that it runs concurrently.
+  bool leaving = false;      ///< Takes no new work.
+  milliseconds cold_left{};  ///< Time until it is warm after a cold start.
+  std::uint64_t started_unix_ms = 0;  ///< Process start; 0: not published.
 };
 
-/// A limit that an endpoint names for all nodes together.
+/// A rate limit that an endpoint advertises for all nodes together.
 struct AdvertisedLimit {
-  double per_second = 0;  ///< 0: none.
-  Time advertised_at{};   ///< When it last said so.
-  Time began_at{};        ///< When this node first heard of it.
-  Time ended_at{};        ///< When it last ceased to name one.
+  double per_second = 0;  ///< Requests a second; 0: no limit.
+  Time advertised_at{};   ///< When the endpoint last stated the limit.
+  Time began_at{};        ///< When this node first learned of the limit.
+  Time ended_at{};        ///< When the last limit ended.
 };
 
-/// What an entry makes of an endpoint.
+/// An endpoint's phase, as its entry in the store determines it.
 enum class EndpointPhase : std::uint8_t {
   kServing,
   kLeaving,
-  /// Its entry went during an outage of the store; believed for a while.
+  /// Its entry disappeared around an outage of the store. The endpoint stays
+  /// usable for `kLapseGrace`.
   kLapsed,
   kGone,
 };
-/// As logs show it.
+/// Returns the phase's name in logs.
 const char* NameOf(EndpointPhase phase);
 
-/// How far this node trusts an endpoint, from its own requests only: reports
-/// and health checks may be wrong either way.
+/// An endpoint's health, judged by this node's own requests only: reports and
+/// health checks can be wrong in either direction.
 struct EndpointHealth {
-  double failure_rate = 0;  ///< Share of failures, smoothed.
+  /// Moving average of the share of failed answers at `failure_rate_at`; see
+  /// `FailureRate`.
+  double failure_rate = 0;
   Time failure_rate_at{};
-  std::uint32_t refused_connections = 0;  ///< Connections, in a row.
-  Time avoid_until{};
-  Time full_until{};
-  double drift_ms = 0;        ///< First events later than expected, smoothed.
-  double mean_answer_ms = 0;  ///< Time of a whole answer, smoothed; 0: unknown.
+  std::uint32_t refused_connections = 0;  ///< Consecutive refusals.
+  Time avoid_until{};  ///< End of the backoff after refused connections.
+  Time full_until{};   ///< End of the pause after the endpoint said it is full.
+  /// Moving average of how much later than expected the first byte came.
+  double drift_ms = 0;
+  /// Moving average of the time to a complete answer; 0: unknown.
+  double mean_answer_ms = 0;
 };
 
-/// Ranks are few; what is less urgent shares the last place.
+/// Ranks that are counted separately. Less urgent ranks share the last one.
 inline constexpr std::size_t kTiers = 10;
 
-/// Work that waits for its first event, in prompt tokens, by rank.
+/// Prompt tokens of requests that wait for their first event, by rank.
 using TokensByTier = std::array<double, kTiers>;
 
-/// One endpoint.
+/// What this node knows of one endpoint.
 struct Endpoint {
   EndpointEntry entry;
-  /// Its place among the endpoints of its service by a hash of their names,
-  /// from 0 up to 1: the same at all nodes.
+  /// Position among the endpoints of its service, ordered by the hash of their
+  /// names, in [0, 1). It is the same at all nodes.
   double hash_position = 0;
   std::uint64_t name_hash = 0;
   EndpointPhase phase = EndpointPhase::kServing;
-  Time lapsed_until{};
+  Time lapsed_until{};  ///< While lapsed: when it is removed.
   Time cold_until{};
   AdvertisedLimit limit;
   Time last_limited_send{};  ///< Last request of this node under a shared rate.
-  std::uint32_t in_flight = 0;  ///< Of this node.
-  Time last_heard_at{};         ///< Last sign of life to this node.
-  TokensByTier waiting_tokens{};
-  double peers_in_flight = 0;
-  double peers_waiting_tokens = 0;
+  std::uint32_t in_flight = 0;  ///< Requests in flight from this node.
+  Time last_heard_at{};         ///< When this node last received bytes from it.
+  TokensByTier waiting_tokens{};    ///< Of this node's requests.
+  double peers_in_flight = 0;       ///< Requests in flight from other nodes.
+  double peers_waiting_tokens = 0;  ///< Prompt tokens of other nodes' requests.
   EndpointHealth health;
   EnginePace pace;
-  /// Requests of this node without an answer so far: when sent, and until when
-  /// an answer was expected.
+  /// This node's attempts without a first byte so far, by number: when each was
+  /// sent, and when its first byte was expected.
   std::map<std::uint64_t, std::pair<Time, Time>> unanswered;
-  /// Prompt parts that it read for this node, by their last use.
+  /// Prompt parts that it has processed for this node, with their last use.
   std::unordered_map<std::uint64_t, Time> parts;
 };
-/// Attempts in progress keep an endpoint that is no longer published.
+/// Shared, so that attempts in progress keep an endpoint that is no longer
+/// published.
 using EndpointPtr = std::shared_ptr<Endpoint>;
 
-/// Parts of the decision where a request goes; see `Mechanism` in place.h.
+/// Number of placement mechanisms; see `Mechanism` in placement.h.
 inline constexpr std::size_t kMechanismCount = 11;
-/// Mechanisms that settings switch off.
+/// The mechanisms that settings switch off.
 using DisabledMechanisms = std::bitset<kMechanismCount>;
 
-/// All endpoints that may get work, and those that just went.
+/// All published endpoints, lapsed and leaving ones included.
 struct EndpointSet {
   std::map<std::string, EndpointPtr> by_id;
-  /// By the hash of their names.
+  /// Each service's endpoints, sorted by the hash of their names.
   std::unordered_map<std::string, std::vector<EndpointPtr>> by_service;
   std::map<std::string, bool, std::less<>> zones_out;
-  std::set<std::string> limited;  ///< By id; those of which peers are told.
+  /// Ids of the endpoints whose limit, or its recent end, is gossiped to peers.
+  std::set<std::string> limited;
   std::unordered_map<std::string, ServicePace> service_paces;  ///< By service.
-  double tight_fraction = kDefaultTightFraction;               ///< See sides.h.
+  /// Fraction of the engines that serves tight streams; see engine_split.h.
+  double tight_fraction = kDefaultTightFraction;
   DisabledMechanisms disabled_mechanisms;
 };
 
-/// What became of an endpoint by a change of its entry; for the log.
+/// The effect that a change of its entry had on an endpoint, for the log.
 enum class EntryChange : std::uint8_t {
   kNone,
   kNew,
-  kRestarted,  ///< Same name, another process.
+  kRestarted,  ///< Another process published the same id.
   kChanged,
   kLeaving,
   kCold,
   kLapsed,
   kGone,
 };
-/// As logs show it.
+/// Returns the change's name in logs.
 const char* NameOf(EntryChange change);
 
-/// Takes an entry. A process that started anew begins without history.
+/// Applies a published entry. An endpoint whose process restarted starts
+/// without history.
 EntryChange OnEntryPublished(EndpointSet& set, const EndpointEntry& entry,
                              Time now);
 
-/// The entry is gone. `trouble`: the store was out of reach lately, so that the
-/// endpoint may have been unable to renew it; it is believed for `kLapseGrace`
-/// more.
+/// Applies the removal of an entry. If `store_was_unreachable` recently, the
+/// endpoint may have been unable to renew its entry, and a serving endpoint
+/// stays usable for another `kLapseGrace`.
 EntryChange OnEntryRemoved(EndpointSet& set, const std::string& id,
                            bool store_was_unreachable, Time now);
 
-/// Another process answers at its address: it gets no more work.
+/// Removes an endpoint because another process answers at its address.
 void OnWrongInstance(EndpointSet& set, const std::string& id);
 
-/// Ends the grace of lapsed entries. Returns the ids that went.
+/// Removes lapsed endpoints whose grace period is over. Returns their ids.
 std::vector<std::string> RemoveLapsedEndpoints(EndpointSet& set, Time now);
 
-/// Zones that operators took out get nothing new.
+/// Marks a zone that operators took out of service, or puts it back. Endpoints
+/// in a zone that is out get no new requests.
 void SetZoneOut(EndpointSet& set, const std::string& zone, bool is_out);
-/// True while nothing may be sent to the zone.
+/// Returns true while the zone is out.
 bool IsZoneOut(const EndpointSet& set, std::string_view zone);
 
-/// What the engines of the service have in common.
+/// Returns the learned pace of a service's engines; an empty one if none was
+/// learned yet.
 const ServicePace& FindServicePace(const EndpointSet& set,
                                    const std::string& service);
 
-/// Evidence of this node's own requests.
+/// Records that bytes arrived from the endpoint.
 void OnSignOfLife(Endpoint& endpoint, Time now);
-/// True when it gave a sign of life within `kRecentlyHeardWindow`.
+/// Returns true if bytes arrived from the endpoint within
+/// `kRecentlyHeardWindow`.
 bool IsRecentlyHeard(const Endpoint& endpoint, Time now);
+/// Records a refused connection and starts or doubles the connect backoff.
 void OnConnectFailed(Endpoint& endpoint, Time now);
-/// It broke off, or gave what is no answer.
+/// Records an attempt that ended without a valid answer.
 void OnAttemptFailed(Endpoint& endpoint, Time now);
-/// It said that it is full.
+/// Records that the endpoint reported to be full. It gets no requests for
+/// `pause`.
 void OnEndpointFull(Endpoint& endpoint, milliseconds pause, Time now);
-/// Its first byte came after `took`; `expected` was the estimate.
+/// Records that a first byte came after `elapsed`, where `expected` was the
+/// estimate.
 void OnFirstByte(Endpoint& endpoint, milliseconds elapsed,
                  milliseconds expected);
-/// It answered whole, after `took`.
+/// Records a complete answer after `elapsed`.
 void OnAnswered(Endpoint& endpoint, milliseconds elapsed, Time now);
-/// Share of failures as of now.
+/// Returns the failure rate at `now`; it halves every `kFailureHalfLife`.
 double FailureRate(const EndpointHealth& health, Time now);
-/// How much longer than expected its oldest request waits for a first byte.
+/// Returns by how much the oldest unanswered request exceeds the wait for a
+/// first byte that is still considered normal; 0 if it doesn't.
 milliseconds OverdueTime(const Endpoint& endpoint, Time now);
 
-/// Remembers that it read these prompt parts.
+/// Records that the endpoint processes these prompt parts.
 void RecordPromptParts(Endpoint& endpoint,
                        const std::vector<std::uint64_t>& parts, Time now);
-/// True when it is expected to hold the part.
+/// Returns true if the endpoint is expected to have the part in its prefix
+/// cache.
 bool HasCachedPart(const Endpoint& endpoint, std::uint64_t part, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/engine_split.h
+++ b/routing/include/egretladder/routing/engine_split.h
@@ -1,17 +1,17 @@
-// Keeps long prompts and tight streams at engines of their own.
+// Splits the engines of a service between tight streams and long prompts.
 //
-// Load: long prompts among streams whose events may not pause. An engine reads
-// a prompt in parts between the tokens of the streams beside it, and each part
-// makes a step three times as long: an event of nine tokens then comes 150 ms
-// after the one before, in place of 40. Kept apart, both are in time.
+// An engine prefills a long prompt in parts between the tokens of the streams
+// beside it, and each part makes a step three times as long. An event of nine
+// tokens then comes 150 ms after the one before, instead of 40 ms. On separate
+// engines both kinds of request are in time.
 //
-// All nodes reach the same division without asking each other: engines stand in
-// the order of a hash of their names, and the first ones, as many as the demand
-// for tight streams takes of the whole, are theirs. The demand is what engines
-// do for the requests that this node and its peers place: an engine with many
-// slots runs a stream beside many others, and one that lost a shared part reads
-// it anew. The boundary follows a burst of either kind within seconds and moves
-// one engine at a time.
+// All nodes derive the same split without asking each other. Engines are
+// ordered by the hash of their names, and the first ones serve tight streams:
+// as large a fraction of the engines as tight streams have of the demand. The
+// demand is the time that engines spend on the requests that this node and its
+// peers place: an engine with many slots runs a stream beside many others, and
+// one that no longer has a shared part cached prefills it again. The boundary
+// follows a burst of either kind within seconds and moves one engine at a time.
 #pragma once
 
 #include "egretladder/kernel/time.h"
@@ -20,56 +20,57 @@
 
 namespace egretladder::routing {
 
-/// Engines that the requests of each side keep busy, as a mean of the last
-/// seconds.
+/// Number of engines that each kind of request keeps busy, averaged over the
+/// last seconds.
 struct SplitDemand {
-  double tight = 0;  ///< Streams that must not pause.
+  double tight = 0;  ///< Tight streams.
   double rest = 0;   ///< Long prompts.
 };
 
-/// Measures the demand that one node sees.
+/// Measures the demand of the requests that one node places.
 struct SplitDemandMeter {
-  SplitDemand demand;  ///< As of `at`.
+  SplitDemand demand;  ///< Demand at `at`.
   Time at{};
 };
 
-/// A request is about to be sent where it was placed. What the engine will read
-/// of it counts, with shared parts that it doesn't hold, and its stream's part
-/// of a full batch there. Requests of neither side don't count.
+/// Adds a request that is about to be sent to the demand: the engine's time for
+/// prefilling what it hasn't cached, and the stream's part of a full batch
+/// there. A request that is neither a tight stream nor a long prompt isn't
+/// counted.
 void OnPlaced(SplitDemandMeter& meter, const Demand& demand,
               const Placement& placement, Time now);
 
-/// The demand as of now.
+/// Returns the demand at `now`.
 SplitDemand CurrentDemand(const SplitDemandMeter& meter, Time now);
 
-/// What nodes agree on of the mean demand of one node.
+/// The mean demand per node, on which the nodes agree by gossip.
 ///
-/// Each exchange takes the mean of both sides' figures, and each node
-/// feed_fetches its own slowly towards the demand that it measures (averaging
-/// by gossip: Jelasity and others, "Gossip-Based Aggregation in Large Dynamic
-/// Networks"). Nodes that each went by a measurement of their own would set
-/// boundaries that differ by a fifth, and the engines between them would get
-/// both kinds.
+/// In each exchange both nodes take the mean of their values, and each node
+/// moves its own value slowly towards the demand that it measures (Jelasity and
+/// others, "Gossip-Based Aggregation in Large Dynamic Networks"). If each node
+/// used only its own measurement, the boundaries would differ by a fifth, and
+/// the engines between them would get both kinds of request.
 struct FleetDemand {
   SplitDemand mean;
-  bool known = false;
-  Time updated_at{};
+  bool known = false;  ///< `mean` is set.
+  Time updated_at{};   ///< Last `FollowMeasuredDemand`; default: never.
 };
 
-/// A peer told its figure.
+/// Averages this node's value with a peer's.
 void MergePeerDemand(FleetDemand& fleet, const SplitDemand& peer);
-/// FeedFetches the figure towards the demand measured here; call at each
+/// Moves the value towards the demand measured at this node. Called at each
 /// exchange.
 void FollowMeasuredDemand(FleetDemand& fleet, const SplitDemandMeter& meter,
                           Time now);
 
-/// The part of the engines that is for tight streams.
+/// Returns the fraction of the engines that serves tight streams.
 double TightFraction(const SplitDemand& mean);
 
-/// True for a prompt that is read in several parts.
+/// Returns true for a prompt that is prefilled in several parts.
 bool IsLongPrompt(const Demand& demand);
 
-/// Whether the endpoint is on the demand's side; true for demands of neither.
+/// Returns true if the endpoint serves the demand's kind of request. All
+/// endpoints serve demands that are neither tight nor have a long prompt.
 bool IsOnDemandSide(const Endpoint& endpoint, const Demand& demand,
                     double tight_fraction);
 
--- a/routing/include/egretladder/routing/feed_fetch.h
+++ b/routing/include/egretladder/routing/feed_fetch.h
@@ -1,9 +1,9 @@
-// Which peer to ask for what a feed has changed.
+// Chooses the peer from which this node fetches the changes of a feed.
 //
-// Nodes announce the revision that they have; the changes themselves are asked
-// for, from one peer at a time, so that each node receives them once however
-// many peers have them. Another peer is asked when one is busy or silent
-// (lazy push, as in Leitao and others, "Epidemic Broadcast Trees", 2007).
+// Nodes announce only the revision that they have. The changes are fetched from
+// one peer at a time, so that each node receives them once, however many peers
+// have them. If that peer is busy or doesn't answer, another one is asked (lazy
+// push, as in Leitao and others, "Epidemic Broadcast Trees", 2007).
 #pragma once
 
 #include <array>
@@ -17,52 +17,56 @@
 
 namespace egretladder::routing {
 
-/// A peer that has news.
+/// A peer that announced changes.
 struct Offer {
-  std::string peer;   ///< Its address.
-  bool near = false;  ///< In the same availability zone.
-  std::uint64_t revision = 0;
-  Time not_before{};  ///< Not asked earlier: it was busy or failed.
+  std::string peer;            ///< The peer's address.
+  bool near = false;           ///< It is in the same availability zone.
+  std::uint64_t revision = 0;  ///< The latest revision that it announced.
+  Time not_before{};  ///< End of the backoff after it was busy or failed.
 };
 
-/// What is offered and asked of one feed.
+/// The state of fetching one feed's changes.
 struct FeedFetch {
-  std::vector<Offer> offers;  ///< The oldest first.
-  std::string asked_peer;     ///< The peer that is being asked; empty: none.
-  Time asked_at{};
+  std::vector<Offer> offers;  ///< Oldest first.
+  std::string asked_peer;     ///< Peer of the fetch in progress; empty: none.
+  Time asked_at{};            ///< When that fetch started.
 };
 
-/// Of all feeds.
+/// The state of fetching all feeds.
 struct FeedFetches {
   std::array<FeedFetch, kFeedCount> feeds;
 };
 
-/// State of one feed.
+/// Returns the state of one feed.
 FeedFetch& GetFeedFetch(FeedFetches& feed_fetches, Feed feed);
 
-/// A peer announced `revision`.
+/// Records that a peer announced `revision`. If `kMaxOffers` peers are known,
+/// the oldest offer is dropped.
 void OnOffer(FeedFetch& fetch, const std::string& peer, bool near,
              std::uint64_t revision);
 
-/// The peer to ask now, of those that have more than `own`; it then counts as
-/// asked. Empty: none has, one is being asked, or all were tried just now.
+/// Starts the next fetch if none is in progress. Returns the address of the
+/// peer to ask, which has a later revision than `own_revision`. The result is
+/// empty if no peer has one, a fetch is in progress, or all peers are in
+/// backoff. A fetch in progress for `kFetchTimeout` counts as failed.
 std::string StartNextFetch(FeedFetch& fetch, std::uint64_t own_revision,
                            Time now);
 
-/// The peer that was asked answered; what it sent is taken in, and what it
-/// announced before counts no longer.
+/// Records that the peer's changes arrived and were applied. Its earlier
+/// announcement is dropped.
 void OnFetchDone(FeedFetch& fetch, const std::string& peer);
 
-/// It was busy, or its connection broke: it is left alone for `pause`.
+/// Records that the peer was busy or its connection broke. It isn't asked again
+/// for `backoff`.
 void OnFetchFailed(FeedFetch& fetch, const std::string& peer,
                    milliseconds backoff, Time now);
 
-/// True when a peer may be sent `bytes` of changes while `unsent` bytes for
-/// other peers wait here.
+/// Returns true if `bytes` of changes can be sent to a peer while
+/// `unsent_bytes` for other peers are queued at this node.
 ///
-/// Load: a large change of the rules, for which many peers ask at once. Sent to
-/// all of them together, it fills this node's link until none has it in time,
-/// and callers' answers wait behind it.
+/// Many peers ask for a large change of the rules at once. If it were sent to
+/// all of them together, it would fill this node's link until none of them has
+/// it in time, and answers to callers would wait behind it.
 bool CanSendChanges(std::size_t bytes, std::size_t unsent_bytes);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/limits.h
+++ b/routing/include/egretladder/routing/limits.h
@@ -1,4 +1,5 @@
-// Every threshold of routing by discovered endpoints, and the load it answers.
+// All thresholds of routing by discovered endpoints, with the load or fault
+// that each of them answers.
 #pragma once
 
 #include <chrono>
@@ -9,323 +10,352 @@
 
 using std::chrono::milliseconds;
 
-// --- Placing (place.h) ---
+// --- Placement (placement.h) ---
 
-/// Prompt tokens that an engine reads in a millisecond. Only its ratio to the
-/// other costs matters: what it is wrong by shows as drift (endpoints.h) and is
-/// added to the cost of the endpoint.
+/// Prompt tokens that an engine prefills per millisecond. Only the ratio to the
+/// other costs matters: an error shows up as drift (endpoints.h) and is added
+/// to the endpoint's cost.
 inline constexpr double kPromptTokensPerMs = 150;
-/// What one more running request adds to the time to a first event, in ms: each
-/// step of the batch gets longer by its part.
+/// Time that each running request adds to the time to the first event, in ms,
+/// because it lengthens each step of the batch.
 inline constexpr double kCostPerRunningMs = 0.5;
-/// What a request adds to the wait at a service with few slots, as part of the
-/// mean time of a request there. In ms until a mean is known.
+/// Assumed mean time of a request that isn't a generation, in ms, until one was
+/// measured. Each running request adds the mean time divided by the endpoint's
+/// slots to the wait.
 inline constexpr double kDefaultServiceTimeMs = 40;
-/// Endpoints drawn at random beside those that the prompt's session prefers.
-/// Few, so that cost doesn't grow with the fleet and nodes with the same old
-/// news don't all run to one endpoint (Mitzenmacher, "The Power of Two
-/// Choices").
+/// Endpoints drawn at random as candidates beside those that the prompt's
+/// session prefers. With few candidates the cost doesn't grow with the fleet,
+/// and nodes with the same outdated load data don't all choose the same
+/// endpoint (Mitzenmacher, "The Power of Two Choices").
 inline constexpr std::size_t kRandomCandidates = 4;
-/// Shared tokens from which on a session prefers endpoints. Reading fewer anew
-/// takes little; kept together, a busy session fills an engine while others are
-/// idle.
+/// Shared tokens from which a session prefers endpoints. Prefilling fewer again
+/// takes little time, while keeping a busy session together fills one engine
+/// and leaves others idle.
 inline constexpr std::uint32_t kMinSessionTokens = 256;
-/// Endpoints that a session prefers, in order.
+/// Number of endpoints that a session prefers, in order.
 inline constexpr std::size_t kPreferredEndpoints = 3;
-/// What reading a shared part anew costs at an endpoint that the session
-/// doesn't prefer, times the time that it takes. The part then fills a second
-/// memory and delays all behind it: in a burst, work that spills freely is read
-/// anew everywhere, and the engines spend their time on that.
+/// Cost of prefilling a shared part at an endpoint that the session doesn't
+/// prefer, as a multiple of the time it takes. The part then occupies a second
+/// cache and delays all requests behind it. If work spilled over freely in a
+/// burst, shared parts would be prefilled at all engines and take up their
+/// time.
 inline constexpr double kUnpreferredRereadFactor = 24;
-/// The same at the endpoints that the session prefers after its first.
+/// The same factor at the endpoints that the session prefers after its first
+/// choice, which is assumed to have the shared parts cached.
 inline constexpr double kPreferredRereadFactor = 20;
-/// The most that reading shared parts anew costs, in ms: a request doesn't wait
-/// longer than this for the engine that holds them while another one is idle.
+/// Upper bound of the cost of prefilling shared parts again, in ms. A request
+/// doesn't wait longer than this for an engine that has them cached while
+/// another engine is idle.
 inline constexpr double kMaxRereadCostMs = 1600;
-/// A stream whose events may pause no longer than this is delayed past it by a
-/// long prompt beside it: an event holds several tokens, and each step that
-/// carries a part of the prompt takes several times as long.
+/// A stream whose events may pause at most this long is tight. A long prompt at
+/// the same engine delays it beyond the bound: an event holds several tokens,
+/// and each step that prefills a part of the prompt takes several times as
+/// long.
 inline constexpr milliseconds kMaxTightGap{200};
-/// A prompt longer than this, in tokens, is read in several parts.
+/// A prompt with more tokens than this is prefilled in several parts.
 inline constexpr std::uint32_t kLongPromptTokens = 4096;
-/// Below so many engines they are not divided: one of them is too large a part.
+/// With fewer engines than this the engines are not split, because one engine
+/// would be too large a fraction of them.
 inline constexpr std::size_t kMinEnginesToSplit = 24;
-/// How long a prompt part is expected to stay in an engine's memory after its
-/// last use here.
+/// How long a prompt part is expected to stay in an engine's prefix cache after
+/// this node last used it.
 inline constexpr milliseconds kPromptPartRetention{60'000};
-/// Prompt parts remembered for each endpoint, about 50 bytes each; the oldest
-/// go first.
+/// Prompt parts remembered per endpoint, about 50 bytes each. The least
+/// recently used are dropped first.
 inline constexpr std::size_t kMaxPromptParts = 4096;
-/// What another availability zone costs, in ms: a round trip, and a tie goes to
-/// the near one.
+/// Cost of an endpoint in another availability zone, in ms: a round trip. It
+/// also decides ties in favor of the near endpoint.
 inline constexpr double kOtherZoneCostMs = 2;
-/// What an endpoint that fails all requests costs, in ms: as much as a second's
-/// wait. One that fails some costs its part, so that an unwell endpoint is
-/// still used when the others have long queues.
+/// Cost of an endpoint that fails all requests, in ms: as much as a wait of a
+/// second. Lower failure rates cost proportionally less, so that an endpoint
+/// with some failures is still used when the others have long queues.
 inline constexpr double kFailureCostMs = 1000;
-/// What a cold endpoint costs, in ms.
+/// Cost of a cold endpoint, in ms. An endpoint whose entry has lapsed costs the
+/// same.
 inline constexpr double kColdCostMs = 200;
 
-// --- Sides (sides.h) ---
+// --- Engine split (engine_split.h) ---
 
-/// How long a request counts in the demand on average. Long enough for the few
-/// requests that one node sees, short enough for a burst to show.
+/// Time constant with which a request's part of the demand decays: long enough
+/// for the few requests that one node sees, short enough to show a burst.
 inline constexpr milliseconds kSplitDemandTimeConstant{2000};
-/// How fast the figure that nodes agree on follows what each measures; several
-/// exchanges average it over the fleet meanwhile.
+/// Time constant with which the fleet's agreed demand follows the demand that
+/// each node measures. Several exchanges average it over the fleet meanwhile.
 inline constexpr milliseconds kFleetDemandTimeConstant{1500};
-/// Room for tight streams beyond their mean demand, as a factor: one engine of
-/// theirs that is full costs more than one of the others.
+/// Headroom for tight streams as a factor on their mean demand: a full engine
+/// for tight streams costs more than a full engine of the others.
 inline constexpr double kTightDemandFactor = 1.15;
-/// Part of the engines for tight streams until a demand was seen.
+/// Fraction of the engines for tight streams until demand was measured.
 inline constexpr double kDefaultTightFraction = 0.25;
-/// Bounds of that part, so that the first requests of either kind find room.
+/// Lower bound of that fraction, so that the first tight streams find room.
 inline constexpr double kMinTightFraction = 0.1;
-/// As above.
+/// Upper bound of that fraction, so that the first long prompts find room.
 inline constexpr double kMaxTightFraction = 0.75;
 
 // --- Pace of engines (pace.h) ---
 
-/// What one more running request adds to the time between two events, as part
-/// of that time with nothing else running. A prior.
+/// Time that each running request adds between two events, relative to that
+/// time with no other request running. An assumed prior.
 inline constexpr double kPaceFactorPerRunning = 0.03;
-/// Time between two events until one was seen, in ms.
+/// Time between two events until one was measured, in ms.
 inline constexpr double kDefaultEventMs = 25;
-/// Events of a stream until one of its route ended.
+/// Events in a stream of a route until one of its streams has ended.
 inline constexpr double kDefaultStreamEvents = 32;
-/// The same of a long stream, three times as many.
+/// Events in a long stream of a route until one has ended: three times as many.
 inline constexpr double kDefaultLongStreamEvents = 3 * kDefaultStreamEvents;
-/// How much of the longest stream's lead over another one is forgotten when
-/// that one ends: some thirty later, little of it is left.
+/// Weight with which the longest known stream decays towards each stream that
+/// ends. After some thirty further streams little of its lead is left.
 inline constexpr double kLongStreamDecayWeight = 1.0 / 32;
-/// Events between two samples of one stream.
+/// Number of events between two samples of one stream.
 inline constexpr std::uint64_t kEventsPerPaceSample = 8;
-/// Weight of the newest sample in an engine's pace. Ten make up two thirds.
+/// Weight of the newest sample in an engine's pace. The ten newest samples make
+/// up two thirds of the average.
 inline constexpr double kEnginePaceWeight = 0.1;
-/// The same in the pace of a service: all its engines add to it.
+/// Weight of the newest sample in a service's pace, to which all its engines
+/// contribute.
 inline constexpr double kServicePaceWeight = 0.02;
-/// The same in the length of a route's streams; they differ by a factor of two.
+/// Weight of the newest stream in the mean length of a route's streams, which
+/// differ by a factor of two.
 inline constexpr double kStreamLengthWeight = 0.05;
-/// Samples as which the service's mean counts beside an engine's own.
+/// Number of samples as which the service's mean counts beside an engine's own
+/// samples.
 inline constexpr double kPacePriorSamples = 5;
-/// Samples of one engine that count; it may change.
+/// Upper bound on the sample count of one engine, because its pace may change.
 inline constexpr double kMaxPaceSamples = 30;
 
-// --- EndpointHealth in an endpoint (endpoints.h) ---
+// --- Endpoint health (endpoints.h) ---
 
-/// Weight of the newest answer in the share of failures and in the drift. Five
-/// answers make up two thirds.
+/// Weight of the newest answer in the failure rate and in the drift. The five
+/// newest answers make up two thirds of the average.
 inline constexpr double kNewestAnswerWeight = 0.2;
-/// Failures are forgotten by half in this time, so that an endpoint that got no
-/// requests for its failures is tried again.
+/// Half-life of the failure rate, so that an endpoint that gets no requests
+/// because of its failures is tried again.
 inline constexpr milliseconds kFailureHalfLife{2000};
-/// An endpoint that refused a connection is left alone this long; doubles.
+/// Backoff after an endpoint refused a connection. It doubles with each
+/// consecutive refusal.
 inline constexpr milliseconds kInitialConnectBackoff{150};
-/// Longest such time: an endpoint that comes back announces itself.
+/// Upper bound of that backoff. An endpoint that comes back announces itself.
 inline constexpr milliseconds kMaxConnectBackoff{2000};
-/// An endpoint that said it is full is left alone for about this long.
+/// Pause after an endpoint reported that it is full, approximately.
 inline constexpr milliseconds kFullPause{60};
-/// Unanswered requests are a sign of trouble once they wait longer than this
-/// times what was expected, and this long at least.
+/// An unanswered request counts as overdue after this multiple of its expected
+/// wait, but not before `kMinSilence`.
 inline constexpr double kSilenceFactor = 2;
-/// As above.
+/// Shortest wait after which an unanswered request counts as overdue.
 inline constexpr milliseconds kMinSilence{400};
 
-/// Work that may run once goes over a connection that is open already only if
-/// its endpoint was heard within this time. One that lost its power answers
-/// nothing and resets nothing: what is sent there is lost, while a new
-/// connection shows it before anything leaves. Longer than an engine is silent
-/// while it reads a prompt.
+/// Work that may run at most once goes over an open connection only if bytes
+/// arrived from the endpoint within this time. A host that lost power neither
+/// answers nor resets connections: a request sent there is lost, while a new
+/// connection fails before anything is sent. The time is longer than an engine
+/// is silent while it prefills a prompt.
 inline constexpr milliseconds kRecentlyHeardWindow{300};
 
-// --- Share of an endpoint among nodes ---
+// --- Sharing an endpoint among nodes (shared_rate.h) ---
 
-/// In flight from one node: this times its even part of the slots, so that
-/// uneven traffic finds room and all nodes together don't flood an endpoint.
+/// Upper bound of one node's requests in flight as a multiple of its even share
+/// of the slots, so that uneven traffic finds room and all nodes together don't
+/// overload an endpoint.
 inline constexpr double kSlotOvercommitFactor = 2.0;
-/// In flight from one node at least.
+/// Lower bound of that limit.
 inline constexpr std::uint32_t kMinSlotsPerNode = 2;
-/// Nodes that send to one cold endpoint at most; a rendezvous hash picks them.
-/// With more, each one's part of the rate falls below one request in a second
-/// or two, and their first requests together already exceed it.
+/// Upper bound on the nodes that send to one cold endpoint, chosen by
+/// rendezvous hashing. With more, each node's part of the rate would fall below
+/// one request in a second or two, and their first requests together would
+/// already exceed it.
 inline constexpr std::size_t kMaxColdSenders = 8;
 /// Part of a shared rate that is used. The nodes' views differ for a moment,
 /// and a request may arrive later than it was counted.
 inline constexpr double kUsableRateRatio = 0.8;
-/// Nodes that share a limit that an endpoint names: this many, and
-/// `kLimitSendersPerRate` for each request a second. Each may be one request
-/// early, and an endpoint that says what it takes has little room beyond it.
+/// Number of nodes that share an advertised limit: this many, plus
+/// `kLimitSendersPerRate` for each request a second. Each of them may send one
+/// request too early, and an endpoint that advertises a limit has little room
+/// beyond it.
 inline constexpr double kBaseLimitSenders = 3;
-/// As above.
+/// Additional senders for each request a second of an advertised limit.
 inline constexpr double kLimitSendersPerRate = 2;
-/// Whether a limit of which a node heard nothing for this long still holds is
-/// found out by requests, all nodes in turn.
+/// How long an advertised limit counts as confirmed. After that all nodes probe
+/// in turn whether it still holds.
 inline constexpr std::chrono::seconds kLimitFreshTime{10};
-/// Part of the limit that those requests take: they come beside the senders'.
+/// Part of the limit that the probes use, beside the senders' requests.
 inline constexpr double kLimitProbeRatio = 0.1;
-/// Limits told in one exchange; one takes about 40 bytes.
+/// Limits sent in one exchange, about 40 bytes each.
 inline constexpr std::size_t kMaxLimitsPerExchange = 16;
-/// Bounds of a limit, in requests a second. One that takes nothing still gets
-/// the least, so that the end of its limit shows within seconds.
+/// Lower bound of a limit, in requests a second. An endpoint that accepts
+/// nothing still gets this many, so that the end of its limit is noticed within
+/// seconds.
 inline constexpr double kMinLimitPerSecond = 0.5;
-/// As above.
+/// Upper bound of a limit, in requests a second.
 inline constexpr double kMaxLimitPerSecond = 1e6;
-/// A limit that changes by this part of it is logged.
+/// A limit that changes by more than this part of it is logged.
 inline constexpr double kMinLoggedLimitChangeRatio = 0.2;
-/// Nodes assumed while this one knows too little of the fleet.
+/// Number of nodes assumed while this node knows too little about its fleet.
 inline constexpr std::size_t kDefaultFleetSize = 12;
-/// A smaller fleet than was known is believed after this long: in a partition
-/// the others still send.
+/// How long the largest known fleet size is kept before a smaller one is
+/// believed. In a network partition the other nodes still send.
 inline constexpr std::chrono::seconds kFleetSizeRetention{60};
 
-// --- Endpoints that come and go ---
+// --- Endpoint registration (endpoints.h) ---
 
-/// How long an entry that was removed around an outage of the platform's store
-/// is still believed: leases ran out because nobody could renew them. Two
-/// seconds after they are gone nothing may be sent there, and a removal is
-/// noticed and acted on up to 0.2 s late.
+/// How long an endpoint stays usable after its entry was removed around an
+/// outage of the platform's store, when leases expired because nobody could
+/// renew them. Two seconds after the entry is gone nothing may be sent to the
+/// endpoint, and a removal is noticed and acted on up to 0.2 s late.
 inline constexpr milliseconds kLapseGrace{1800};
-/// An outage counts as recent for this long after its end.
+/// How long after its end an outage of the store counts as recent.
 inline constexpr milliseconds kRecentOutageWindow{2000};
 
-// --- Retries (retry_share.h) ---
+// --- Retries (retry_budget.h) ---
 
-/// Buckets of the window over which retries are counted.
+/// Number of buckets of the window over which retries are counted.
 inline constexpr std::size_t kRetryBuckets = 20;
-/// Part of the allowance that is used; nodes see their own part only, and
+/// Part of the retry allowance that is used. A node sees only its own part, and
 /// traffic is uneven.
 inline constexpr double kUsableRetryRatio = 0.8;
 
 // --- Requests that crash endpoints (suspects.h) ---
 
-/// Crashes in turn after which a request gets no endpoint. With two, a request
+/// Successive crashes after which a request is held back. With two, a request
 /// that met two failing endpoints by chance would be refused; the platform
 /// allows three.
 inline constexpr std::size_t kMaxCrashes = 3;
-/// How long it gets none. Callers give up within seconds, and an innocent one
-/// is let in again.
+/// How long a request is held back. Callers give up within seconds, and a
+/// harmless request is admitted again after it.
 inline constexpr std::chrono::milliseconds kSuspectHoldTime{60'000};
-/// How long a break is held against a request; longer than it is held back, so
-/// that one more crash holds it again.
+/// How long a broken connection counts against a request. It is longer than
+/// `kSuspectHoldTime`, so that one more crash holds the request back again.
 inline constexpr std::chrono::milliseconds kSuspectRetention{120'000};
-/// Suspects that a node remembers: a zone of a small fleet goes down with some
-/// hundred requests on it. About 200 bytes each.
+/// Suspects that a node remembers, about 200 bytes each. When a zone of a small
+/// fleet fails, some hundred requests are in flight there.
 inline constexpr std::size_t kMaxSuspects = 1024;
-/// Breaks remembered for one request.
+/// Broken connections remembered per request.
 inline constexpr std::size_t kMaxBreaksPerSuspect = 6;
-/// A suspect is told for this long after it changed, so that it reaches all
-/// nodes.
+/// How long a suspect is gossiped after it changed, so that the change reaches
+/// all nodes.
 inline constexpr std::chrono::milliseconds kSuspectGossipTime{3000};
-/// Suspects told in one exchange, newest first; one takes about 80 bytes.
+/// Suspects sent in one exchange, newest first, about 80 bytes each.
 inline constexpr std::size_t kMaxSuspectsPerExchange = 8;
-/// Ages grow by the time that a message takes. Two breaks of one endpoint that
-/// are closer than this are one; an endpoint takes longer to start again.
+/// Two breaks at one endpoint that are closer than this count as the same one:
+/// ages in gossip grow by the transfer time of the message, and an endpoint
+/// takes longer than this to restart.
 inline constexpr std::chrono::milliseconds kSameBreakWindow{500};
 
-// --- Waiting (waiting.h) ---
+// --- Admission (admission.h) ---
 
-/// Requests that wait at a node. Beyond it the least urgent are refused; their
-/// bodies count against the node's memory besides.
+/// Requests that may wait at a node. Beyond it the least urgent are rejected.
+/// Their bodies also count against the node's memory limit.
 inline constexpr std::size_t kMaxWaitingRequests = 1000;
-/// Part of its target time that a request waits for an endpoint to come free
-/// before it is refused: its caller still has time to come back elsewhere.
+/// Part of its target time that a request waits for a free endpoint before it
+/// is rejected, so that its caller still has time to retry at another node.
 inline constexpr double kMaxWaitRatio = 0.5;
-/// Shortest such wait.
+/// Lower bound of that wait.
 inline constexpr milliseconds kMinWait{50};
-/// The same for work that was sent before: an endpoint's crash is noticed by
-/// all within a second.
+/// Lower bound of that wait for work that was sent before. All nodes notice the
+/// crash of an endpoint within a second.
 inline constexpr milliseconds kMinResentWait{1000};
-/// Part of the time left within which a first event must be expected; else the
-/// request is refused at once.
+/// Part of the remaining time within which the first event must be expected.
+/// Otherwise the request is rejected at once.
 inline constexpr double kMaxExpectedWaitRatio = 0.7;
 
-/// Bounds of the time after which a caller comes back to a node without rules.
-/// Longer than the upper one, most callers would have no time left.
+/// Lower bound of the delay after which a caller returns to a node without
+/// rules.
 inline constexpr milliseconds kMinNotReadyRetryDelay{200};
-/// As above.
+/// Upper bound of that delay. After a longer one most callers would have no
+/// time left.
 inline constexpr milliseconds kMaxNotReadyRetryDelay{1500};
 
-// --- Stopping (stop_take.h) ---
+// --- Admission while stopping (stop_admission.h) ---
 
-/// What a long answer that is no stream takes, in times of the mean at its
-/// endpoint; one in twenty takes longer if times are spread evenly on a
-/// logarithmic scale of ten.
+/// Duration of a long answer that isn't a stream, as a multiple of the mean at
+/// its endpoint. One in twenty takes longer if durations are spread evenly on a
+/// logarithmic scale over a factor of ten.
 inline constexpr double kLongAnswerFactor = 3;
 
-// --- Members (members.h) ---
+// --- Members (members.h, store_readers.h) ---
 
-/// A fleet up to this size is small: every node tells its load and reads the
-/// store, and heartbeats are heard several times a second.
+/// Largest size of a small fleet. There every node sends its load and reads the
+/// store, and heartbeats arrive several times a second.
 inline constexpr std::size_t kMaxSmallFleetNodes = 16;
-/// Between two exchanges with peers, in a small fleet.
+/// Interval between exchanges with peers in a small fleet.
 inline constexpr milliseconds kExchangeInterval{100};
-/// The same in a large one, where each message carries more members.
+/// Interval between exchanges in a large fleet, where each message carries more
+/// members.
 inline constexpr milliseconds kLargeFleetExchangeInterval{200};
-/// In a large fleet one exchange in so many may leave the availability zone.
-/// Bytes between zones cost more, and each zone has nodes enough to carry its
-/// news over.
+/// In a large fleet one exchange in this many may go to another availability
+/// zone. Bytes between zones cost more, and each zone has enough nodes to carry
+/// its changes to the others.
 inline constexpr std::size_t kExchangesPerOtherZone = 4;
-/// A member whose heartbeat hasn't risen for this long is left out of what
-/// callers are told.
+/// A member whose heartbeat hasn't risen for this long is left out of the
+/// directory for callers.
 inline constexpr milliseconds kMaxMemberSilence{2000};
-/// The same in a large fleet: a heartbeat passes through several nodes.
+/// The same in a large fleet, where a heartbeat passes through several nodes.
 inline constexpr milliseconds kLargeFleetMaxMemberSilence{4000};
-/// A member unheard for this long is forgotten.
+/// A member whose heartbeat hasn't risen for this long is forgotten.
 inline constexpr std::chrono::seconds kMemberRetention{60};
-/// Members told whole in one exchange; one takes about 130 bytes.
+/// Complete member records sent in one exchange, about 130 bytes each.
 inline constexpr std::size_t kMaxMembersPerExchange = 16;
-/// Pulses told in one exchange; one takes 16 bytes. With a quarter of a fleet
-/// of hundreds in each message no node looks silent by chance.
+/// Heartbeats sent in one exchange, 16 bytes each. With a quarter of a fleet of
+/// hundreds in each message, no node seems silent by chance.
 inline constexpr std::size_t kMaxHeartbeatsPerExchange = 96;
-/// A member is told whole for this long after this node met it.
+/// How long a member's complete record is sent after this node first learned of
+/// it.
 inline constexpr std::chrono::seconds kNewMemberTime{3};
-/// Nodes asked for at once; as many as are told whole.
+/// Nodes whose records are requested at once: as many as are sent in one
+/// exchange.
 inline constexpr std::size_t kMaxUnknownNodes = kMaxMembersPerExchange;
-/// Nodes that read the platform's store for all. Each call is counted, and a
-/// watch answers every reader; more than a few add calls, not safety, since a
-/// reader that fails is replaced.
+/// Nodes that read the platform's store for all. Each call to the store is
+/// counted, and a watch answers every reader. More readers would add calls but
+/// no safety, since a reader that fails is replaced.
 inline constexpr std::size_t kMaxReaders = 5;
-/// A node younger than this knows too few others to tell whether it is one.
+/// A node younger than this knows too few others to tell whether it is a
+/// reader.
 inline constexpr std::chrono::seconds kMinReaderAge{1};
 /// Nodes of a large fleet that may become readers. While nobody can read the
-/// store these try, and no others. Where the store turns a third of the nodes
-/// away, all twelve are among these once in five hundred thousand times.
+/// store, only these try. If the store rejects a third of the nodes, the
+/// probability that all twelve are among them is one in five hundred thousand.
 inline constexpr std::size_t kMaxReaderCandidates = 12;
-/// An exchange unanswered for this long hangs: answers take a round trip.
+/// An exchange without an answer for this long is stalled; an answer takes a
+/// round trip.
 inline constexpr milliseconds kExchangeStallTime{200};
-/// Peers tried in one turn at most.
+/// Upper bound on the peers tried in one turn.
 inline constexpr std::size_t kMaxPeersPerTurn = 8;
-/// Between two messages by which a reader shows its standbys that it is there.
+/// Interval between messages with which a reader shows its standbys that it is
+/// alive.
 inline constexpr milliseconds kReaderHeartbeatInterval{400};
-/// A reader unheard for three of these is silent to the first standby. Changes
-/// have seconds to be in force everywhere, and spreading takes its part.
+/// Silence after which the first standby replaces a reader: three of those
+/// intervals. Changes have seconds to be in force everywhere, and gossip takes
+/// part of that time.
 inline constexpr milliseconds kMaxReaderSilence{1200};
-/// Each further standby waits this much longer, so that few read together.
+/// Additional wait of each further standby, so that few of them start to read
+/// together.
 inline constexpr milliseconds kStandbyStagger{150};
-/// Peers that a reader tells of news at once.
+/// Peers to which a reader announces changes at once.
 inline constexpr std::size_t kReaderFanout = 16;
-/// Peers that any other node tells of news that it took, in a large fleet.
+/// Peers to which any other node announces changes that it applied, in a large
+/// fleet.
 inline constexpr std::size_t kRelayFanout = 2;
-/// What peers said of their load counts for this long.
+/// How long load that peers reported is used.
 inline constexpr milliseconds kPeerLoadRetention{2000};
-/// Nodes told to one caller.
+/// Upper bound on the nodes in the directory for one caller.
 inline constexpr std::size_t kMaxDirectoryNodes = 64;
 
-// --- FeedFetches (feed_fetches.h) ---
+// --- Fetching changes from peers (feed_fetch.h) ---
 
-/// Peers with news that are remembered for each feed.
+/// Peers with changes that are remembered per feed.
 inline constexpr std::size_t kMaxOffers = 8;
-/// A peer asked for changes that hasn't sent them by then is left for another.
+/// Time after which a peer that was asked for changes and hasn't sent them is
+/// given up for another one.
 inline constexpr milliseconds kFetchTimeout{700};
-/// A peer that was silent or broke off is asked again after this.
+/// Time before a peer that timed out or whose connection broke is asked again.
 inline constexpr milliseconds kFetchTimeoutBackoff{1000};
-/// One that was busy; a large change leaves a slow link within it.
+/// Time before a busy peer is asked again. It is enough to send a large change
+/// over a slow link.
 inline constexpr milliseconds kFetchBusyBackoff{60};
-/// Changes up to this many bytes are sent to all that ask: telling them to ask
-/// another peer costs about as much.
+/// Changes up to this many bytes are sent to every peer that asks, because
+/// telling it to ask another peer costs about as much.
 inline constexpr std::size_t kSmallChangesBytes = 4096;
-/// Larger ones wait while this many bytes for other peers are unsent: a few
-/// tens of milliseconds of a slow link.
+/// Larger changes are refused while this many bytes for other peers are unsent,
+/// which is a few tens of milliseconds of a slow link.
 inline constexpr std::size_t kMaxPeerBacklogBytes = std::size_t{48} << 10U;
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -1,10 +1,12 @@
-// The nodes of the fleet, found through seeds and kept by gossip alone.
+// Membership of the fleet: nodes are discovered through seeds and tracked by
+// gossip alone.
 //
-// Each node raises a heartbeat; exchanges spread the newest ones. Nobody is
-// declared dead for others: a member whose heartbeat stands still here is left
-// out of what callers are told, and is back as soon as it rises. A node that
-// hears an older life of its own outbids it, since its clock may have gone back
-// (SWIM: Das et al., DSN 2002).
+// Each node increments a heartbeat, and exchanges spread the newest values. No
+// node declares another one dead for the whole fleet: a member whose heartbeat
+// doesn't rise at this node is left out of the directory for callers, and
+// returns as soon as it rises. A node that learns of another incarnation of
+// itself which seems newer chooses a higher one, because its clock may have
+// been set back (SWIM: Das et al., DSN 2002).
 #pragma once
 
 #include <chrono>
@@ -21,21 +23,21 @@
 
 namespace egretladder::routing {
 
-/// One node, as nodes tell each other.
+/// One node, as nodes gossip it.
 struct Member {
   std::string node;
   std::string callers;  ///< Address for callers, `IP:port`.
-  std::string peers;    ///< Address for nodes.
+  std::string peers;    ///< Address for other nodes, `IP:port`.
   std::string zone;
   std::string region;
-  std::uint64_t incarnation = 0;  ///< Rises with each start.
+  std::uint64_t incarnation = 0;  ///< Rises with each start of the process.
   std::uint64_t heartbeat = 0;
   bool leaving = false;
   bool store_troubled = false;  ///< It fails to read the platform's store.
 };
 
-/// A heartbeat of a node that others know already: 16 bytes, where a `Member`
-/// takes about 130.
+/// The heartbeat of a node that other nodes know already: 16 bytes, where a
+/// `Member` takes about 130.
 struct MemberHeartbeat {
   std::uint32_t node = 0;               ///< Low half of the hash of its name.
   std::uint32_t short_incarnation = 0;  ///< Low half of its incarnation.
@@ -44,100 +46,113 @@
   bool store_troubled = false;
 };
 
-/// What one exchange tells of members.
+/// The members that one exchange gossips.
 struct MemberGossip {
   std::vector<Member> members;  ///< The sender first.
   std::vector<MemberHeartbeat> pulses;
-  /// Nodes of which the sender heard a pulse and doesn't know who they are.
+  /// Hashes of nodes whose heartbeat the sender received and whose record it
+  /// lacks.
   std::vector<std::uint32_t> unknown;
 };
 
-/// What this node knows of another.
+/// What this node knows about another one.
 struct KnownMember {
   Member member;
-  Time heartbeat_at{};       ///< When its heartbeat last rose here.
-  Time first_seen_at{};      ///< When this life of it was first heard of.
-  Time last_message_at{};    ///< Last message from it; default: none.
-  bool unreachable = false;  ///< Refused a connection since.
+  Time heartbeat_at{};   ///< When its heartbeat last rose at this node.
+  Time first_seen_at{};  ///< When its incarnation was first seen.
+  Time
+      last_message_at{};  ///< Last message from the node itself; default: none.
+  bool unreachable = false;  ///< It refused a connection since.
 };
 
-/// All nodes.
+/// This node and all nodes that it knows.
 struct Members {
   Member self;
   std::vector<std::string> seeds;
-  bool is_listening = true;  ///< This node takes connections of callers.
-  std::map<std::string, KnownMember> others;
+  bool is_listening = true;  ///< This node accepts connections of callers.
+  std::map<std::string, KnownMember> others;  ///< By node name.
   Time started{};
   Time last_exchange_at{};  ///< Last time a peer answered; default: never.
+  /// Largest fleet size seen within `kFleetSizeRetention`; see
+  /// `EstimateFleetSize`.
   std::size_t max_nodes = 1;
   Time max_nodes_at{};
-  std::size_t exchange_count = 0;
-  std::vector<std::uint32_t> unknown;  ///< As in `MemberGossip`.
+  std::size_t exchange_count = 0;  ///< Exchanges for which a peer was picked.
+  std::vector<std::uint32_t> unknown;  ///< See `MemberGossip::unknown`.
 };
 
-/// Begins with this node alone.
+/// Returns a membership that holds this node alone.
 Members MakeMembers(const Member& self, const std::vector<std::string>& seeds,
                     Time now);
 
-/// Raises the own heartbeat; call once an exchange period.
+/// Increments this node's heartbeat. Called once per exchange interval.
 void IncrementHeartbeat(Members& members, Time now);
 
-/// Takes what a peer told. Returns those that are new or came back, for the
-/// log.
+/// Applies gossip from a peer. Returns the names of members that are new or
+/// came back, for the log.
 std::vector<std::string> ApplyMemberGossip(Members& members,
                                            const MemberGossip& gossip,
                                            Time now);
 
-/// A peer answered an exchange.
+/// Records that a peer answered an exchange.
 void OnExchangeAnswered(Members& members, Time now);
-/// A message came from the node with that peer address.
+/// Records a message from the node with that peer address.
 void OnPeerMessage(Members& members, const std::string& peer_address, Time now);
-/// Nothing listens at the peer address: its process is gone until its heartbeat
-/// rises again.
+/// Records that nothing listens at the peer address. The node counts as
+/// unreachable until its heartbeat rises again.
 void OnPeerUnreachable(Members& members, const std::string& peer_address,
                        Time now);
 
-/// What to tell: this node, those met lately and those that the peer doesn't
-/// know (`asked`) whole, and of the others some pulses.
+/// Returns the gossip for a peer: complete records of this node, of members
+/// first seen within `kNewMemberTime` and of the nodes in `requested`, whose
+/// records the peer lacks; and heartbeats of some of the others.
 MemberGossip MakeMemberGossip(const Members& members,
                               const std::vector<std::uint32_t>& requested,
                               kernel::Random& random, Time now);
 
-/// Peer address for the next exchange: a member drawn at random, or now and
-/// then a seed that isn't known yet; empty: none.
+/// Returns the peer address for the next exchange: that of a random member, or
+/// now and then that of a seed, which may not be a member yet. It is empty if
+/// there is none.
 std::string PickExchangePeer(Members& members, kernel::Random& random,
                              Time now);
 
-/// Peers to exchange with at one turn while earlier exchanges hang.
+/// Returns the number of peers to exchange with in one turn while `stalled`
+/// earlier exchanges are unanswered.
 ///
-/// Load: most nodes lose their power at once. The others look for each other
-/// among peers that answer nothing, while the rules change.
+/// If most nodes lose power at once, the survivors must find each other among
+/// peers that don't answer, fast enough to learn of changed rules in time.
 std::size_t MaxPeersToTry(std::size_t stalled);
 
-/// How long a member may be silent, by the size of the fleet.
+/// Returns how long a member's heartbeat may stand still before the member
+/// counts as silent. It depends on the size of the fleet.
 std::chrono::milliseconds MaxMemberSilence(const Members& members);
 
-/// True for a member that callers may use.
+/// Returns true if callers can use the member: it isn't leaving, unreachable or
+/// silent.
 bool IsMemberAvailable(const Members& members, const KnownMember& known,
                        Time now);
 
-/// True when the fleet is small; see `kMaxSmallFleetNodes`.
+/// Returns true if the fleet is small; see `kMaxSmallFleetNodes`.
 bool IsSmallFleet(const Members& members);
 
-/// Addresses for a caller in `zone`: nodes that are there, this one last
-/// resort while it listens; empty: none.
+/// Returns the caller addresses of the available nodes, for a caller in `zone`.
+/// If no node is available, the result is this node's address while it listens,
+/// and empty otherwise.
 std::vector<std::string> DirectoryFor(const Members& members,
                                       std::string_view zone,
                                       kernel::Random& random, Time now);
 
-/// Nodes among which is shared what all share; see `PartOf`.
+/// Returns the number of nodes among which shared limits are divided; see
+/// `MakeFleetSnapshot`.
 std::size_t EstimateFleetSize(Members& members, Time now);
 
-/// This node's part of what all share. After a start, in a partition and after
-/// losses the fleet counts as large as it was known to be.
+/// Returns what this node knows about the fleet. After a start, in a network
+/// partition and after losses of nodes, the fleet counts as large as it was
+/// last known to be.
 FleetSnapshot MakeFleetSnapshot(Members& members, Time now);
 
-/// Forgets members unheard for `kMemberRetention`. Returns their names.
+/// Forgets members whose heartbeat hasn't risen for `kMemberRetention`. Returns
+/// their names.
 std::vector<std::string> ForgetMembers(Members& members, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/next_step.h
+++ b/routing/include/egretladder/routing/next_step.h
@@ -1,10 +1,11 @@
-// What follows when an attempt at an endpoint ended: another one, the
-// endpoint's answer, or an honest failure.
+// Decides what follows when an attempt at an endpoint has ended: another
+// attempt, the endpoint's answer, or an error that says whether the request
+// may have run.
 //
-// Goes wrong without it: work that may not be repeated runs twice, or a caller
-// is told "not run" of work that ran, and sends it again. Both follow from
-// guessing what a broken connection means, so that the outcome is kept in three
-// values: certainly not run, unknown, answered.
+// A broken connection doesn't show whether the endpoint ran the request.
+// Guessing would run non-idempotent work twice, or tell a caller "not run" of
+// work that ran, so that it sends the work again. The outcome is therefore kept
+// in three values: certainly not run, unknown, answered.
 #pragma once
 
 #include <cstdint>
@@ -18,57 +19,61 @@
 
 /// How an attempt ended.
 enum class AttemptOutcome : std::uint8_t {
-  kNotSent,        ///< No byte left: there was no connection.
-  kFull,           ///< The endpoint says that it did not run it.
+  kNotSent,        ///< No connection, so no byte was sent.
+  kFull,           ///< The endpoint reported that it did not run the request.
   kWrongInstance,  ///< Another process has the address; not run.
-  kBroken,         ///< No whole answer: outcome unknown.
-  kBadAnswer,      ///< An answer that can't be passed on: outcome unknown.
-  kSilent,         ///< This node gave up waiting: outcome unknown.
-  kFailed,         ///< A whole answer that is a failure of the endpoint's own.
-  kSucceeded,      ///< A whole answer.
+  kBroken,         ///< The connection broke before a complete answer; unknown.
+  kBadAnswer,      ///< The answer can't be forwarded; outcome unknown.
+  kSilent,         ///< Timed out waiting for the answer; outcome unknown.
+  kFailed,         ///< Complete answer that reports an endpoint failure.
+  kSucceeded,      ///< Complete answer.
 };
-/// As logs show it.
-const char* NameOf(AttemptOutcome end);
+/// Returns the outcome's name in logs.
+const char* NameOf(AttemptOutcome outcome);
 
-/// True when the endpoint certainly did not run the request.
-bool IsNotRun(AttemptOutcome end);
+/// Returns true if the endpoint certainly did not run the request.
+bool IsNotRun(AttemptOutcome outcome);
 
-/// What follows.
+/// What to do with a request after an attempt.
 enum class NextStep : std::uint8_t {
-  kSendAgain,  ///< Whole, at another endpoint.
-  kResume,     ///< From the last event that the caller got.
-  kPassOn,     ///< Give the caller the endpoint's answer.
-  kRefuse,     ///< 503: it never ran and never will.
-  kUnknown,    ///< 502: it may have run.
-  kBreakOff,   ///< The caller has a part: close, so that it looks incomplete.
+  kSendAgain,  ///< Send the complete request to another endpoint.
+  kResume,     ///< Continue the stream after the last event the caller got.
+  kPassOn,     ///< Forward the endpoint's answer to the caller.
+  kRefuse,     ///< Answer 503: the request did not run and will not.
+  kUnknown,    ///< Answer 502: the request may have run.
+  /// Close the connection, so that the partial answer that the caller already
+  /// has is recognized as incomplete.
+  kBreakOff,
 };
-/// As logs show it.
+/// Returns the step's name in logs.
 const char* NameOf(NextStep step);
 
-/// What the decision depends on.
+/// What the next step depends on.
 struct NextStepInput {
   AttemptOutcome end = AttemptOutcome::kBroken;
-  bool is_repeatable = false;      ///< `MayRepeat` of the route.
-  bool resumable = false;          ///< A stream that may go on elsewhere.
-  bool is_answer_started = false;  ///< The caller has a part of an answer.
-  std::uint32_t attempts = 1;      ///< Allowed by the route.
+  bool is_repeatable = false;      ///< `IsRouteRepeatable` of the route.
+  bool resumable = false;          ///< The stream can resume elsewhere.
+  bool is_answer_started = false;  ///< The caller has part of an answer.
+  std::uint32_t attempts = 1;      ///< Attempts that the route allows.
   std::uint32_t may_have_run = 0;  ///< Attempts so far that may have run.
-  std::uint32_t not_run = 0;  ///< Attempts so far that an endpoint turned away.
-  std::uint32_t not_sent = 0;  ///< Attempts so far without a connection.
-  bool has_time_left = true;
+  std::uint32_t not_run = 0;       ///< Attempts so far that endpoints rejected.
+  std::uint32_t not_sent = 0;      ///< Attempts so far without a connection.
+  bool has_time_left = true;       ///< The request's deadline has not passed.
 };
 
-/// Sends that endpoints turned away, before a request is refused. Each meets
-/// another endpoint; more would let one request knock at a whole full fleet.
+/// Attempts rejected by endpoints before the request itself is rejected. Each
+/// attempt goes to another endpoint, and a higher bound would let one request
+/// try every endpoint of a full fleet.
 inline constexpr std::uint32_t kMaxNotRunAttempts = 3;
-/// Connections that were refused before a request is. They cost no endpoint
-/// anything and take a millisecond; with a third of the endpoints gone one
-/// request in 6,000 meets eight of these in a row, and one in 27 three.
+/// Failed connections before the request is rejected. A refused connection
+/// costs the endpoint nothing and takes a millisecond. With a third of the
+/// endpoints gone, one request in 6,000 meets eight refusals in a row, and one
+/// in 27 meets three.
 inline constexpr std::uint32_t kMaxNotSentAttempts = 8;
 
-/// Decides. When it says `kSendAgain` or `kResume`, the caller of this function
-/// still has to find room in the retry share; without it, ask again with
-/// `time_left` false.
-NextStep DecideNextStep(const NextStepInput& after);
+/// Decides the next step. For `kSendAgain` and `kResume` the caller still has
+/// to take a retry from the retry budget; if none is left, it calls this
+/// function again with `has_time_left` set to false.
+NextStep DecideNextStep(const NextStepInput& input);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/pace.h
+++ b/routing/include/egretladder/routing/pace.h
@@ -1,10 +1,11 @@
-// How fast an engine makes the events of a stream, learned from the streams
-// that this node passes on.
+// How fast an engine produces the events of a stream, learned from the streams
+// that this node forwards.
 //
-// Load: engines of one service differ, and all slow down with what they run.
-// A stream of fifty events takes 1.2 s at one and 2 s at another; it is in time
-// at the one only, and more often cut by what happens meanwhile. Nothing is
-// asked of the engines: what callers get is the measure.
+// Engines of one service differ in speed, and all of them slow down with the
+// number of requests they run. A stream of fifty events takes 1.2 s at one
+// engine and 2 s at another: only the first is in time, and a longer stream is
+// more often cut by a failure or a stop. The engines report nothing for this;
+// the pace is measured on the events that callers receive.
 #pragma once
 
 #include <chrono>
@@ -15,57 +16,61 @@
 
 namespace egretladder::routing {
 
-/// Of one engine.
+/// The learned pace of one engine.
 struct EnginePace {
-  /// Between two events with nothing else running, in ms, smoothed.
+  /// Time between two events with no other request running, in ms; a moving
+  /// average.
   double unloaded_event_ms = 0;
-  /// Samples so far, `kMaxPaceSamples` at most; few of them say little.
+  /// Number of samples, `kMaxPaceSamples` at most. With few samples the mean of
+  /// the service weighs more.
   double samples = 0;
 };
 
-/// Of whole streams of one route.
+/// The learned length of one route's streams.
 struct StreamLength {
-  double events = 0;  ///< Smoothed.
-  double ms = 0;      ///< From the first event to the end, smoothed.
-  /// Events of about the longest in thirty. Lengths of one route differ by a
-  /// factor of ten and more, so that the mean says little of how long one may
-  /// last.
+  double events = 0;  ///< Moving average.
+  double ms = 0;      ///< From the first event to the end; a moving average.
+  /// Events of about the longest stream in thirty. Lengths of one route differ
+  /// by a factor of ten and more, so the mean says little about how long a
+  /// stream can last.
   double longest = kDefaultLongStreamEvents;
 };
 
-/// What the engines of one service have in common.
+/// What is learned about all engines of one service.
 struct ServicePace {
-  /// Mean of the engines' `unloaded_event_ms`; a prior for those not seen yet.
+  /// Mean of the engines' `unloaded_event_ms`, the prior for an engine without
+  /// samples.
   double unloaded_event_ms = 0;
   std::unordered_map<std::string, StreamLength> lengths;  ///< By route.
 };
 
-/// Takes one sample: `pause` between two events while `running` requests ran at
-/// the engine.
+/// Adds a sample: the time between two events while the engine ran `running`
+/// requests.
 void OnEventInterval(EnginePace& engine, ServicePace& service, double running,
                      std::chrono::duration<double, std::milli> event_interval);
 
-/// A stream of the route ended whole after `events`, which took `lasted`.
+/// Records that a stream of the route ended completely after `events` events.
+/// `duration` is the time from its first event to its end.
 void OnStreamEnded(ServicePace& service, const std::string& route,
                    double events,
                    std::chrono::duration<double, std::milli> duration);
 
-/// A stream of the route is still running after `events`. Those that last long
-/// are seen here seconds before they end.
+/// Records that a stream of the route is still running after `events` events.
+/// Long streams are thus known seconds before they end.
 void OnStreamRunning(ServicePace& service, const std::string& route,
                      double events);
 
-/// Events that a stream of the route is expected to have.
+/// Returns the expected number of events in a stream of the route.
 double ExpectedStreamEvents(const ServicePace& service,
                             const std::string& route);
-/// How long a stream of the route is expected to run, in ms.
+/// Returns the expected duration of a stream of the route, in ms.
 double ExpectedStreamMs(const ServicePace& service, const std::string& route);
 
-/// Events that a long stream of the route has.
+/// Returns the number of events in a long stream of the route.
 double LongStreamEvents(const ServicePace& service, const std::string& route);
 
-/// Expected time between two events at an engine that runs `running` requests,
-/// in ms.
+/// Returns the expected time between two events at an engine that runs
+/// `running` requests, in ms.
 double ExpectedEventMs(const EnginePace& engine, const ServicePace& service,
                        double running);
 
--- a/routing/include/egretladder/routing/placement.h
+++ b/routing/include/egretladder/routing/placement.h
@@ -1,14 +1,14 @@
-// Where a request goes: the endpoint at which its first event is expected
-// soonest, and a stream that must not pause also ends soonest.
+// Chooses the endpoint for a request: the one at which its first event is
+// expected soonest, and for a tight stream also the soonest end.
 //
-// Load: long prompts of which most is shared. An engine that still holds the
-// shared part starts within tens of milliseconds, one that doesn't reads it
-// anew, and every request beside it waits. All nodes agree without messages on
-// the endpoints that a session prefers (rendezvous hash: Thaler and
-// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates"), and leave
-// them as soon as the wait there costs more than reading anew. One figure,
-// milliseconds until the first event, weighs cache, queue, slowness and
-// failures against each other.
+// Most of a long prompt is often shared with other requests. An engine that has
+// the shared part in its prefix cache starts within tens of milliseconds; one
+// that hasn't must prefill it again, and all requests beside it wait. All nodes
+// agree without messages on the endpoints that a session prefers (rendezvous
+// hashing: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit
+// Rates"). They use another endpoint as soon as the wait at the preferred ones
+// costs more than the prefill. A single figure, the milliseconds until the
+// first event, weighs cache, queue, slowness and failures against each other.
 #pragma once
 
 #include <array>
@@ -22,104 +22,107 @@
 
 namespace egretladder::routing {
 
-/// One part of a prompt, in order.
+/// One part of a prompt. Requests that share the part have the same id for it.
 struct PromptPart {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
 };
 
-/// What a request asks of an endpoint.
+/// What placement needs to know about a request.
 struct Demand {
   const Service* service = nullptr;
   Tier tier = 0;
-  std::vector<PromptPart> parts;
+  std::vector<PromptPart> parts;    ///< In the order of the prompt.
   std::uint32_t prompt_tokens = 0;  ///< 0: not a generation.
   bool tight = false;  ///< A stream with short pauses; see `kMaxTightGap`.
-  double events = 0;   ///< That its answer is expected to have.
-  double longest = 0;  ///< The same if it is a long one.
-  double expected_stream_ms = 0;  ///< Of its stream, from the first event on.
+  double events = 0;   ///< Expected number of events in the answer.
+  double longest = 0;  ///< Number of events if the stream is a long one.
+  double expected_stream_ms = 0;  ///< From the first event to the end.
 };
 
-/// Tokens of all parts but the last, which is the request's own.
+/// Returns the tokens of all parts but the last. The last part belongs to this
+/// request alone.
 std::uint32_t SharedTokens(const Demand& demand);
 
-/// What a node knows of its fleet, for its part of what is shared.
+/// What a node knows about its fleet, from which it derives its part of limits
+/// that all nodes share.
 struct FleetSnapshot {
-  std::size_t nodes = 1;
+  std::size_t nodes = 1;           ///< Size that the fleet is assumed to have.
   std::string self;                ///< This node's name.
-  std::vector<std::string> names;  ///< All nodes, this one included.
-  std::string zone;                ///< Of this node.
+  std::vector<std::string> names;  ///< Available nodes, this one included.
+  std::string zone;                ///< This node's availability zone.
 };
 
-/// Why a request goes where it goes, or nowhere.
+/// Why an endpoint was chosen, or why none was.
 enum class PlacementReason : std::uint8_t {
-  kSession,   ///< Preferred by its session's hash.
-  kCached,    ///< Read its shared parts before.
-  kCheapest,  ///< The smallest expected wait.
-  kNoneKnown,
-  kAllLeaving,  ///< Or in a zone that is out.
+  kSession,     ///< It is the session's first choice by hash.
+  kCached,      ///< It has all shared parts in its prefix cache.
+  kCheapest,    ///< It has the lowest cost.
+  kNoneKnown,   ///< The service has no endpoints.
+  kAllLeaving,  ///< All are leaving or in a zone that is out.
   kAllFull,
   kAllCold,
-  kAllLimited,  ///< They name limits, and it isn't this node's turn.
+  kAllLimited,  ///< They advertise limits, and it isn't this node's turn.
   kAllDown,
   kAllTried,
 };
-/// As logs show it.
+/// Returns the reason's name in logs.
 const char* NameOf(PlacementReason reason);
 
-/// What takes part in the decision: the terms of a placement's cost in the
-/// order of the table in place_cost.cc, and two that choose among whom it is
-/// made. Each can be switched off by a setting, so that its worth can be
-/// measured.
+/// The mechanisms of placement: the terms of its cost, in the order of the
+/// table in placement_cost.cc, and two that select the candidates. A setting
+/// switches each of them off, so that its benefit can be measured.
 enum class Mechanism : std::uint8_t {
-  kQueue,    ///< What is read or run before it.
-  kReading,  ///< Its own prompt.
-  kReread,   ///< Shared parts that another endpoint holds.
-  kPace,     ///< The length of its own stream at the pace there.
-  kDrift,    ///< First events that came later than expected.
-  kFailing,
-  kSilence,
-  kZone,
-  kCold,
-  kEngineSplit,  ///< Tight streams and long prompts at engines of their own.
+  kQueue,        ///< Work that is processed before the request.
+  kReading,      ///< Prefill of the request's own part of the prompt.
+  kReread,       ///< Prefill of shared parts that aren't in the prefix cache.
+  kPace,         ///< Duration of a tight stream at the endpoint's pace.
+  kDrift,        ///< First events that came later than expected.
+  kFailing,      ///< The endpoint's failure rate.
+  kSilence,      ///< Requests that wait too long for a first byte.
+  kZone,         ///< The endpoint is in another availability zone.
+  kCold,         ///< The endpoint is cold or its entry has lapsed.
+  kEngineSplit,  ///< Separate engines for tight streams and long prompts.
   kSessionAffinity,  ///< Endpoints preferred by the hash of the shared part.
 };
 
-/// The figure of each term, in ms; 0 for a mechanism that is no term.
+/// The cost of each mechanism, in ms; 0 for one that isn't a cost term.
 struct PlacementCosts {
   std::array<double, kMechanismCount> ms{};
+  /// Returns the sum of all terms, in ms.
   double Total() const;
-  /// Of the terms that delay the request's first event.
+  /// Returns the sum of the terms that delay the request's first event, in ms.
   double UntilFirstEvent() const;
 };
 
-/// The choice.
+/// The result of a placement.
 struct Placement {
-  EndpointPtr endpoint;  ///< Null: none.
+  EndpointPtr endpoint;  ///< Null: none can be used now.
   PlacementReason reason = PlacementReason::kNoneKnown;
-  double expected_ms = 0;      ///< Until the first event.
-  double uncached_tokens = 0;  ///< That it will read.
+  double expected_ms = 0;      ///< Expected time to the first event.
+  double uncached_tokens = 0;  ///< Prompt tokens that the endpoint prefills.
   PlacementCosts costs;
-  /// Until this node's next turn, where all endpoints name limits; nothing: not
-  /// known.
+  /// Time until this node may next send, if advertised limits are the only
+  /// obstacle; nullopt: unknown.
   std::optional<milliseconds> next_turn_in;
 };
 
-/// Chooses among the endpoints of the demand's service, leaving out those in
-/// `tried`. Takes nothing: call `OnAttemptSent` for what is then sent.
+/// Chooses an endpoint of the demand's service, leaving out those in `tried`
+/// unless no other one can be used. It reserves nothing: call `OnAttemptSent`
+/// for each request that is then sent.
 Placement ChoosePlacement(const EndpointSet& set, const Demand& demand,
                           const std::vector<EndpointPtr>& tried,
                           const FleetSnapshot& fleet, kernel::Random& random,
                           Time now);
 
-/// Counts a request that is about to be sent, and takes this node's turn where
-/// nodes share a rate.
+/// Counts a request that is about to be sent. If the endpoint has a rate that
+/// nodes share, it also uses this node's turn.
 void OnAttemptSent(Endpoint& endpoint, const Demand& demand,
                    std::uint64_t attempt, const Placement& placement, Time now);
-/// Its first byte came, or it ended without.
+/// Records that the attempt's first byte came, or that it ended without one.
 void OnAttemptStarted(Endpoint& endpoint, const Demand& demand,
                       std::uint64_t attempt, const Placement& placement);
-/// It ended.
+/// Records that an attempt at the endpoint ended.
 void OnAttemptEnded(Endpoint& endpoint);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/placement_cost.h
+++ b/routing/include/egretladder/routing/placement_cost.h
@@ -1,8 +1,8 @@
-// What sending a request to an endpoint costs, term by term, in milliseconds:
-// its wait for the first event, and for a tight stream its length as well.
+// The cost of sending a request to an endpoint, term by term, in milliseconds:
+// the wait for its first event, and for a tight stream also its duration.
 //
-// Each term is a function in one table and can be switched off by a setting, so
-// that its worth can be measured on any load.
+// Each term is a function in one table. A setting switches each of them off, so
+// that its benefit can be measured on any load.
 #pragma once
 
 #include <cstddef>
@@ -16,35 +16,36 @@
 
 namespace egretladder::routing {
 
-/// What a request reads before its first event, in tokens.
+/// Prompt tokens that an endpoint prefills before the request's first event.
 struct UncachedTokens {
-  double shared = 0;  ///< Parts that other requests share.
-  double own = 0;
+  double shared = 0;  ///< In parts that other requests share.
+  double own = 0;     ///< In the request's own part.
+  /// Returns all tokens that are prefilled.
   double Total() const { return shared + own; }
 };
 
-/// What the terms depend on.
+/// What the cost terms depend on.
 struct CostInput {
   const Endpoint& endpoint;
   const Demand& demand;
   const UncachedTokens& uncached;
   const ServicePace& pace;
   const FleetSnapshot& fleet;
-  bool preferred = false;  ///< By the session's hash.
+  bool preferred = false;  ///< The session prefers the endpoint by its hash.
   Time now{};
 };
 
-/// All terms that aren't switched off.
+/// Returns the costs of all mechanisms that aren't switched off.
 PlacementCosts ComputeCosts(const CostInput& input,
                             const DisabledMechanisms& disabled_mechanisms);
 
-/// The name of a mechanism as settings and logs show it.
+/// Returns the mechanism's name in settings and logs.
 const char* NameOf(Mechanism mechanism);
-/// The mechanism of that name.
+/// Returns the mechanism of that name; nullopt if there is none.
 std::optional<Mechanism> FindMechanism(std::string_view name);
-/// All names, separated by commas.
+/// Returns the names of all mechanisms, separated by commas.
 std::string MechanismNames();
-/// The terms with their figures, `queue=3 pace=912`; for logs.
+/// Formats the terms that aren't 0 for logs, for example `queue=3 pace=912`.
 std::string Describe(const PlacementCosts& costs);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/retry_budget.h
+++ b/routing/include/egretladder/routing/retry_budget.h
@@ -1,10 +1,10 @@
-// This node's share of the retries that a service may get.
+// This node's part of the retry budget of a service.
 //
-// Load: every answer fails for some seconds. Without a bound each request
-// becomes as many as its attempts, and the load outlives the fault. The bound
-// holds for the sum over all nodes, so each uses a part of its own requests'
-// and an even part of the fixed allowance (retry budgets: Beyer et al., "Site
-// Reliability Engineering", chapter 22).
+// If every answer fails for some seconds, unbounded retries multiply each
+// request by its allowed attempts, and the overload outlives the fault. The
+// budget holds for the sum over all nodes, so each node may retry a part of its
+// own requests and has an even part of the fixed allowance (retry budgets:
+// Beyer et al., "Site Reliability Engineering", chapter 22).
 #pragma once
 
 #include <array>
@@ -18,43 +18,44 @@
 
 using kernel::Time;
 
-/// What all nodes together may repeat.
+/// The retry budget of all nodes together.
 struct RetryBudgetRule {
-  double ratio = 0.1;  ///< Of the requests in the window.
-  double slack = 10;   ///< Beyond that, all nodes together.
+  double ratio = 0.1;  ///< Retries per request in the window.
+  double slack = 10;   ///< Further retries in the window, over all nodes.
   std::chrono::milliseconds window{10'000};
 };
 
-/// Who shares the fixed allowance.
+/// The fleet that shares the fixed allowance.
 struct RetryBudgetFleet {
   std::size_t nodes = 1;
-  /// Since this process started. One younger than the window has an earlier
-  /// life, whose repeats still count.
+  /// Time since this process started. If it is shorter than the window, retries
+  /// of the node's earlier process may still count.
   std::chrono::milliseconds age{};
 };
 
-/// Counts of one service, in slices of the window.
+/// Requests and retries of one service, counted in buckets of the window.
 struct NodeRetryBudget {
   struct Bucket {
-    std::int64_t number = -1;
+    std::int64_t number = -1;  ///< Time divided by the bucket's length.
     std::uint32_t requests = 0;
     std::uint32_t retries = 0;
   };
   std::array<Bucket, kRetryBuckets> buckets;
 };
 
-/// A request for the service came in.
+/// Counts a request for the service.
 void OnRequest(NodeRetryBudget& budget, const RetryBudgetRule& rule, Time now);
 
-/// True when one more repeat fits; counts it then.
+/// Counts a retry and returns true if the budget has room for one. Otherwise
+/// returns false.
 bool TakeRetry(NodeRetryBudget& budget, const RetryBudgetRule& rule,
                const RetryBudgetFleet& fleet, Time now);
 
-/// Repeats that still fit.
+/// Returns the number of retries for which the budget still has room.
 ///
-/// Load: every node is restarted, some several times within the window. With
-/// its whole part of the slack at each start a node uses it as often as it
-/// starts; it is earned over the window instead, but for one repeat.
+/// If a node had its whole part of the slack after each start, a node that is
+/// restarted several times within the window would use the part as often. It is
+/// therefore earned over the window, except for one retry.
 double RetriesLeft(const NodeRetryBudget& budget, const RetryBudgetRule& rule,
                    const RetryBudgetFleet& fleet, Time now);
 
--- a/routing/include/egretladder/routing/route_table.h
+++ b/routing/include/egretladder/routing/route_table.h
@@ -1,6 +1,7 @@
-// The rules of requests that are routed by host and path: routes, services,
-// client accounts and their keys, limits of what callers send. One version,
-// immutable once made; a plug-in decodes it from what operators publish.
+// The rules for requests that are routed by host and path: routes, services,
+// client accounts with their keys, and limits on what callers send. A table
+// holds one version of the rules and is immutable. A plug-in decodes it from
+// the document that operators publish.
 #pragma once
 
 #include <chrono>
@@ -18,28 +19,28 @@
 
 using std::chrono::milliseconds;
 
-/// Rank of a request; 0 goes first.
+/// Priority tier or rank of a request; 0 goes first.
 using Tier = std::uint8_t;
 
-/// What may be repeated on a route.
+/// Whether requests of a route may be repeated.
 enum class RouteKind : std::uint8_t {
   kIdempotent,  ///< May run any number of times.
-  kOnce,        ///< Runs at most once for each request.
-  kStream,      ///< Answers with events; see `Route::resumable`.
+  kOnce,        ///< Must run at most once per request.
+  kStream,      ///< Answered with an event stream; see `Route::resumable`.
 };
 
-/// Refers to a service of one table.
+/// Refers to a service of one route table.
 struct ServiceHandle {
   std::uint32_t idx = 0;
 };
 
-/// One part of a route's traffic.
+/// A service that gets a part of a route's traffic.
 struct WeightedTarget {
   ServiceHandle service;
   std::uint32_t weight = 1;
 };
 
-/// Where requests of one host and path prefix go, and what they are promised.
+/// Routing and service levels of the requests with one host and path prefix.
 struct Route {
   std::string name;
   std::string host;    ///< In lower case, without port.
@@ -47,30 +48,30 @@
   RouteKind kind = RouteKind::kOnce;
   milliseconds timeout{};  ///< Longest time that a caller is kept waiting.
   milliseconds target{};   ///< Promised time to the answer or its first event.
-  milliseconds gap_target{};  ///< Longest pause between events in time.
+  milliseconds gap_target{};  ///< Promised longest pause between events.
   Tier tier = 0;
   std::vector<WeightedTarget> targets;  ///< Never empty.
-  std::uint32_t attempts = 1;           ///< Endpoints one request may reach.
-  bool is_public = false;               ///< Needs no key.
-  bool resumable = false;  ///< A stream may go on at another endpoint.
+  std::uint32_t attempts = 1;  ///< Endpoints that one request may reach.
+  bool is_public = false;      ///< Requests need no key.
+  bool resumable = false;      ///< A stream can resume at another endpoint.
 };
 
 /// A group of endpoints that run the same program.
 struct Service {
   std::string name;
-  /// Requests a second that a cold endpoint bears, all nodes together; 0: its
-  /// cold start needs no care.
+  /// Requests a second that a cold endpoint can take from all nodes together;
+  /// 0: unlimited.
   double cold_per_second = 0;
-  bool generates = false;  ///< A model engine: work is counted in tokens.
+  bool generates = false;  ///< Model engines: work is counted in tokens.
 };
 
-/// Who sends requests.
+/// A client account, to which a caller's key belongs.
 struct ClientAccount {
   std::string name;
-  std::optional<Tier> tier;  ///< Goes before the route's.
+  std::optional<Tier> tier;  ///< Orders requests of equal route tier.
 };
 
-/// What a caller may send.
+/// Limits on what a caller may send.
 struct IngressLimits {
   std::size_t head_bytes = std::size_t{16} << 10U;
   std::size_t body_bytes = std::size_t{4} << 20U;
@@ -78,7 +79,7 @@
   milliseconds idle_timeout{15000};
 };
 
-/// One version of it all.
+/// One version of the rules.
 struct RouteTable {
   std::uint64_t version = 0;
   std::vector<Route> routes;
@@ -86,43 +87,44 @@
   std::vector<ClientAccount> accounts;
   std::unordered_map<std::string, std::uint32_t> account_by_key;
   IngressLimits limits;
-  /// Whether keys are asked for at all.
+  /// Whether the rules define accounts, so that callers need a key.
   bool has_accounts = false;
   std::unordered_map<std::string, std::vector<std::uint32_t>> routes_by_host;
   std::unordered_map<std::string, std::uint32_t> service_by_name;
-  /// By the route's tier and the account's.
+  /// Ranks by the tiers of the route and the account.
   std::map<std::pair<Tier, Tier>, Tier> ranks;
 };
-/// Shared by all that read it.
+/// A table that is shared by all of its readers.
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
-/// Fills the indexes of a table whose rows are there. Call once, last.
+/// Builds the table's indexes. Called once, after its rows are complete.
 void IndexTable(RouteTable& table);
 
-/// The route with the longest prefix that begins `target` (a query is left
-/// out), among those of `host` (a port is left out); null: none. O(routes of
-/// the host).
+/// Returns the route of `host` with the longest prefix of `target`; null: none.
+/// The port of `host` and the query of `target` are ignored. Takes time linear
+/// in the number of the host's routes.
 const Route* FindRoute(const RouteTable& table, std::string_view host,
                        std::string_view target);
 
-/// The account that holds `key`; null: none.
+/// Returns the account to which `key` belongs; null: none.
 const ClientAccount* FindAccount(const RouteTable& table,
                                  const std::string& key);
 
-/// The rank of a request, 0 first: the route's tier, and among requests of
-/// equal tier the account's, if it has one.
+/// Returns the rank of a request; 0 goes first. Requests are ordered by the
+/// route's tier, and for equal tiers by the account's tier, if it has one.
 ///
-/// Load: a burst in which engines' memory runs out, so that they put back the
-/// least urgent. With the account's tier first, short questions of one account
-/// were put back while long prompts of another ran on. Ranks are numbered
-/// without gaps, so that the few steps that endpoints tell apart are enough.
+/// When a burst exhausts the memory of an engine, the engine preempts the least
+/// urgent requests. With the account's tier first, short questions of one
+/// account were preempted while long prompts of another one ran on. Ranks are
+/// numbered without gaps, because endpoints distinguish only a few.
 Tier FindRank(const RouteTable& table, const Route& route,
               const ClientAccount* account);
 
-/// The service for one request. `draw` is from 0 up to 1.
+/// Picks the service for one request according to the targets' weights.
+/// `random_fraction` is in [0, 1).
 ServiceHandle PickTarget(const Route& route, double random_fraction);
 
-/// True when a request of the route may run a second time, whole.
+/// Returns true if a complete request of the route may run a second time.
 bool IsRouteRepeatable(const Route& route);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/shared_rate.h
+++ b/routing/include/egretladder/routing/shared_rate.h
@@ -1,10 +1,10 @@
-// The rate that all nodes together may send to one endpoint, and this node's
-// part of it.
+// The rate at which all nodes together may send to one endpoint, and this
+// node's part of it.
 //
-// Load: many nodes that each carry a little of the traffic. An equal part each
-// is less than one request in seconds, and their first requests together exceed
-// the rate. So a few nodes hold all of it, on which all agree without messages
-// (rendezvous hash), and the others send elsewhere.
+// In a fleet of many nodes, an equal part for each is less than one request in
+// several seconds, and the first requests of all nodes together already exceed
+// the rate. A few nodes therefore share all of it. All nodes agree on these
+// senders without messages (rendezvous hashing); the others send elsewhere.
 #pragma once
 
 #include <cstddef>
@@ -16,30 +16,32 @@
 
 namespace egretladder::routing {
 
-/// What bounds an endpoint's requests.
+/// Why an endpoint's rate is limited.
 enum class RateReason : std::uint8_t {
-  kCold,     ///< It bears few requests until it is warm.
-  kLimited,  ///< It names a limit.
+  kCold,     ///< It can take few requests until it is warm.
+  kLimited,  ///< It advertises a limit.
 };
 
-/// A rate that all nodes share.
+/// A rate limit that all nodes share.
 struct SharedRate {
-  double per_second = 0;
-  std::size_t senders = 1;  ///< Nodes that share it at most.
+  double per_second = 0;    ///< Requests a second of all nodes together.
+  std::size_t senders = 1;  ///< Maximum number of nodes that send.
   RateReason reason = RateReason::kCold;
-  /// Turns begin then, spread over the first pause; default: long ago.
+  /// When the turns begin. First turns are spread over one interval after it;
+  /// the default is in the distant past.
   Time since{};
 };
 
-/// The rate at which the endpoint may be sent to now; nothing: no bound.
+/// Returns the rate limit that holds for the endpoint now; nullopt: none.
 std::optional<SharedRate> FindSharedRate(const Endpoint& endpoint,
                                          const Service& service, Time now);
 
-/// True when this node is among those that share the rate.
+/// Returns true if this node is among those that share the rate.
 bool IsSender(const Endpoint& endpoint, const SharedRate& rate,
               const FleetSnapshot& fleet);
 
-/// When one of those may send there next.
+/// Returns when this node may next send to the endpoint, provided that it is
+/// one of the senders.
 Time NextTurnTime(const Endpoint& endpoint, const SharedRate& rate,
                   const FleetSnapshot& fleet);
 
--- a/routing/include/egretladder/routing/stop_admission.h
+++ b/routing/include/egretladder/routing/stop_admission.h
@@ -1,12 +1,11 @@
-// Whether a node that stops still takes a request.
+// Admission control at a node that is stopping.
 //
-// Load: planned stops while long streams run. Callers keep this node's address
-// for seconds after it began to stop. A node that takes whatever they send
-// takes streams that the rest of its grace time can't hold, and cuts them in
-// the middle; their callers lose work that ran. Refused as not run, a caller
-// has its answer from another node some milliseconds later. So a request is
-// taken only if it ends in time: for certain by its deadline, or else as far as
-// can be expected.
+// Callers keep using a node's address for seconds after it began to stop. If
+// the node accepted everything they send, it would accept streams that outlast
+// its grace period and cut them, and their callers would lose work that ran. A
+// caller whose request is rejected as not run gets its answer from another node
+// some milliseconds later. A request is therefore accepted only if it ends in
+// time: either certainly, by its deadline, or as far as can be expected.
 #pragma once
 
 #include <cstdint>
@@ -17,34 +16,38 @@
 
 namespace egretladder::routing {
 
-/// What is decided for one request at a node that stops.
+/// The admission decision for one request at a stopping node.
 enum class StopAdmissionVerdict : std::uint8_t {
-  kEndsByDeadline,  ///< Taken: its deadline comes before the node's end.
-  kExpectedInTime,  ///< Taken: even a long one would end before.
-  kTooLong,         ///< Refused: it may be cut.
-  kTooLate,         ///< Refused: no caller should send here any more.
+  kEndsByDeadline,  ///< Accepted: its deadline is before the node's end.
+  kExpectedInTime,  ///< Accepted: even a long answer would end in time.
+  kTooLong,         ///< Rejected: it might be cut.
+  kTooLate,         ///< Rejected: callers shouldn't send here any more.
 };
-/// As logs show it.
+/// Returns the verdict's name in logs.
 const char* NameOf(StopAdmissionVerdict verdict);
 
-/// True for the two by which a request is taken.
+/// Returns true if the verdict accepts the request.
 bool IsAdmitted(StopAdmissionVerdict verdict);
 
 /// What the decision depends on.
 struct StopAdmissionInput {
-  milliseconds arrived{};   ///< From the stop's begin; below 0: before it.
-  milliseconds since{};     ///< Since the stop began.
-  milliseconds deadline{};  ///< Until the request is ended anyway.
-  milliseconds longest{};   ///< Until its whole answer, if it is a long one.
+  /// Time from the start of the stop to the request's arrival; negative if it
+  /// arrived before.
+  milliseconds arrived{};
+  milliseconds since{};     ///< Time since the stop began.
+  milliseconds deadline{};  ///< Time until the request is ended in any case.
+  milliseconds
+      longest{};  ///< Time to its complete answer, if it is a long one.
 };
 
-/// Decides.
+/// Decides whether a stopping node accepts a request.
 StopAdmissionVerdict DecideStopAdmission(const policy::StopPlan& plan,
                                          const StopAdmissionInput& input);
 
-/// Time to the whole answer at the endpoint that was found, if any, and if the
-/// answer is a long one: by its route's streams, or by what the endpoint took
-/// for whole answers.
+/// Returns the time to the complete answer, if it is a long one, at the
+/// endpoint that placement found, if any. The estimate follows the route's
+/// streams or, for other answers, the endpoint's mean time to a complete
+/// answer.
 milliseconds EstimateLongAnswerTime(const EndpointSet& set,
                                     const Demand& demand,
                                     const Placement& placement);
--- a/routing/include/egretladder/routing/store_readers.h
+++ b/routing/include/egretladder/routing/store_readers.h
@@ -1,11 +1,11 @@
-// Which nodes of a large fleet read the platform's store for all, and which
-// take their place.
+// Determines which nodes of a large fleet read the platform's store for all,
+// and which nodes replace them.
 //
-// Load: a large fleet in which every node watches. Each change of the store is
-// then answered once to every node, and the calls cost more than all else. The
-// same while the store is away, if each node took the place of a reader that
-// failed: only the first `kMaxReaderCandidates` by a hash of their names ever
-// read.
+// If every node of a large fleet watched the store, each change would be sent
+// to every node, and these calls would cost more than all other work. The same
+// would happen while the store is unreachable if any node could replace a
+// failed reader. Therefore only the first `kMaxReaderCandidates` nodes by the
+// hash of their names ever read.
 #pragma once
 
 #include <string>
@@ -16,14 +16,15 @@
 
 namespace egretladder::routing {
 
-/// True when this node should read the store: it is among the first
-/// `kMaxReaders` nodes of those that can.
+/// Returns true if this node should read the store, that is, if it is among the
+/// first `kMaxReaders` nodes that can read it.
 bool IsReader(const Members& members, Time now);
 
-/// Peer addresses of the nodes that take the place of this reader once it falls
-/// silent. It tells them each `kReaderHeartbeatInterval` that it is there:
-/// gossip alone takes seconds to show that a node lost its power, and when all
-/// readers do at once, nobody hears of changes until then.
+/// Returns the peer addresses of the nodes that replace this reader when it
+/// falls silent. The reader sends them a message each
+/// `kReaderHeartbeatInterval`: gossip alone takes seconds to show that a node
+/// lost power, and if all readers lose power at once, no node learns of changes
+/// until then.
 std::vector<std::string> StandbyAddresses(const Members& members, Time now);
 
 }  // namespace egretladder::routing
--- a/routing/include/egretladder/routing/suspects.h
+++ b/routing/include/egretladder/routing/suspects.h
@@ -1,14 +1,14 @@
-// Requests that crash the endpoints that run them.
+// Detects requests that crash the endpoints that run them.
 //
-// What goes wrong: a request crashes each endpoint that begins to run it, and
-// is sent again, by this node or by its caller at another one; one body takes
-// down the endpoints of a service one after the other. It shows as connections
-// that break at one endpoint after the next and never an answer. Requests that
-// ran beside it break as well, and so do those on endpoints that fail together
-// for another cause: an answer clears a request, and breaks side by side count
-// as one.
+// A request that crashes each endpoint that begins to run it is sent again, by
+// this node or by its caller at another node, so that one body takes down the
+// endpoints of a service one after the other. Its connections break at one
+// endpoint after the next, and it never gets an answer. The connections of
+// requests that ran beside it break too, as do those at endpoints that fail
+// together for another cause. Therefore an answer clears a request, and
+// connections that break side by side count as one crash.
 //
-// Nodes tell each other what broke, since callers go to another node.
+// Nodes gossip broken connections, because callers retry at other nodes.
 #pragma once
 
 #include <chrono>
@@ -26,53 +26,59 @@
 
 /// A connection that broke while it carried the request.
 struct Break {
-  std::uint64_t endpoint = 0;  ///< Hash of its id.
-  Time sent{};
-  Time broke{};
+  std::uint64_t endpoint = 0;  ///< Hash of the endpoint's id.
+  Time sent{};                 ///< When the request was sent.
+  Time broke{};                ///< When the connection broke.
 };
 
-/// What is known of one request, as a hash of path, account and body.
+/// What is known of one request, which is identified by a hash of its path,
+/// account and body.
 struct Suspect {
-  std::vector<Break> breaks;  ///< The last one of each endpoint.
-  Time cleared{};             ///< Got an answer then; earlier breaks are void.
-  Time changed{};             ///< By news that peers may not have.
+  std::vector<Break> breaks;  ///< The last one at each endpoint.
+  Time cleared{};             ///< Last answer; breaks up to it don't count.
+  Time changed{};             ///< Last change that peers may not know yet.
 };
 
-/// All suspects of one node.
+/// All suspects that one node knows.
 struct Suspects {
-  std::unordered_map<std::uint64_t, Suspect> by_request;
+  std::unordered_map<std::uint64_t, Suspect> by_request;  ///< By its hash.
 };
 
-/// A connection broke under the request, at `seen.broke`.
+/// Records that a connection broke at `added.broke` while it carried the
+/// request.
 void OnConnectionBroke(Suspects& suspects, std::uint64_t request,
-                       const Break& seen);
-/// An endpoint ran the request to its end, well or badly.
+                       const Break& added);
+/// Records that an endpoint ran the request to its end, successfully or not.
 void OnRequestRan(Suspects& suspects, std::uint64_t request, Time now);
 
-/// How much longer the request gets no endpoint; 0: it may be sent.
+/// Returns how much longer the request is held back; 0: it can be sent.
 milliseconds HeldFor(const Suspects& suspects, std::uint64_t request, Time now);
 
-/// One suspect as nodes tell each other, by age, since clocks differ.
+/// A broken connection, as nodes gossip it. It holds ages, because clocks
+/// differ.
 struct BreakGossip {
   std::uint64_t endpoint = 0;
   milliseconds sent_ago{};
   milliseconds broke_ago{};
 };
+/// A suspect, as nodes gossip it. It holds ages, because clocks differ.
 struct SuspectGossip {
   std::uint64_t request = 0;
   std::vector<BreakGossip> breaks;
-  milliseconds cleared_ago{};  ///< `kNeverCleared`: it never was.
+  milliseconds cleared_ago{};  ///< `kNeverCleared` if it never was cleared.
 };
-/// Larger than any age that is told.
+/// Greater than any age that is gossiped.
 inline constexpr milliseconds kNeverCleared = 2 * kSuspectRetention;
 
-/// Those that changed within `kSuspectGossipTime`, the newest first.
+/// Returns the suspects that changed within `kSuspectGossipTime`, newest first,
+/// `kMaxSuspectsPerExchange` at most.
 std::vector<SuspectGossip> MakeSuspectGossip(const Suspects& suspects,
                                              Time now);
-/// Takes in what a peer told. The same news again change nothing, in any order.
+/// Applies a suspect from a peer. Applying the same gossip again, in any order,
+/// changes nothing.
 void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& gossip,
                         Time now);
-/// Drops what is older than `kSuspectRetention`.
+/// Drops suspects without a break or an answer within `kSuspectRetention`.
 void ForgetSuspects(Suspects& suspects, Time now);
 
 }  // namespace egretladder::routing
