--- a/routing/src/admission.cc
+++ b/routing/src/admission.cc
@@ -6,13 +6,13 @@
 
 namespace {
 
-// Until a caller that comes back is expected to find room.
+// Returns the time in ms until a caller that retries is expected to find room.
 double ExpectedRoomMs(const Placement& placement) {
-  // A transient fault of a few endpoints is over, or known to all nodes, within
-  // a second.
-  constexpr double kUnknownMs = 250;
+  // Within a second, a transient fault of a few endpoints is over or known to
+  // all nodes.
+  constexpr double kDefaultMs = 250;
   if (placement.endpoint != nullptr) return placement.expected_ms / 2;
-  if (!placement.next_turn_in) return kUnknownMs;
+  if (!placement.next_turn_in) return kDefaultMs;
   return static_cast<double>(placement.next_turn_in->count());
 }
 
@@ -42,11 +42,11 @@
     const auto max_wait = std::max(
         target_wait, input.was_sent_before ? kMinResentWait : kMinWait);
     const auto waited = now - input.waiting_since;
-    const auto until_room = placement.next_turn_in.value_or(milliseconds{});
-    const bool waited_enough = waited >= max_wait || time_left.count() <= 0 ||
-                               waited + until_room > max_wait;
-    return waited_enough ? AdmissionVerdict::kNoEndpoint
-                         : AdmissionVerdict::kWait;
+    const auto until_turn = placement.next_turn_in.value_or(milliseconds{});
+    const bool must_reject = waited >= max_wait || time_left.count() <= 0 ||
+                             waited + until_turn > max_wait;
+    return must_reject ? AdmissionVerdict::kNoEndpoint
+                       : AdmissionVerdict::kWait;
   }
   if (placement.expected_ms > time_left.count() * kMaxExpectedWaitRatio) {
     return AdmissionVerdict::kTooLate;
--- a/routing/src/advertised_limits.cc
+++ b/routing/src/advertised_limits.cc
@@ -7,6 +7,7 @@
 namespace egretladder::routing {
 namespace {
 
+// Sets the limit. Returns true if it changed enough to be logged.
 bool SetLimit(EndpointSet& set, Endpoint& endpoint, double per_second,
               Time advertised_at, Time now) {
   AdvertisedLimit& limit = endpoint.limit;
@@ -31,8 +32,8 @@
 
 bool OnAdvertisedLimit(EndpointSet& set, Endpoint& endpoint,
                        std::optional<double> per_second, Time now) {
-  // One that takes nothing still gets a request now and then, by whose answer
-  // the end of the limit shows.
+  // An endpoint that accepts nothing still gets occasional requests, whose
+  // answers show when the limit ends.
   const double limit =
       per_second ? std::max(*per_second, kMinLimitPerSecond) : 0;
   return SetLimit(set, endpoint, limit, now, now);
@@ -61,7 +62,8 @@
         {id, limit.per_second,
          std::chrono::duration_cast<milliseconds>(now - limit.advertised_at)});
   }
-  // Of many, others at each turn.
+  // If there are too many, a random selection is sent, which differs in each
+  // exchange.
   while (gossip.size() > kMaxLimitsPerExchange) {
     std::swap(gossip[kernel::RandomBelow(random, gossip.size())],
               gossip.back());
--- a/routing/src/catalog.cc
+++ b/routing/src/catalog.cc
@@ -6,22 +6,22 @@
 namespace egretladder::routing {
 namespace {
 
-// True when it is news.
+// Applies one item. Returns true if it changes the known state.
 bool ApplyItem(FeedState& feed, const Item& item, Time now) {
   const auto at = feed.items.find(item.key);
   if (at != feed.items.end() && at->second.rev >= item.rev) return false;
   if (at == feed.items.end() && item.removed) {
-    // Never known here; kept all the same, so that an older write of it that
-    // comes later is not believed.
+    // The tombstone of an unknown item is kept as well, so that an older write
+    // that arrives later is ignored.
     feed.items.emplace(item.key, item);
     feed.removed_at[item.key] = now;
     return false;
   }
-  const bool was_there = at != feed.items.end() && !at->second.removed;
+  const bool was_known = at != feed.items.end() && !at->second.removed;
   feed.items[item.key] = item;
   if (item.removed) {
     feed.removed_at[item.key] = now;
-    return was_there;
+    return was_known;
   }
   feed.removed_at.erase(item.key);
   return true;
@@ -49,11 +49,12 @@
     if (ApplyItem(feed, item, now)) changed_items.push_back(item);
   }
   if (changes.whole) {
-    std::set<std::string_view> named;
-    for (const Item& item : changes.items) named.insert(item.key);
+    std::set<std::string_view> listed_keys;
+    for (const Item& item : changes.items) listed_keys.insert(item.key);
     std::vector<Item> removed_items;
     for (const auto& [key, item] : feed.items) {
-      if (item.removed || item.rev > changes.revision || named.contains(key)) {
+      if (item.removed || item.rev > changes.revision ||
+          listed_keys.contains(key)) {
         continue;
       }
       removed_items.push_back({key, {}, changes.revision, true});
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -9,8 +9,9 @@
 namespace egretladder::routing {
 namespace {
 
-// Places by rank, not by the hash itself: with ninety engines a part of them
-// would else differ by a quarter from what was asked for.
+// Positions are taken from the rank by hash, not from the hash itself: with
+// ninety engines, a fraction chosen by hash value would differ by a quarter
+// from the intended one.
 void SetHashPositions(const std::vector<EndpointPtr>& by_hash) {
   const double size = static_cast<double>(by_hash.size());
   for (std::size_t i = 0; i < by_hash.size(); ++i) {
@@ -18,8 +19,8 @@
   }
 }
 
-// Each into its place: sorted anew for each of thousands of entries, a node
-// that starts is busy for seconds.
+// Inserts the endpoint in hash order. Sorting the list again for each of
+// thousands of entries would keep a starting node busy for seconds.
 void AddToService(EndpointSet& set, const EndpointPtr& endpoint) {
   auto& list = set.by_service[endpoint->entry.service];
   const auto at =
@@ -52,7 +53,7 @@
   endpoint->phase =
       entry.leaving ? EndpointPhase::kLeaving : EndpointPhase::kServing;
   endpoint->cold_until = now + entry.cold_left;
-  // What peers heard of an earlier process doesn't count.
+  // Limits that peers learned from an earlier process don't count.
   endpoint->limit.advertised_at = now;
   AddToService(set, endpoint);
   set.by_id[entry.id] = std::move(endpoint);
@@ -123,7 +124,7 @@
       entry.leaving ? EndpointPhase::kLeaving : EndpointPhase::kServing;
   if (entry.cold_left.count() > 0) {
     known.cold_until = std::max(known.cold_until, now + entry.cold_left);
-    // What it held is lost with its warmth.
+    // An endpoint that turned cold has lost its prefix cache.
     if (!was_cold) known.parts.clear();
   }
   if (entry.leaving && !was_leaving) return EntryChange::kLeaving;
@@ -249,7 +250,7 @@
                        const std::vector<std::uint64_t>& parts, Time now) {
   for (const std::uint64_t part : parts) endpoint.parts[part] = now;
   if (endpoint.parts.size() <= kMaxPromptParts) return;
-  // Rare: drops the older half in one go.
+  // Dropping the older half at once keeps this rare.
   std::vector<Time> last_uses;
   last_uses.reserve(endpoint.parts.size());
   for (const auto& [part, used] : endpoint.parts) last_uses.push_back(used);
--- a/routing/src/engine_split.cc
+++ b/routing/src/engine_split.cc
@@ -6,7 +6,8 @@
 namespace egretladder::routing {
 namespace {
 
-// Time for which the engine is busy with one request while it runs a batch.
+// Returns the time in ms for which the request keeps the engine busy while it
+// runs a full batch.
 double EngineBusyMs(const Demand& demand, const Placement& placement) {
   const Endpoint& engine = *placement.endpoint;
   const double slots = std::max<std::uint32_t>(engine.entry.slots, 1);
@@ -44,7 +45,7 @@
 }
 
 void MergePeerDemand(FleetDemand& fleet, const SplitDemand& peer) {
-  if (peer.tight + peer.rest <= 0) return;  // It knows nothing yet.
+  if (peer.tight + peer.rest <= 0) return;  // The peer has no value yet.
   if (!fleet.known) {
     fleet.mean = peer;
     fleet.known = true;
@@ -63,7 +64,7 @@
     fleet.updated_at = now;
     return;
   }
-  // A figure taken from a peer counts from here on.
+  // A value adopted from a peer starts to follow the measurement now.
   if (fleet.updated_at == Time{}) fleet.updated_at = now;
   const std::chrono::duration<double, std::milli> since =
       now - fleet.updated_at;
--- a/routing/src/feed_fetch.cc
+++ b/routing/src/feed_fetch.cc
@@ -12,8 +12,8 @@
   return offer_at == fetch.offers.end() ? nullptr : &*offer_at;
 }
 
-// Near ones first; among these the newest, whose link is the least likely to be
-// taken already.
+// Prefers peers in the same zone, and among equals the one with the newest
+// revision, whose link is the least likely to be busy with other peers.
 bool IsBetter(const Offer& left, const Offer& right) {
   if (left.near != right.near) return left.near;
   return left.revision > right.revision;
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -13,8 +13,9 @@
   return reported.heartbeat > known.heartbeat;
 }
 
-// A life under this node's name that others take for newer than this one: an
-// earlier process, or this one before the time of day went back.
+// Handles an incarnation under this node's name that peers take for newer than
+// this process: that of an earlier process, or of this one before its clock was
+// set back. This node chooses a higher one.
 void OutbidOwnIncarnation(Members& members, const Member& reported) {
   Member& self = members.self;
   if (IsNewer(reported, self)) self.incarnation = reported.incarnation + 1;
@@ -28,14 +29,16 @@
   return LowHalf(kernel::HashBytes(node));
 }
 
-// Takes what is newer of a node that is known. A new life is met anew.
+// Updates a known member if the reported state is newer. A new incarnation
+// counts as first seen now.
 void UpdateIfNewer(Members& members, KnownMember& known, const Member& reported,
                    Time now, std::vector<std::string>& newly_available) {
   if (!IsNewer(reported, known.member)) return;
   if (!IsMemberAvailable(members, known, now))
     newly_available.push_back(reported.node);
-  const bool same_life = reported.incarnation == known.member.incarnation;
-  if (!same_life) known = {.first_seen_at = now};
+  const bool same_incarnation =
+      reported.incarnation == known.member.incarnation;
+  if (!same_incarnation) known = {.first_seen_at = now};
   known.member = reported;
   known.heartbeat_at = now;
   known.unreachable = false;
@@ -58,10 +61,10 @@
   newly_available.push_back(reported.node);
 }
 
-Member WithHeartbeat(Member member, const MemberHeartbeat& pulse) {
-  member.heartbeat = pulse.heartbeat;
-  member.leaving = pulse.leaving;
-  member.store_troubled = pulse.store_troubled;
+Member WithHeartbeat(Member member, const MemberHeartbeat& heartbeat) {
+  member.heartbeat = heartbeat.heartbeat;
+  member.leaving = heartbeat.leaving;
+  member.store_troubled = heartbeat.store_troubled;
   return member;
 }
 
@@ -70,8 +73,8 @@
           member.leaving, member.store_troubled};
 }
 
-// The next peer is asked who that is. One that nobody knows any more drops out
-// as others fill the list.
+// Requests the record of an unknown node from the next peer. A node that no
+// peer knows any more drops out as others fill the list.
 void AddUnknown(Members& members, std::uint32_t key) {
   auto& unknown = members.unknown;
   if (std::find(unknown.begin(), unknown.end(), key) != unknown.end()) return;
@@ -113,21 +116,21 @@
   for (auto& [node, known] : members.others)
     by_key.emplace(NodeKey(node), &known);
   const std::uint32_t self = NodeKey(members.self.node);
-  for (const MemberHeartbeat& pulse : gossip.pulses) {
-    const auto at = by_key.find(pulse.node);
-    const Member* known = at != by_key.end()   ? &at->second->member
-                          : pulse.node == self ? &members.self
-                                               : nullptr;
-    // Another life may have other addresses, and of this node it may be one
-    // that it has to outbid.
+  for (const MemberHeartbeat& heartbeat : gossip.pulses) {
+    const auto at = by_key.find(heartbeat.node);
+    const Member* known = at != by_key.end()       ? &at->second->member
+                          : heartbeat.node == self ? &members.self
+                                                   : nullptr;
+    // Another incarnation may have other addresses, and if it is one of this
+    // node, a higher one may have to be chosen.
     if (known == nullptr ||
-        LowHalf(known->incarnation) != pulse.short_incarnation) {
-      AddUnknown(members, pulse.node);
+        LowHalf(known->incarnation) != heartbeat.short_incarnation) {
+      AddUnknown(members, heartbeat.node);
     } else if (at != by_key.end()) {
-      UpdateIfNewer(members, *at->second, WithHeartbeat(*known, pulse), now,
+      UpdateIfNewer(members, *at->second, WithHeartbeat(*known, heartbeat), now,
                     newly_available);
     } else {
-      OutbidOwnIncarnation(members, WithHeartbeat(*known, pulse));
+      OutbidOwnIncarnation(members, WithHeartbeat(*known, heartbeat));
     }
   }
   return newly_available;
@@ -156,7 +159,8 @@
                               kernel::Random& random, Time now) {
   std::vector<const KnownMember*> reachable;
   for (const auto& [node, known] : members.others) {
-    // What is silent is not gossip: it would look new to a node that starts.
+    // Silent members are left out: they would seem alive to a node that has
+    // just started.
     if (now - known.heartbeat_at < MaxMemberSilence(members) &&
         !known.unreachable) {
       reachable.push_back(&known);
@@ -196,8 +200,8 @@
       !IsSmallFleet(members) && !same_zone.empty() &&
       kernel::RandomBelow(random, kExchangesPerOtherZone) != 0;
   if (stay_in_zone) addresses = std::move(same_zone);
-  // Every eighth turn, and whenever nobody is there, a seed: two parts of a
-  // fleet that started apart meet there.
+  // A seed is picked in every eighth exchange, and whenever no member is
+  // available. Two parts of a fleet that started separately meet through it.
   constexpr std::size_t kExchangesPerSeed = 8;
   const std::size_t exchange = members.exchange_count++;
   if ((addresses.empty() || exchange % kExchangesPerSeed == 0) &&
--- a/routing/src/next_step.cc
+++ b/routing/src/next_step.cc
@@ -14,7 +14,7 @@
                                                  : NextStep::kBreakOff;
   }
   if (CanTryAgain(input)) return NextStep::kSendAgain;
-  // An earlier attempt may have run, so that "not run" would be untrue.
+  // If an earlier attempt may have run, answering "not run" would be wrong.
   return input.may_have_run > 0 ? NextStep::kUnknown : NextStep::kRefuse;
 }
 
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -11,10 +11,12 @@
 namespace egretladder::routing {
 namespace {
 
+// Returns the id of the shared part by which the session's requests are kept
+// together; 0 if the session prefers no endpoints.
 std::uint64_t SessionHash(const Demand& demand) {
   const auto& parts = demand.parts;
   if (parts.empty() || SharedTokens(demand) < kMinSessionTokens) return 0;
-  // The last part is the request's own where there are several.
+  // With several parts, the last one belongs to this request alone.
   return parts[parts.size() > 1 ? parts.size() - 2 : 0].id;
 }
 
@@ -31,56 +33,64 @@
   return now < endpoint.cold_until;
 }
 
+// Estimates the prompt tokens that the endpoint has to prefill. The session's
+// first choice is assumed to have the shared parts cached unless it is cold.
 UncachedTokens EstimateUncachedTokens(const Endpoint& endpoint,
-                                      const Demand& demand, bool first,
-                                      Time now) {
+                                      const Demand& demand,
+                                      bool is_first_choice, Time now) {
   UncachedTokens uncached;
   uncached.own = demand.prompt_tokens;
-  bool is_held = true;
+  bool is_cached = true;
   for (std::size_t i = 0; i < demand.parts.size(); ++i) {
     const PromptPart& part = demand.parts[i];
-    // The last part is the request's own, unless it was read here before.
+    // The last part belongs to this request alone, unless it was processed at
+    // this endpoint before.
     const bool is_last = i + 1 == demand.parts.size();
-    is_held = is_held && (HasCachedPart(endpoint, part.id, now) ||
-                          (first && !is_last && !IsCold(endpoint, now)));
-    if (!is_held && is_last) break;
+    is_cached =
+        is_cached && (HasCachedPart(endpoint, part.id, now) ||
+                      (is_first_choice && !is_last && !IsCold(endpoint, now)));
+    if (!is_cached && is_last) break;
     uncached.own -= part.tokens;
-    if (!is_held) uncached.shared += part.tokens;
+    if (!is_cached) uncached.shared += part.tokens;
   }
   uncached.own = std::max(0.0, uncached.own);
   return uncached;
 }
 
+// The endpoints that can take a request now.
 struct UsableEndpoints {
   std::vector<EndpointPtr> endpoints;
   PlacementReason reason_if_none = PlacementReason::kNoneKnown;
-  bool may_free_up = false;  // One that isn't used now, at any moment.
-  std::optional<Time> turn;  // The next one of this node under a limit.
+  // An endpoint that can't be used now may become usable at any moment.
+  bool may_free_up = false;
+  // This node's earliest turn at an endpoint that advertises a limit.
+  std::optional<Time> next_turn;
 };
 
-// Remembers when room is expected at an endpoint that can't be used now.
-void RecordNextTurn(UsableEndpoints& usable, PlacementReason use,
+// Records when an endpoint that can't be used now is expected to have room.
+void RecordNextTurn(UsableEndpoints& usable, PlacementReason reason,
                     const Endpoint& endpoint, const Demand& demand,
                     const FleetSnapshot& fleet, Time now) {
-  if (use == PlacementReason::kAllLeaving) return;
+  if (reason == PlacementReason::kAllLeaving) return;
   const auto rate = FindSharedRate(endpoint, *demand.service, now);
-  if (use != PlacementReason::kAllLimited || !rate) {
+  if (reason != PlacementReason::kAllLimited || !rate) {
     usable.may_free_up = true;
     return;
   }
-  const Time turn = NextTurnTime(endpoint, *rate, fleet);
-  // One that had its turn and may not send isn't this node's to use.
-  if (turn <= now) return;
-  usable.turn = usable.turn ? std::min(*usable.turn, turn) : turn;
+  const Time next_turn = NextTurnTime(endpoint, *rate, fleet);
+  // A turn in the past means that this node is not among the senders.
+  if (next_turn <= now) return;
+  usable.next_turn =
+      usable.next_turn ? std::min(*usable.next_turn, next_turn) : next_turn;
 }
 
 std::optional<milliseconds> TimeToNextTurn(const UsableEndpoints& usable,
                                            Time now) {
-  if (usable.may_free_up || !usable.turn) return {};
-  return std::chrono::ceil<milliseconds>(*usable.turn - now);
+  if (usable.may_free_up || !usable.next_turn) return {};
+  return std::chrono::ceil<milliseconds>(*usable.next_turn - now);
 }
 
-// Why it can't be used now; `kCheapest` when it can.
+// Returns why the endpoint can't be used now; `kCheapest` if it can.
 PlacementReason WhyUnusable(const EndpointSet& set, const Endpoint& endpoint,
                             const Demand& demand, const FleetSnapshot& fleet,
                             Time now) {
@@ -115,14 +125,15 @@
       usable.reason_if_none = PlacementReason::kAllTried;
       continue;
     }
-    const PlacementReason use = WhyUnusable(set, *endpoint, demand, fleet, now);
-    if (use == PlacementReason::kCheapest) {
+    const PlacementReason reason =
+        WhyUnusable(set, *endpoint, demand, fleet, now);
+    if (reason == PlacementReason::kCheapest) {
       usable.endpoints.push_back(endpoint);
       continue;
     }
-    RecordNextTurn(usable, use, *endpoint, demand, fleet, now);
+    RecordNextTurn(usable, reason, *endpoint, demand, fleet, now);
     if (usable.reason_if_none != PlacementReason::kAllTried)
-      usable.reason_if_none = use;
+      usable.reason_if_none = reason;
   }
   return usable;
 }
@@ -131,7 +142,8 @@
   return kernel::HashBytes(endpoint.entry.id, session);
 }
 
-// Moves the endpoints that the session prefers to the front, in order.
+// Moves the endpoints that the session prefers to the front, in the order of
+// preference.
 void MovePreferredFirst(std::vector<EndpointPtr>& endpoints,
                         std::uint64_t session) {
   const std::size_t count = std::min(kPreferredEndpoints, endpoints.size());
@@ -142,7 +154,8 @@
       });
 }
 
-// Leaves those on the demand's side, if there are any.
+// Drops the endpoints on the other side of the engine split, unless no other
+// endpoint is usable.
 void KeepDemandSide(std::vector<EndpointPtr>& endpoints, const Demand& demand,
                     double tight_fraction) {
   const auto end = std::stable_partition(
@@ -152,7 +165,8 @@
   if (end != endpoints.begin()) endpoints.erase(end, endpoints.end());
 }
 
-// Moves random ones to places `from` and on.
+// Moves random endpoints to the positions from `first_drawn` on and drops those
+// after them.
 void DrawRandomCandidates(std::vector<EndpointPtr>& endpoints,
                           std::size_t first_drawn, kernel::Random& random) {
   const std::size_t end =
@@ -205,17 +219,18 @@
                           const std::vector<EndpointPtr>& tried,
                           const FleetSnapshot& fleet, kernel::Random& random,
                           Time now) {
-  Placement best;
+  Placement placement;
   UsableEndpoints usable = FindUsable(set, demand, tried, fleet, now);
   if (usable.endpoints.empty() &&
       usable.reason_if_none == PlacementReason::kAllTried) {
-    // The only one that there is may do better the second time.
+    // The only usable endpoint was tried before. A second attempt there may
+    // succeed.
     usable = FindUsable(set, demand, {}, fleet, now);
   }
   if (usable.endpoints.empty()) {
-    best.reason = usable.reason_if_none;
-    best.next_turn_in = TimeToNextTurn(usable, now);
-    return best;
+    placement.reason = usable.reason_if_none;
+    placement.next_turn_in = TimeToNextTurn(usable, now);
+    return placement;
   }
   const auto is_off = [&set](Mechanism mechanism) {
     return set.disabled_mechanisms.test(static_cast<std::size_t>(mechanism));
@@ -236,23 +251,23 @@
   double lowest_cost = std::numeric_limits<double>::max();
   for (std::size_t i = 0; i < usable.endpoints.size(); ++i) {
     const EndpointPtr& endpoint = usable.endpoints[i];
-    const bool first = session != 0 && i == 0;
+    const bool is_first_choice = session != 0 && i == 0;
     const UncachedTokens uncached =
-        EstimateUncachedTokens(*endpoint, demand, first, now);
+        EstimateUncachedTokens(*endpoint, demand, is_first_choice, now);
     const PlacementCosts costs = ComputeCosts(
         {*endpoint, demand, uncached, pace, fleet, i < preferred, now},
         set.disabled_mechanisms);
     if (costs.Total() >= lowest_cost) continue;
     lowest_cost = costs.Total();
-    best = {endpoint, PlacementReason::kCheapest, costs.UntilFirstEvent(),
-            uncached.Total(), costs};
-    if (first) {
-      best.reason = PlacementReason::kSession;
+    placement = {endpoint, PlacementReason::kCheapest, costs.UntilFirstEvent(),
+                 uncached.Total(), costs};
+    if (is_first_choice) {
+      placement.reason = PlacementReason::kSession;
     } else if (demand.prompt_tokens > 0 && uncached.shared == 0) {
-      best.reason = PlacementReason::kCached;
+      placement.reason = PlacementReason::kCached;
     }
   }
-  return best;
+  return placement;
 }
 
 void OnAttemptSent(Endpoint& endpoint, const Demand& demand,
--- a/routing/src/placement_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -14,8 +14,10 @@
   return input.demand.prompt_tokens > 0;
 }
 
-// Engines read what they have admitted in turn, and admit by rank only while
-// their slots are taken: until then all that waits is ahead, whatever its rank.
+// Returns the prompt tokens that the engine prefills before a request of
+// `tier`. Engines prefill admitted requests in the order of admission, and
+// admit by rank only while all slots are taken. With free slots, all waiting
+// requests are ahead whatever their rank.
 double TokensAhead(const Endpoint& endpoint, Tier tier) {
   const bool is_full = RunningAt(endpoint) >= endpoint.entry.slots;
   double tokens = endpoint.peers_waiting_tokens;
@@ -78,12 +80,12 @@
 struct Term {
   const char* name;
   double (*ms)(const CostInput& input);
-  bool delays_first_event;  // Delays the request's own first event.
+  bool delays_first_event;  // Counts in the wait for the first event.
 };
 
 double NoCost(const CostInput& /*input*/) { return 0; }
 
-// In the order of `Mechanism`.
+// One row per mechanism, in the order of the enumerators of `Mechanism`.
 constexpr std::array<Term, kMechanismCount> kTerms = {{
     {"queue", Queue, true},
     {"reading", OwnRead, true},
--- a/routing/src/retry_budget.cc
+++ b/routing/src/retry_budget.cc
@@ -20,13 +20,13 @@
   return bucket;
 }
 
-// This process's part of the fixed allowance.
+// Returns this process's part of the fixed allowance.
 double NodeSlack(const RetryBudgetRule& rule, const RetryBudgetFleet& fleet) {
   const double even_share =
       rule.slack / static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
   const double window_ratio =
       std::min(1.0, std::chrono::duration<double>(fleet.age) / rule.window);
-  // Enough for one repeat, if the part is.
+  // At least one retry is allowed, if the node's part is as large as that.
   const double min_slack = std::min(even_share, 1 / kUsableRetryRatio);
   return std::max(min_slack, even_share * window_ratio);
 }
--- a/routing/src/route_table.cc
+++ b/routing/src/route_table.cc
@@ -21,8 +21,8 @@
   return {route.tier, has_own_tier ? *account->tier : route.tier};
 }
 
-// By distinct tiers, since a table may hold thousands of routes and hundreds of
-// accounts.
+// Numbers pairs of distinct tiers, not of routes and accounts: a table may hold
+// thousands of routes and hundreds of accounts.
 void NumberRanks(RouteTable& table) {
   std::set<Tier> route_tiers;
   for (const Route& route : table.routes) route_tiers.insert(route.tier);
--- a/routing/src/shared_rate.cc
+++ b/routing/src/shared_rate.cc
@@ -52,13 +52,15 @@
               const FleetSnapshot& fleet) {
   const std::size_t nodes = EstimateFleetSize(fleet);
   if (nodes <= rate.senders) return true;
-  // A node that others don't know yet, or that knows few of them, is rarely
-  // among them.
+  // Nodes that this node doesn't know are assumed to be preferred half of the
+  // time. Thus a node that the others don't know yet, or that knows few of
+  // them, is rarely a sender.
   std::size_t preferred_nodes = (nodes - fleet.names.size()) / 2;
   const std::uint64_t own_hash =
       kernel::HashBytes(fleet.self, endpoint.name_hash);
   for (const std::string& name : fleet.names) {
-    // Asked for each endpoint by each request: most nodes know after a few.
+    // This runs for each endpoint of each request. Most nodes are ruled out
+    // after a few names.
     if (preferred_nodes >= rate.senders) return false;
     if (kernel::HashBytes(name, endpoint.name_hash) > own_hash)
       ++preferred_nodes;
--- a/routing/src/stop_admission.cc
+++ b/routing/src/stop_admission.cc
@@ -32,8 +32,8 @@
                         phase == policy::StopPhase::kSettling;
   if (!may_take) return StopAdmissionVerdict::kTooLate;
   if (input.deadline <= time_left) return StopAdmissionVerdict::kEndsByDeadline;
-  // An estimate may be wrong. That risk is worth taking only for callers that
-  // could not know of the stop.
+  // The estimate may be wrong. That risk is taken only for callers that can't
+  // know of the stop yet.
   if (phase == policy::StopPhase::kSettling)
     return StopAdmissionVerdict::kTooLate;
   return input.longest <= time_left ? StopAdmissionVerdict::kExpectedInTime
--- a/routing/src/store_readers.cc
+++ b/routing/src/store_readers.cc
@@ -7,7 +7,8 @@
 namespace egretladder::routing {
 namespace {
 
-// The other nodes that are there, by whether a hash prefers them to this one.
+// The other available nodes, by whether the hash order puts them before or
+// after this one.
 struct RankedNodes {
   std::vector<const KnownMember*> before;
   std::vector<const KnownMember*> after;
@@ -24,14 +25,17 @@
   return ranked;
 }
 
-// How long readers may be silent to a standby. The first to take a reader's
-// place tells the next ones before their time comes.
+// Returns how long readers may be silent before the standby of this rank
+// replaces them. The first standby to do so informs the next ones before their
+// time comes.
 milliseconds MaxReaderSilenceFor(std::size_t rank) {
   return kMaxReaderSilence +
          kStandbyStagger * static_cast<std::int64_t>(rank - kMaxReaders);
 }
 
-// Readers and their standbys need a while to hear of each other.
+// Returns true if the reader has been silent for too long. Silence counts only
+// after a while, because readers and their standbys must learn of each other
+// first.
 bool IsSilent(const Members& members, const KnownMember& known,
               milliseconds max_silence, Time now) {
   const Time counted_from =
@@ -42,8 +46,8 @@
 }  // namespace
 
 bool IsReader(const Members& members, Time now) {
-  const bool young = now - members.started < kMinReaderAge;
-  if (young && !members.seeds.empty()) return false;
+  const bool is_young = now - members.started < kMinReaderAge;
+  if (is_young && !members.seeds.empty()) return false;
   if (IsSmallFleet(members)) return true;
   const auto before = RankOtherNodes(members, now).before;
   const std::size_t rank = before.size();
--- a/routing/src/suspects.cc
+++ b/routing/src/suspects.cc
@@ -31,7 +31,7 @@
   return suspects.by_request[request];
 }
 
-// Returns true when this is news.
+// Records a broken connection. Returns true if it wasn't known.
 bool MergeBreak(Suspect& suspect, const Break& added) {
   const auto known =
       std::find_if(suspect.breaks.begin(), suspect.breaks.end(),
@@ -55,7 +55,8 @@
   return true;
 }
 
-// Crashes one after the other: each was sent only after the one before broke.
+// Successive crashes: each request was sent only after the previous connection
+// broke.
 struct CrashChain {
   std::size_t crashes = 0;
   Time last{};
