--- a/routing/tests/admission_test.cc
+++ b/routing/tests/admission_test.cc
@@ -10,15 +10,15 @@
 
 constexpr er::Time kStart{std::chrono::hours(1)};
 
-er::AdmissionInput Ask() {
-  er::AdmissionInput ask;
-  ask.waiting_since = kStart;
-  ask.deadline = kStart + 8s;
-  ask.target = 1000ms;
-  return ask;
+er::AdmissionInput MakeInput() {
+  er::AdmissionInput input;
+  input.waiting_since = kStart;
+  input.deadline = kStart + 8s;
+  input.target = 1000ms;
+  return input;
 }
 
-er::Placement Found(double expected_ms) {
+er::Placement PlacementAt(double expected_ms) {
   er::Placement placement;
   placement.endpoint = std::make_shared<er::Endpoint>();
   placement.expected_ms = expected_ms;
@@ -27,54 +27,57 @@
 
 }  // namespace
 
-TEST_GROUP(Admit){};
+TEST_GROUP(Admission){};
 
-// A burst is far over what the engines bear. Held until its deadline, a caller
-// learns nothing in time; refused at once, it can come back.
-TEST(Admit, WhatCannotStartInTimeIsRefusedAtOnce) {
-  CHECK(er::DecideAdmission(Ask(), Found(500), kStart) ==
+// Guards against holding requests of a burst until their deadline. A caller
+// that is rejected at once can still retry in time.
+TEST(Admission, RejectsAtOnceARequestThatCannotStartInTime) {
+  CHECK(er::DecideAdmission(MakeInput(), PlacementAt(500), kStart) ==
         AdmissionVerdict::kSend);
-  CHECK(er::DecideAdmission(Ask(), Found(7000), kStart) ==
+  CHECK(er::DecideAdmission(MakeInput(), PlacementAt(7000), kStart) ==
         AdmissionVerdict::kTooLate);
-  CHECK(er::DecideAdmission(Ask(), Found(500), kStart + 7500ms) ==
+  CHECK(er::DecideAdmission(MakeInput(), PlacementAt(500), kStart + 7500ms) ==
         AdmissionVerdict::kTooLate);
 }
 
-TEST(Admit, WaitsForAnEndpointForPartOfTheTarget) {
-  CHECK(er::DecideAdmission(Ask(), {}, kStart) == AdmissionVerdict::kWait);
-  CHECK(er::DecideAdmission(Ask(), {}, kStart + 400ms) ==
+TEST(Admission, WaitsForAnEndpointForPartOfTheTarget) {
+  CHECK(er::DecideAdmission(MakeInput(), {}, kStart) ==
         AdmissionVerdict::kWait);
-  CHECK(er::DecideAdmission(Ask(), {}, kStart + 500ms) ==
+  CHECK(er::DecideAdmission(MakeInput(), {}, kStart + 400ms) ==
+        AdmissionVerdict::kWait);
+  CHECK(er::DecideAdmission(MakeInput(), {}, kStart + 500ms) ==
         AdmissionVerdict::kNoEndpoint);
 }
 
-// An engine crashed in the middle of a stream, and the others are full for a
-// moment. Given up at once, all that was generated is lost.
-TEST(Admit, WorkThatWasSentBeforeWaitsLonger) {
-  er::AdmissionInput ask = Ask();
-  ask.target = 200ms;
-  ask.was_sent_before = true;
-  CHECK(er::DecideAdmission(ask, {}, kStart + 900ms) ==
+// Guards against losing the generated part of a stream when its engine crashes
+// while the other engines are full for a moment.
+TEST(Admission, WorkThatWasSentBeforeWaitsLonger) {
+  er::AdmissionInput input = MakeInput();
+  input.target = 200ms;
+  input.was_sent_before = true;
+  CHECK(er::DecideAdmission(input, {}, kStart + 900ms) ==
         AdmissionVerdict::kWait);
 }
 
-// Guards against callers that are held for a turn that comes after their time.
-TEST(Admit, NobodyWaitsForATurnThatComesTooLate) {
+// Guards against requests that wait for a turn which comes after their allowed
+// wait.
+TEST(Admission, RejectsAtOnceIfTheNextTurnComesTooLate) {
   er::Placement limited;
   limited.reason = er::PlacementReason::kAllLimited;
   limited.next_turn_in = 300ms;
-  CHECK(er::DecideAdmission(Ask(), limited, kStart) == AdmissionVerdict::kWait);
+  CHECK(er::DecideAdmission(MakeInput(), limited, kStart) ==
+        AdmissionVerdict::kWait);
   limited.next_turn_in = 3s;
-  CHECK(er::DecideAdmission(Ask(), limited, kStart) ==
+  CHECK(er::DecideAdmission(MakeInput(), limited, kStart) ==
         AdmissionVerdict::kNoEndpoint);
   egretladder::kernel::Random random{5};
   for (int i = 0; i < 20; ++i) {
-    const auto back = er::RetryAfterRejection(limited, 1000ms, random);
-    CHECK(back >= 1500ms && back <= 4500ms);
+    const auto delay = er::RetryAfterRejection(limited, 1000ms, random);
+    CHECK(delay >= 1500ms && delay <= 4500ms);
   }
 }
 
-TEST(Admit, CallersThatWereRefusedTogetherReturnApart) {
+TEST(Admission, RetryDelaysOfCallersRejectedTogetherDiffer) {
   egretladder::kernel::Random random{5};
   const auto first = er::RetryAfterRejection({}, 1000ms, random);
   const auto second = er::RetryAfterRejection({}, 1000ms, random);
@@ -83,10 +86,9 @@
   CHECK(first <= 1s);
 }
 
-// All nodes lost their power while the store was away. Callers that come back
-// at once find a node that knows as little as before, and have used up their
-// try.
-TEST(Admit, CallersComeBackToANodeWithoutRulesAfterAboutAsLongAgain) {
+// Guards against callers that use up their retries at once when all nodes lost
+// power while the store was unreachable: the node still has no rules then.
+TEST(Admission, RetryDelayOfANodeWithoutRulesFollowsTheOutage) {
   egretladder::kernel::Random random{5};
   for (int i = 0; i < 100; ++i) {
     const auto early = er::RetryAfterNotReady(10ms, random);
--- a/routing/tests/feed_fetch_test.cc
+++ b/routing/tests/feed_fetch_test.cc
@@ -1,4 +1,4 @@
-// Whom a node asks for what it lacks.
+// Tests which peer a node asks for the changes that it lacks.
 #include "egretladder/routing/feed_fetch.h"
 
 #include <CppUTest/TestHarness.h>
@@ -8,81 +8,84 @@
 namespace er = egretladder::routing;
 using std::chrono::milliseconds;
 
-TEST_GROUP(FeedFetches) {
+TEST_GROUP(FeedFetch) {
   er::Time now = er::Time{} + std::chrono::hours(1);
-  er::FeedFetch pull;
+  er::FeedFetch fetch;
 
-  std::string Next(std::uint64_t own = 0) {
-    return er::StartNextFetch(pull, own, now);
+  std::string StartNext(std::uint64_t own_revision = 0) {
+    return er::StartNextFetch(fetch, own_revision, now);
   }
 };
 
-// Guards against the same change arriving from each peer that has it.
-TEST(FeedFetches, OnePeerIsAskedAtATime) {
-  er::OnOffer(pull, "a", false, 5);
-  er::OnOffer(pull, "b", false, 5);
-  STRCMP_EQUAL("a", Next().c_str());
-  STRCMP_EQUAL("", Next().c_str());
-  er::OnFetchDone(pull, "a");
-  STRCMP_EQUAL("", Next(5).c_str());
+// Guards against receiving the same change from each peer that has it.
+TEST(FeedFetch, OnePeerIsAskedAtATime) {
+  er::OnOffer(fetch, "a", false, 5);
+  er::OnOffer(fetch, "b", false, 5);
+  STRCMP_EQUAL("a", StartNext().c_str());
+  STRCMP_EQUAL("", StartNext().c_str());
+  er::OnFetchDone(fetch, "a");
+  STRCMP_EQUAL("", StartNext(5).c_str());
 }
 
-// Guards against content that crosses zones although a near peer has it.
-TEST(FeedFetches, ANearPeerIsAskedFirst) {
-  er::OnOffer(pull, "far", false, 9);
-  er::OnOffer(pull, "near", true, 8);
-  STRCMP_EQUAL("near", Next().c_str());
+// Guards against fetching changes from another zone although a peer in the same
+// zone has them.
+TEST(FeedFetch, APeerInTheSameZoneIsAskedFirst) {
+  er::OnOffer(fetch, "far", false, 9);
+  er::OnOffer(fetch, "near", true, 8);
+  STRCMP_EQUAL("near", StartNext().c_str());
 }
 
-// Guards against a node that waits for a peer whose machine lost its power.
-TEST(FeedFetches, ASilentPeerIsLeftForAnother) {
-  er::OnOffer(pull, "a", true, 5);
-  er::OnOffer(pull, "b", false, 5);
-  STRCMP_EQUAL("a", Next().c_str());
+// Guards against waiting for a peer whose machine lost power.
+TEST(FeedFetch, AnotherPeerIsAskedAfterATimeout) {
+  er::OnOffer(fetch, "a", true, 5);
+  er::OnOffer(fetch, "b", false, 5);
+  STRCMP_EQUAL("a", StartNext().c_str());
   now += er::kFetchTimeout;
-  STRCMP_EQUAL("b", Next().c_str());
+  STRCMP_EQUAL("b", StartNext().c_str());
 }
 
-// Guards against an answer of an earlier question that ends a later one.
-TEST(FeedFetches, ALateAnswerLeavesTheNextQuestionOpen) {
-  er::OnOffer(pull, "a", true, 5);
-  er::OnOffer(pull, "b", false, 5);
-  Next();
+// Guards against a late answer to a timed-out fetch that ends the next fetch.
+TEST(FeedFetch, ALateAnswerDoesNotEndTheNextFetch) {
+  er::OnOffer(fetch, "a", true, 5);
+  er::OnOffer(fetch, "b", false, 5);
+  StartNext();
   now += er::kFetchTimeout;
-  Next();
-  er::OnFetchDone(pull, "a");
-  STRCMP_EQUAL("", Next().c_str());
+  StartNext();
+  er::OnFetchDone(fetch, "a");
+  STRCMP_EQUAL("", StartNext().c_str());
 }
 
-// Guards against asking a busy peer without pause, and against forgetting it.
-TEST(FeedFetches, ABusyPeerIsAskedAgainAfterAPause) {
-  er::OnOffer(pull, "a", true, 5);
-  Next();
-  er::OnFetchFailed(pull, "a", er::kFetchBusyBackoff, now);
-  STRCMP_EQUAL("", Next().c_str());
+// Guards against asking a busy peer without a backoff, and against forgetting
+// it.
+TEST(FeedFetch, ABusyPeerIsAskedAgainAfterItsBackoff) {
+  er::OnOffer(fetch, "a", true, 5);
+  StartNext();
+  er::OnFetchFailed(fetch, "a", er::kFetchBusyBackoff, now);
+  STRCMP_EQUAL("", StartNext().c_str());
   now += er::kFetchBusyBackoff;
-  STRCMP_EQUAL("a", Next().c_str());
+  STRCMP_EQUAL("a", StartNext().c_str());
 }
 
-// Guards against asking a peer for ever that announced changes, restarted and
-// knows less than before.
-TEST(FeedFetches, APeerThatSentLessThanItAnnouncedIsNotAskedAgainAtOnce) {
-  er::OnOffer(pull, "a", true, 5);
-  STRCMP_EQUAL("a", Next().c_str());
-  er::OnFetchDone(pull, "a");
-  STRCMP_EQUAL("", Next(2).c_str());
+// Guards against asking a peer again and again that restarted after its
+// announcement and knows less than before.
+TEST(FeedFetch, APeerThatSentLessThanItAnnouncedIsNotAskedAgainAtOnce) {
+  er::OnOffer(fetch, "a", true, 5);
+  STRCMP_EQUAL("a", StartNext().c_str());
+  er::OnFetchDone(fetch, "a");
+  STRCMP_EQUAL("", StartNext(2).c_str());
 }
 
-// Guards against offers that grow with the fleet.
-TEST(FeedFetches, OffersAreBounded) {
+// Guards against a number of offers that grows with the fleet.
+TEST(FeedFetch, OffersAreBounded) {
   for (int i = 0; i < 100; ++i) {
-    er::OnOffer(pull, std::to_string(i), false, 5);
+    er::OnOffer(fetch, std::to_string(i), false, 5);
   }
-  LONGS_EQUAL(er::kMaxOffers, pull.offers.size());
+  LONGS_EQUAL(er::kMaxOffers, fetch.offers.size());
 }
 
-// Guards against a large change that fills the link of the node that has it.
-TEST(FeedFetches, LargeChangesWaitForTheLinkAndSmallOnesDont) {
+// Guards against filling the link of a node with a large change that many peers
+// request.
+TEST(FeedFetch, OnlyLargeChangesWaitForTheLink) {
   constexpr std::size_t kLarge = 100'000;
   CHECK(er::CanSendChanges(kLarge, 0));
   CHECK_FALSE(er::CanSendChanges(kLarge, er::kMaxPeerBacklogBytes));
--- a/routing/tests/next_step_test.cc
+++ b/routing/tests/next_step_test.cc
@@ -10,40 +10,39 @@
 
 namespace {
 
-constexpr std::array<AttemptOutcome, 8> kEnds = {
+constexpr std::array<AttemptOutcome, 8> kOutcomes = {
     AttemptOutcome::kNotSent,       AttemptOutcome::kFull,
     AttemptOutcome::kWrongInstance, AttemptOutcome::kBroken,
     AttemptOutcome::kBadAnswer,     AttemptOutcome::kSilent,
     AttemptOutcome::kFailed,        AttemptOutcome::kSucceeded,
 };
 
-er::NextStepInput Ask(AttemptOutcome end) {
-  er::NextStepInput after;
-  after.end = end;
-  after.attempts = 2;
-  if (end == AttemptOutcome::kNotSent) {
-    after.not_sent = 1;
+er::NextStepInput MakeInput(AttemptOutcome outcome) {
+  er::NextStepInput input;
+  input.end = outcome;
+  input.attempts = 2;
+  if (outcome == AttemptOutcome::kNotSent) {
+    input.not_sent = 1;
   } else {
-    (er::IsNotRun(end) ? after.not_run : after.may_have_run) = 1;
+    (er::IsNotRun(outcome) ? input.not_run : input.may_have_run) = 1;
   }
-  return after;
+  return input;
 }
 
 }  // namespace
 
-TEST_GROUP(NextStepInput){};
+TEST_GROUP(NextStep){};
 
-// A connection breaks after an order was sent. It may have been placed: sent
-// again, a small shop would have two costly parts it can't pay for; called "not
-// run", its caller would send it again itself.
-TEST(NextStepInput,
-     WorkThatRunsOnceIsNeverSentAgainUnlessItCertainlyDidNotRun) {
-  for (const AttemptOutcome end : kEnds) {
+// Guards against running non-idempotent work twice after a connection broke,
+// either because the node sends the request again or because it answers "not
+// run", so that the caller does.
+TEST(NextStep, NonIdempotentWorkIsSentAgainOnlyIfItCertainlyDidNotRun) {
+  for (const AttemptOutcome outcome : kOutcomes) {
     for (const bool has_time_left : {false, true}) {
-      er::NextStepInput after = Ask(end);
-      after.has_time_left = has_time_left;
-      const NextStep step = er::DecideNextStep(after);
-      if (er::IsNotRun(end)) {
+      er::NextStepInput input = MakeInput(outcome);
+      input.has_time_left = has_time_left;
+      const NextStep step = er::DecideNextStep(input);
+      if (er::IsNotRun(outcome)) {
         CHECK(step ==
               (has_time_left ? NextStep::kSendAgain : NextStep::kRefuse));
       } else {
@@ -54,64 +53,63 @@
   }
 }
 
-// One endpoint broke off while it ran the request, the next says it is full.
-// "Not run" would be untrue of the first.
-TEST(NextStepInput, IsNeverRefusedAsNotRunOnceItMayHaveRun) {
-  for (const AttemptOutcome end : kEnds) {
-    er::NextStepInput after = Ask(end);
-    after.is_repeatable = true;
-    after.may_have_run = 1;
-    after.has_time_left = false;
-    CHECK(er::DecideNextStep(after) != NextStep::kRefuse);
+// Guards against answering "not run" when one endpoint broke the connection
+// while it ran the request and the next one reports that it is full.
+TEST(NextStep, WorkThatMayHaveRunIsNeverReportedAsNotRun) {
+  for (const AttemptOutcome outcome : kOutcomes) {
+    er::NextStepInput input = MakeInput(outcome);
+    input.is_repeatable = true;
+    input.may_have_run = 1;
+    input.has_time_left = false;
+    CHECK(er::DecideNextStep(input) != NextStep::kRefuse);
   }
 }
 
-// A zone's endpoints crash together. A request that meets three of them within
-// a millisecond must not be refused while the others are free; one that is
-// turned away by endpoint after endpoint must, or it would knock at all of
-// them.
-TEST(NextStepInput, RefusedConnectionsAreGonePastAndFullEndpointsAreNot) {
-  er::NextStepInput after = Ask(AttemptOutcome::kNotSent);
-  after.not_sent = 7;
-  CHECK(er::DecideNextStep(after) == NextStep::kSendAgain);
-  after.not_sent = 8;
-  CHECK(er::DecideNextStep(after) == NextStep::kRefuse);
-  after = Ask(AttemptOutcome::kFull);
-  after.not_run = 3;
-  CHECK(er::DecideNextStep(after) == NextStep::kRefuse);
+// Guards against rejecting a request that meets three crashed endpoints of a
+// failed zone within a millisecond while others are free, and against a request
+// that tries every endpoint of a full service.
+TEST(NextStep, RefusedConnectionsAllowMoreAttemptsThanFullEndpoints) {
+  er::NextStepInput input = MakeInput(AttemptOutcome::kNotSent);
+  input.not_sent = 7;
+  CHECK(er::DecideNextStep(input) == NextStep::kSendAgain);
+  input.not_sent = 8;
+  CHECK(er::DecideNextStep(input) == NextStep::kRefuse);
+  input = MakeInput(AttemptOutcome::kFull);
+  input.not_run = 3;
+  CHECK(er::DecideNextStep(input) == NextStep::kRefuse);
 }
 
-TEST(NextStepInput, RepeatableWorkUsesItsAttempts) {
-  er::NextStepInput after = Ask(AttemptOutcome::kBroken);
-  after.is_repeatable = true;
-  CHECK(er::DecideNextStep(after) == NextStep::kSendAgain);
-  after.may_have_run = 2;
-  CHECK(er::DecideNextStep(after) == NextStep::kUnknown);
-  after.end = AttemptOutcome::kFailed;
-  CHECK(er::DecideNextStep(after) == NextStep::kPassOn);
+TEST(NextStep, RepeatableWorkUsesItsAttempts) {
+  er::NextStepInput input = MakeInput(AttemptOutcome::kBroken);
+  input.is_repeatable = true;
+  CHECK(er::DecideNextStep(input) == NextStep::kSendAgain);
+  input.may_have_run = 2;
+  CHECK(er::DecideNextStep(input) == NextStep::kUnknown);
+  input.end = AttemptOutcome::kFailed;
+  CHECK(er::DecideNextStep(input) == NextStep::kPassOn);
 }
 
-// An engine dies in the middle of a stream of which the caller has a part.
-TEST(NextStepInput, AStreamIsResumedOrBrokenOffButNeverBegunAnew) {
-  er::NextStepInput after = Ask(AttemptOutcome::kBroken);
-  after.is_answer_started = true;
-  after.is_repeatable = true;
-  after.resumable = true;
-  CHECK(er::DecideNextStep(after) == NextStep::kResume);
-  after.end = AttemptOutcome::kFull;
-  CHECK(er::DecideNextStep(after) == NextStep::kResume);
-  after.resumable = false;
-  for (const AttemptOutcome end : kEnds) {
-    if (end == AttemptOutcome::kSucceeded) continue;
-    after.end = end;
-    CHECK(er::DecideNextStep(after) == NextStep::kBreakOff);
+// Guards against sending a caller the start of a stream twice after an engine
+// crashed in the middle of it.
+TEST(NextStep, AStartedStreamIsResumedOrClosedButNeverRestarted) {
+  er::NextStepInput input = MakeInput(AttemptOutcome::kBroken);
+  input.is_answer_started = true;
+  input.is_repeatable = true;
+  input.resumable = true;
+  CHECK(er::DecideNextStep(input) == NextStep::kResume);
+  input.end = AttemptOutcome::kFull;
+  CHECK(er::DecideNextStep(input) == NextStep::kResume);
+  input.resumable = false;
+  for (const AttemptOutcome outcome : kOutcomes) {
+    if (outcome == AttemptOutcome::kSucceeded) continue;
+    input.end = outcome;
+    CHECK(er::DecideNextStep(input) == NextStep::kBreakOff);
   }
 }
 
-// Every endpoint of a service is full. Knocking at all of them would add to
-// what makes them full.
-TEST(NextStepInput, GivesUpAfterAFewFullEndpoints) {
-  er::NextStepInput after = Ask(AttemptOutcome::kFull);
-  after.not_run = er::kMaxNotRunAttempts;
-  CHECK(er::DecideNextStep(after) == NextStep::kRefuse);
+// Guards against adding load to a full service by trying all of its endpoints.
+TEST(NextStep, GivesUpAfterAFewFullEndpoints) {
+  er::NextStepInput input = MakeInput(AttemptOutcome::kFull);
+  input.not_run = er::kMaxNotRunAttempts;
+  CHECK(er::DecideNextStep(input) == NextStep::kRefuse);
 }
--- a/routing/tests/pace_test.cc
+++ b/routing/tests/pace_test.cc
@@ -10,48 +10,49 @@
   er::EnginePace fast;
   er::EnginePace slow;
 
-  void See(er::EnginePace & engine, double pause_ms, int times,
-           double running = 0) {
-    for (int i = 0; i < times; ++i) {
-      er::OnEventInterval(engine, service, running,
-                          std::chrono::duration<double, std::milli>(pause_ms));
+  void AddSamples(er::EnginePace & engine, double interval_ms, int count,
+                  double running = 0) {
+    for (int i = 0; i < count; ++i) {
+      er::OnEventInterval(
+          engine, service, running,
+          std::chrono::duration<double, std::milli>(interval_ms));
     }
   }
 };
 
-TEST(Pace, AnEngineNotSeenYetIsTakenForAMeanOne) {
-  See(fast, 20, 200);
+TEST(Pace, AnEngineWithoutSamplesHasTheMeanPaceOfItsService) {
+  AddSamples(fast, 20, 200);
   DOUBLES_EQUAL(20, er::ExpectedEventMs(er::EnginePace{}, service, 0), 0.1);
 }
 
-// One sample in a busy moment must not keep work away from an engine.
-TEST(Pace, FewSamplesSayLittle) {
-  See(fast, 20, 200);
-  See(slow, 60, 1);
+// Guards against avoiding an engine because of one sample in a busy moment.
+TEST(Pace, FewSamplesChangeThePaceLittle) {
+  AddSamples(fast, 20, 200);
+  AddSamples(slow, 60, 1);
   CHECK(er::ExpectedEventMs(slow, service, 0) < 30);
-  See(slow, 60, 30);
+  AddSamples(slow, 60, 30);
   CHECK(er::ExpectedEventMs(slow, service, 0) > 45);
 }
 
-// Engines run many requests when they are seen, and their number differs. What
-// is learned is the engine, not the load of that moment.
-TEST(Pace, TheLoadOfTheMomentIsTakenOut) {
-  See(fast, 20 * (1 + 10 * er::kPaceFactorPerRunning), 50, 10);
+// Guards against learning the load of the moment instead of the engine's pace:
+// samples are taken while the engine runs varying numbers of requests.
+TEST(Pace, ThePaceIsCorrectedForRunningRequests) {
+  AddSamples(fast, 20 * (1 + 10 * er::kPaceFactorPerRunning), 50, 10);
   DOUBLES_EQUAL(20, er::ExpectedEventMs(fast, service, 0), 0.1);
   DOUBLES_EQUAL(20 * (1 + 4 * er::kPaceFactorPerRunning),
                 er::ExpectedEventMs(fast, service, 4), 0.1);
 }
 
-// An engine turns slow in the middle of a day.
-TEST(Pace, AnEngineThatTurnsSlowIsKnownWithinSeconds) {
-  See(fast, 20, 200);
-  See(slow, 20, 200);
-  See(slow, 100, 20);  // Four streams of forty events.
+// Guards against an average that hides an engine's slowdown for long.
+TEST(Pace, ASlowdownOfAnEngineIsLearnedWithinSeconds) {
+  AddSamples(fast, 20, 200);
+  AddSamples(slow, 20, 200);
+  AddSamples(slow, 100, 20);  // Four streams of forty events.
   CHECK(er::ExpectedEventMs(slow, service, 0) >
         2 * er::ExpectedEventMs(fast, service, 0));
 }
 
-TEST(Pace, TheLengthOfStreamsIsLearnedByRoute) {
+TEST(Pace, TheLengthOfStreamsIsLearnedPerRoute) {
   DOUBLES_EQUAL(er::kDefaultStreamEvents,
                 er::ExpectedStreamEvents(service, "chat"), 0);
   for (int i = 0; i < 200; ++i) er::OnStreamEnded(service, "chat", 50, 1500ms);
@@ -64,9 +65,10 @@
                 er::ExpectedStreamMs(service, "other"), 0);
 }
 
-// Lengths of one route differ by a factor of ten. A node that counts on the
-// mean takes streams, just before it stops, that outlast it by seconds.
-TEST(Pace, KnowsHowLongALongStreamIs) {
+// Guards against a stopping node that accepts streams which outlast it by
+// seconds because it expects the mean length: lengths of one route differ by a
+// factor of ten.
+TEST(Pace, LearnsTheLengthOfLongStreams) {
   for (int stream = 0; stream < 200; ++stream) {
     er::OnStreamEnded(service, "record", stream % 20 == 0 ? 60 : 5, 1s);
   }
@@ -75,9 +77,9 @@
   CHECK(er::LongStreamEvents(service, "record") <= 60);
 }
 
-// A node that just started has seen short streams end, since the long ones are
-// still running. It must not take the short ones for all there is.
-TEST(Pace, AFewShortStreamsDoNotHideTheLongOnes) {
+// Guards against a node that just started and expects only short streams,
+// because the long ones are still running.
+TEST(Pace, AFewShortStreamsDoNotHideLongOnes) {
   for (int stream = 0; stream < 5; ++stream) {
     er::OnStreamEnded(service, "record", 5, 1s);
   }
--- a/routing/tests/retry_budget_test.cc
+++ b/routing/tests/retry_budget_test.cc
@@ -14,68 +14,68 @@
 
 }  // namespace
 
-TEST_GROUP(NodeRetryBudget){};
+TEST_GROUP(RetryBudget){};
 
-// Every endpoint fails for a minute. Without a bound each request would become
-// two, and the failing endpoints would get twice the load.
-TEST(NodeRetryBudget, AllNodesTogetherStayWithinTheRuleInEveryWindow) {
+// Guards against doubling the load on endpoints that fail for a minute, when
+// each request is retried.
+TEST(RetryBudget, AllNodesTogetherStayWithinTheRuleInEveryWindow) {
   constexpr std::size_t kNodes = 7;
-  std::vector<er::NodeRetryBudget> shares(kNodes);
-  std::vector<er::Time> repeats;
+  std::vector<er::NodeRetryBudget> budgets(kNodes);
+  std::vector<er::Time> retries;
   std::size_t requests = 0;
   for (er::Time now = kStart; now < kStart + 60s; now += 10ms) {
-    auto& share = shares[requests++ % kNodes];
-    er::OnRequest(share, kRule, now);
-    if (er::TakeRetry(share, kRule, {kNodes, 1min}, now)) {
-      repeats.push_back(now);
+    auto& budget = budgets[requests++ % kNodes];
+    er::OnRequest(budget, kRule, now);
+    if (er::TakeRetry(budget, kRule, {kNodes, 1min}, now)) {
+      retries.push_back(now);
     }
   }
   std::size_t first = 0;
-  for (std::size_t last = 0; last < repeats.size(); ++last) {
-    while (repeats[last] - repeats[first] >= 10s) ++first;
-    // A hundred requests a second.
+  for (std::size_t last = 0; last < retries.size(); ++last) {
+    while (retries[last] - retries[first] >= 10s) ++first;
+    // The load is a hundred requests a second, so 1000 in the window.
     CHECK(static_cast<double>(last - first + 1) <= 0.2 * 1000 + 54);
   }
-  CHECK(repeats.size() > 600);
+  CHECK(retries.size() > 600);
 }
 
-TEST(NodeRetryBudget, AQuietNodeMayRepeatAFew) {
-  er::NodeRetryBudget share;
-  er::OnRequest(share, kRule, kStart);
-  CHECK(er::TakeRetry(share, kRule, {7, 1min}, kStart));
-  int more = 0;
+TEST(RetryBudget, ANodeWithFewRequestsHasAFewRetries) {
+  er::NodeRetryBudget budget;
+  er::OnRequest(budget, kRule, kStart);
+  CHECK(er::TakeRetry(budget, kRule, {7, 1min}, kStart));
+  int further_retries = 0;
   for (int i = 0; i < 54; ++i) {
-    if (er::TakeRetry(share, kRule, {7, 1min}, kStart)) ++more;
+    if (er::TakeRetry(budget, kRule, {7, 1min}, kStart)) ++further_retries;
   }
-  CHECK(more < 54 / 7);
-  CHECK(er::TakeRetry(share, kRule, {7, 1min}, kStart + 11s));
+  CHECK(further_retries < 54 / 7);
+  CHECK(er::TakeRetry(budget, kRule, {7, 1min}, kStart + 11s));
 }
 
-// Guards against a fleet whose nodes are restarted in turn and each repeat,
-// with every start, as much as if nothing had been repeated before.
-TEST(NodeRetryBudget, NodesThatRestartStayWithinTheSlack) {
+// Guards against nodes that get their whole part of the slack anew with each
+// restart.
+TEST(RetryBudget, NodesThatRestartStayWithinTheSlack) {
   constexpr std::size_t kNodes = 7;
-  constexpr auto kLife = 3s;
-  std::size_t repeats = 0;
+  constexpr auto kProcessLifetime = 3s;
+  std::size_t retries = 0;
   for (std::size_t node = 0; node < kNodes; ++node) {
-    er::NodeRetryBudget share;
+    er::NodeRetryBudget budget;
     er::Time started = kStart;
     for (er::Time now = kStart; now < kStart + kRule.window; now += 100ms) {
-      if (now - started >= kLife) {
-        share = {};
+      if (now - started >= kProcessLifetime) {
+        budget = {};
         started = now;
       }
       const auto age =
           std::chrono::duration_cast<std::chrono::milliseconds>(now - started);
-      if (er::TakeRetry(share, kRule, {kNodes, age}, now)) ++repeats;
+      if (er::TakeRetry(budget, kRule, {kNodes, age}, now)) ++retries;
     }
   }
-  CHECK(static_cast<double>(repeats) <= kRule.slack);
-  CHECK(repeats >= kNodes);
+  CHECK(static_cast<double>(retries) <= kRule.slack);
+  CHECK(retries >= kNodes);
 }
 
-TEST(NodeRetryBudget, AProcessThatJustStartedMayRepeatOnce) {
-  er::NodeRetryBudget share;
-  CHECK(er::TakeRetry(share, kRule, {7, 0s}, kStart));
-  CHECK_FALSE(er::TakeRetry(share, kRule, {7, 0s}, kStart));
+TEST(RetryBudget, AProcessThatJustStartedHasOneRetry) {
+  er::NodeRetryBudget budget;
+  CHECK(er::TakeRetry(budget, kRule, {7, 0s}, kStart));
+  CHECK_FALSE(er::TakeRetry(budget, kRule, {7, 0s}, kStart));
 }
--- a/routing/tests/route_table_test.cc
+++ b/routing/tests/route_table_test.cc
@@ -29,7 +29,7 @@
 
 TEST_GROUP(RouteTable){};
 
-TEST(RouteTable, TakesTheLongestPrefixOfTheHost) {
+TEST(RouteTable, FindsTheLongestPrefixOfTheHost) {
   const er::RouteTable table = MakeTable();
   STRCMP_EQUAL(
       "quick",
@@ -40,7 +40,7 @@
   POINTERS_EQUAL(nullptr, er::FindRoute(table, "other.example", "/q/x"));
 }
 
-TEST(RouteTable, SplitsByWeight) {
+TEST(RouteTable, PicksTargetsByWeight) {
   const er::RouteTable table = MakeTable();
   LONGS_EQUAL(0, er::PickTarget(table.routes[0], 0.0).idx);
   LONGS_EQUAL(0, er::PickTarget(table.routes[0], 0.89).idx);
@@ -48,10 +48,10 @@
   LONGS_EQUAL(1, er::PickTarget(table.routes[0], 0.999).idx);
 }
 
-// A burst of long prompts fills the engines' memory. By the account's tier
-// first, buyers' short questions are put back while another account's prompts
-// run on.
-TEST(RouteTable, RanksByTheRoutesTierAndThenByTheAccounts) {
+// Guards against ranking by the account's tier first: when long prompts exhaust
+// the engines' memory, short questions of one account would be preempted while
+// prompts of another account run on.
+TEST(RouteTable, RanksByTheTierOfTheRouteAndThenOfTheAccount) {
   const er::RouteTable table = MakeTable();
   const er::ClientAccount* first = er::FindAccount(table, "key-c");
   const er::ClientAccount* second = er::FindAccount(table, "key-a");
@@ -60,14 +60,14 @@
   CHECK(er::FindRank(table, quick, first) < er::FindRank(table, quick, second));
   CHECK(er::FindRank(table, quick, second) < er::FindRank(table, deep, first));
   CHECK(er::FindRank(table, deep, first) < er::FindRank(table, deep, second));
-  // An account without a tier of its own counts as its route's.
+  // An account without a tier of its own has the route's tier.
   const er::ClientAccount* without = er::FindAccount(table, "key-b");
   CHECK(er::FindRank(table, quick, without) <
         er::FindRank(table, quick, second));
   CHECK(er::FindRank(table, deep, without) < 10);
 }
 
-TEST(RouteTable, KnowsWhatMayRunTwice) {
+TEST(RouteTable, OnlyIdempotentAndResumableRoutesAreRepeatable) {
   er::Route route{.kind = er::RouteKind::kOnce};
   CHECK_FALSE(er::IsRouteRepeatable(route));
   route.kind = er::RouteKind::kStream;
--- a/routing/tests/stop_admission_test.cc
+++ b/routing/tests/stop_admission_test.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Requests are ended 7.3 s after the stop began.
-ep::StopPlan Plan() {
+// Requests are cut 7.3 s after the stop began.
+ep::StopPlan MakeStopPlan() {
   ep::StopPlan plan;
   plan.address_ttl = 3000ms;
   plan.settle = 200ms;
@@ -20,87 +20,93 @@
   return plan;
 }
 
-er::StopAdmissionInput Arriving(std::chrono::milliseconds since) {
-  er::StopAdmissionInput ask;
-  ask.arrived = since;
-  ask.since = since;
-  ask.deadline = 8000ms;
-  ask.longest = 4200ms;
-  return ask;
+er::StopAdmissionInput ArrivingAt(std::chrono::milliseconds since) {
+  er::StopAdmissionInput input;
+  input.arrived = since;
+  input.since = since;
+  input.deadline = 8000ms;
+  input.longest = 4200ms;
+  return input;
 }
 
 }  // namespace
 
-TEST_GROUP(StopTake){};
+TEST_GROUP(StopAdmission){};
 
-// Callers don't know yet that the node stops, and send what they always send.
-// Refusing all of it would take one try from each of them for nothing.
-TEST(StopTake, WhatIsExpectedToEndInTimeIsTaken) {
-  CHECK(er::DecideStopAdmission(Plan(), Arriving(100ms)) ==
+// Guards against costing each caller a retry by rejecting everything while the
+// callers don't know of the stop yet.
+TEST(StopAdmission, AcceptsRequestsThatAreExpectedToEndInTime) {
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), ArrivingAt(100ms)) ==
         StopAdmissionVerdict::kExpectedInTime);
-  CHECK(er::DecideStopAdmission(Plan(), Arriving(2900ms)) ==
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), ArrivingAt(2900ms)) ==
         StopAdmissionVerdict::kExpectedInTime);
 }
 
-// A long stream behind a queue reaches a node that stops. Taken, it would be
-// cut in the middle of its answer.
-TEST(StopTake, WhatMayOutlastTheGraceIsRefused) {
-  er::StopAdmissionInput ask = Arriving(2900ms);
-  ask.longest = 4500ms;
-  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLong);
-  ask.arrived = ask.since = 2000ms;
-  CHECK(er::DecideStopAdmission(Plan(), ask) ==
+// Guards against cutting a long stream that waits behind a queue when it
+// reaches the stopping node.
+TEST(StopAdmission, RejectsRequestsThatMayOutlastTheGracePeriod) {
+  er::StopAdmissionInput input = ArrivingAt(2900ms);
+  input.longest = 4500ms;
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), input) ==
+        StopAdmissionVerdict::kTooLong);
+  input.arrived = input.since = 2000ms;
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), input) ==
         StopAdmissionVerdict::kExpectedInTime);
 }
 
-// A caller kept the address for longer than it should. An estimate may be
-// wrong; a deadline can't be.
-TEST(StopTake, AfterTheAddressesLapsedOnlyADeadlineCounts) {
-  er::StopAdmissionInput ask = Arriving(3000ms);
-  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLate);
-  ask.deadline = 4300ms;
-  CHECK(er::DecideStopAdmission(Plan(), ask) ==
+// Guards against trusting an estimate for a caller that used the address longer
+// than it should. Unlike an estimate, a deadline can't be wrong.
+TEST(StopAdmission, AcceptsOnlyByDeadlineAfterTheAddressTtl) {
+  er::StopAdmissionInput input = ArrivingAt(3000ms);
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), input) ==
+        StopAdmissionVerdict::kTooLate);
+  input.deadline = 4300ms;
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), input) ==
         StopAdmissionVerdict::kEndsByDeadline);
-  ask.deadline = 4301ms;
-  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLate);
-  ask = Arriving(3200ms);
-  ask.deadline = 100ms;
-  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLate);
+  input.deadline = 4301ms;
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), input) ==
+        StopAdmissionVerdict::kTooLate);
+  input = ArrivingAt(3200ms);
+  input.deadline = 100ms;
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), input) ==
+        StopAdmissionVerdict::kTooLate);
 }
 
-// A request came before the stop and waited in the node, which is full. It has
-// not run, so that its caller can be sent elsewhere as soon as the rest of the
-// grace time is too short for it, and not before.
-TEST(StopTake, WhatWaitsIsJudgedByWhatIsLeft) {
-  er::StopAdmissionInput ask = Arriving(-200ms);
-  ask.since = 3100ms;
-  CHECK(er::DecideStopAdmission(Plan(), ask) ==
+// A request arrived before the stop and waits at the full node. It hasn't run,
+// so its caller is sent to another node as soon as the rest of the grace period
+// is too short for it, but not earlier.
+TEST(StopAdmission, JudgesWaitingRequestsByTheRemainingTime) {
+  er::StopAdmissionInput input = ArrivingAt(-200ms);
+  input.since = 3100ms;
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), input) ==
         StopAdmissionVerdict::kExpectedInTime);
-  ask.since = 5000ms;
-  CHECK(er::DecideStopAdmission(Plan(), ask) == StopAdmissionVerdict::kTooLong);
-  ask.deadline = 2000ms;
-  CHECK(er::DecideStopAdmission(Plan(), ask) ==
+  input.since = 5000ms;
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), input) ==
+        StopAdmissionVerdict::kTooLong);
+  input.deadline = 2000ms;
+  CHECK(er::DecideStopAdmission(MakeStopPlan(), input) ==
         StopAdmissionVerdict::kEndsByDeadline);
 }
 
-// Operators give a stop more or less time; the same requests are then taken
+// With a longer or shorter grace period, the same requests are accepted for
 // longer or not at all.
-TEST(StopTake, FollowsTheGraceTime) {
-  ep::StopPlan plan = Plan();
+TEST(StopAdmission, FollowsTheGracePeriod) {
+  ep::StopPlan plan = MakeStopPlan();
   plan.grace = 30s;
-  er::StopAdmissionInput ask = Arriving(2900ms);
-  ask.longest = 25s;
-  ask.deadline = 60s;
-  CHECK(er::DecideStopAdmission(plan, ask) ==
+  er::StopAdmissionInput input = ArrivingAt(2900ms);
+  input.longest = 25s;
+  input.deadline = 60s;
+  CHECK(er::DecideStopAdmission(plan, input) ==
         StopAdmissionVerdict::kExpectedInTime);
   plan.grace = 4s;
-  ask.longest = 500ms;
-  CHECK(er::DecideStopAdmission(plan, ask) == StopAdmissionVerdict::kTooLong);
+  input.longest = 500ms;
+  CHECK(er::DecideStopAdmission(plan, input) == StopAdmissionVerdict::kTooLong);
 }
 
-// Streams of one route differ by a factor of ten. What counts is how long a
-// long one lasts, at the pace of an engine that is busy with others.
-TEST(StopTake, ExpectsALongStreamOfItsRoute) {
+// Guards against estimating by the mean where streams of one route differ by a
+// factor of ten: the estimate is that of a long stream at the pace of an engine
+// that runs other requests.
+TEST(StopAdmission, EstimatesALongStreamOfTheRoute) {
   er::EndpointSet set;
   er::Service service;
   service.name = "engines";
--- a/routing/tests/suspects_test.cc
+++ b/routing/tests/suspects_test.cc
@@ -8,110 +8,117 @@
 namespace {
 
 constexpr er::Time kStart{std::chrono::hours(1)};
-constexpr std::uint64_t kBody = 42;
+constexpr std::uint64_t kRequest = 42;
 
 }  // namespace
 
 TEST_GROUP(Suspects) {
   er::Suspects suspects;
-  er::Suspects other;
+  er::Suspects other_node;
 
-  void Break(std::uint64_t endpoint, er::Time sent, er::Time broke) {
-    er::OnConnectionBroke(suspects, kBody, {endpoint, sent, broke});
+  void AddBreak(std::uint64_t endpoint, er::Time sent, er::Time broke) {
+    er::OnConnectionBroke(suspects, kRequest, {endpoint, sent, broke});
   }
-  // Each is sent after the one before broke.
-  void CrashInTurn(std::uint64_t count) {
+  // Each attempt is sent after the connection of the previous one broke.
+  void CrashEndpointsInTurn(std::uint64_t count) {
     for (std::uint64_t i = 0; i < count; ++i) {
-      Break(i + 1, kStart + i * 100ms, kStart + i * 100ms + 20ms);
+      AddBreak(i + 1, kStart + i * 100ms, kStart + i * 100ms + 20ms);
     }
   }
   bool IsHeld(er::Time now) const {
-    return er::HeldFor(suspects, kBody, now) > 0ms;
+    return er::HeldFor(suspects, kRequest, now) > 0ms;
   }
-  void TellOther(er::Time now) {
-    for (const er::SuspectGossip& told : er::MakeSuspectGossip(suspects, now)) {
-      er::ApplySuspectGossip(other, told, now);
+  void GossipToOther(er::Time now) {
+    for (const er::SuspectGossip& gossip :
+         er::MakeSuspectGossip(suspects, now)) {
+      er::ApplySuspectGossip(other_node, gossip, now);
     }
   }
 };
 
-// A request crashes one endpoint after the other. Sent on for ever it takes
-// down the whole service; callers of all other requests then find nobody.
-TEST(Suspects, OneThatCrashesThreeInTurnIsHeldForAWhile) {
-  CrashInTurn(2);
+// Guards against one request that takes down a whole service by crashing one
+// endpoint after the other.
+TEST(Suspects, ARequestThatCrashesThreeEndpointsInTurnIsHeldBack) {
+  CrashEndpointsInTurn(2);
   CHECK_FALSE(IsHeld(kStart + 1s));
-  CrashInTurn(3);
+  CrashEndpointsInTurn(3);
   CHECK_TRUE(IsHeld(kStart + 1s));
-  LONGS_EQUAL(0, er::HeldFor(suspects, kBody + 1, kStart + 1s).count());
+  LONGS_EQUAL(0, er::HeldFor(suspects, kRequest + 1, kStart + 1s).count());
   CHECK_FALSE(IsHeld(kStart + er::kSuspectHoldTime + 1s));
 }
 
-// A rack loses power with three copies of the same harmless read on it. None of
-// them was sent because another had failed.
-TEST(Suspects, EndpointsThatFailSideBySideAccuseNobody) {
+// Guards against suspecting a harmless request of which several copies were in
+// flight when their endpoints lost power together: none of them was sent
+// because another one had failed.
+TEST(Suspects, EndpointsThatFailTogetherMakeNoSuspect) {
   for (std::uint64_t endpoint = 1; endpoint <= 5; ++endpoint) {
-    Break(endpoint, kStart + endpoint * 1ms, kStart + 50ms);
+    AddBreak(endpoint, kStart + endpoint * 1ms, kStart + 50ms);
   }
   CHECK_FALSE(IsHeld(kStart + 1s));
 }
 
-// A frequent read had bad luck at two endpoints and was answered by the next.
+// Guards against holding back a request that met two failing endpoints by
+// chance and was answered by the next one.
 TEST(Suspects, AnAnswerClearsARequest) {
-  CrashInTurn(2);
-  er::OnRequestRan(suspects, kBody, kStart + 250ms);
-  Break(9, kStart + 300ms, kStart + 320ms);
+  CrashEndpointsInTurn(2);
+  er::OnRequestRan(suspects, kRequest, kStart + 250ms);
+  AddBreak(9, kStart + 300ms, kStart + 320ms);
   CHECK_FALSE(IsHeld(kStart + 1s));
-  er::OnRequestRan(suspects, kBody + 1, kStart);
+  er::OnRequestRan(suspects, kRequest + 1, kStart);
   LONGS_EQUAL(1, suspects.by_request.size());
 }
 
-// The caller goes to another node with each try: no node sees more than one
-// crash, and all of them together must stop it.
-TEST(Suspects, NodesPutTogetherWhatEachSaw) {
-  Break(1, kStart, kStart + 20ms);
-  er::OnConnectionBroke(other, kBody, {2, kStart + 100ms, kStart + 120ms});
-  TellOther(kStart + 200ms);
-  er::OnConnectionBroke(other, kBody, {3, kStart + 300ms, kStart + 320ms});
-  CHECK(er::HeldFor(other, kBody, kStart + 400ms) > 0ms);
-  // Told again, and late, it stays as it is.
-  TellOther(kStart + 500ms);
-  LONGS_EQUAL(3, other.by_request.at(kBody).breaks.size());
+// Guards against a caller that uses another node for each retry, so that no
+// node sees more than one crash.
+TEST(Suspects, CrashesSeenByDifferentNodesAddUp) {
+  AddBreak(1, kStart, kStart + 20ms);
+  er::OnConnectionBroke(other_node, kRequest,
+                        {2, kStart + 100ms, kStart + 120ms});
+  GossipToOther(kStart + 200ms);
+  er::OnConnectionBroke(other_node, kRequest,
+                        {3, kStart + 300ms, kStart + 320ms});
+  CHECK(er::HeldFor(other_node, kRequest, kStart + 400ms) > 0ms);
+  // Repeated and late gossip changes nothing.
+  GossipToOther(kStart + 500ms);
+  LONGS_EQUAL(3, other_node.by_request.at(kRequest).breaks.size());
 }
 
-// One node saw the request answered; what others hold against it is void there
-// as well.
-TEST(Suspects, AnAnswerAtOneNodeClearsItEverywhere) {
-  CrashInTurn(3);
-  TellOther(kStart + 500ms);
-  CHECK(er::HeldFor(other, kBody, kStart + 1s) > 0ms);
-  er::OnRequestRan(suspects, kBody, kStart + 1s);
-  TellOther(kStart + 2s);
-  LONGS_EQUAL(0, er::HeldFor(other, kBody, kStart + 2s).count());
+// Guards against other nodes that keep holding back a request which one node
+// has seen answered.
+TEST(Suspects, AnAnswerAtOneNodeClearsTheRequestEverywhere) {
+  CrashEndpointsInTurn(3);
+  GossipToOther(kStart + 500ms);
+  CHECK(er::HeldFor(other_node, kRequest, kStart + 1s) > 0ms);
+  er::OnRequestRan(suspects, kRequest, kStart + 1s);
+  GossipToOther(kStart + 2s);
+  LONGS_EQUAL(0, er::HeldFor(other_node, kRequest, kStart + 2s).count());
 }
 
-// Ages grow on the way. Taken as news, what two nodes tell each other would go
-// round for ever and hold a request for good.
-TEST(Suspects, WhatIsKnownIsNotToldForLong) {
-  CrashInTurn(3);
+// Guards against gossip that circulates between two nodes for ever and holds a
+// request back for good: ages grow by the transfer time, so a known break must
+// not count as a new one.
+TEST(Suspects, KnownSuspectsAreNotGossipedForLong) {
+  CrashEndpointsInTurn(3);
   er::Time now = kStart + 300ms;
   for (int round = 0; round < 60; ++round) {
-    TellOther(now - 20ms);
-    for (const er::SuspectGossip& told :
-         er::MakeSuspectGossip(other, now - 20ms)) {
-      er::ApplySuspectGossip(suspects, told, now);
+    GossipToOther(now - 20ms);
+    for (const er::SuspectGossip& gossip :
+         er::MakeSuspectGossip(other_node, now - 20ms)) {
+      er::ApplySuspectGossip(suspects, gossip, now);
     }
     now += 100ms;
   }
   CHECK(er::MakeSuspectGossip(suspects, now).empty());
-  CHECK(er::MakeSuspectGossip(other, now).empty());
+  CHECK(er::MakeSuspectGossip(other_node, now).empty());
   CHECK_FALSE(IsHeld(kStart + er::kSuspectHoldTime + 1s));
 }
 
-// A zone goes down with all its work. Each request there is a suspect, and
-// memory and messages stay bounded.
-TEST(Suspects, AreBoundedAndForgotten) {
-  for (std::uint64_t body = 0; body < 2 * er::kMaxSuspects; ++body) {
-    er::OnConnectionBroke(suspects, body, {1, kStart, kStart + body * 1us});
+// Guards against unbounded memory and messages when a zone fails and each
+// request in flight there becomes a suspect.
+TEST(Suspects, TheNumberOfSuspectsIsBoundedAndOldOnesAreForgotten) {
+  for (std::uint64_t request = 0; request < 2 * er::kMaxSuspects; ++request) {
+    er::OnConnectionBroke(suspects, request,
+                          {1, kStart, kStart + request * 1us});
   }
   LONGS_EQUAL(er::kMaxSuspects, suspects.by_request.size());
   CHECK(suspects.by_request.contains(2 * er::kMaxSuspects - 1));
