--- a/routing/tests/advertised_limits_test.cc
+++ b/routing/tests/advertised_limits_test.cc
@@ -1,5 +1,5 @@
-// An endpoint that names a limit, and all nodes that send to it, on a clock of
-// the test's own.
+// Simulates an endpoint that advertises a limit and all nodes that send to it,
+// with a simulated clock.
 #include "egretladder/routing/advertised_limits.h"
 
 #include <CppUTest/TestHarness.h>
@@ -24,7 +24,7 @@
 constexpr auto kStep = 25ms;
 constexpr auto kAnswerTime = 300ms;
 
-// Nodes that send as often as they may to one endpoint, which names a limit.
+// Nodes that send as often as they may to one endpoint that advertises a limit.
 class LimitedFleet {
  public:
   explicit LimitedFleet(std::size_t nodes) : sets_(nodes) {
@@ -40,39 +40,41 @@
     }
   }
 
-  // Nodes tell each other from now on.
-  void LetThemTalk() { talk_ = true; }
+  // From now on nodes exchange gossip.
+  void EnableGossip() { gossip_enabled_ = true; }
 
-  std::size_t NodesThatTakeItForLimited() {
+  std::size_t CountNodesWithLimit() {
     std::size_t count = 0;
     for (std::size_t i = 0; i < sets_.size(); ++i) {
-      if (At(i).limit.per_second > 0) ++count;
+      if (EndpointAt(i).limit.per_second > 0) ++count;
     }
     return count;
   }
 
-  // Nothing: it names none.
-  void Name(std::optional<double> limit) { limit_ = limit; }
+  // Sets the limit that the endpoint advertises; nullopt: none.
+  void Advertise(std::optional<double> limit) { limit_ = limit; }
 
   void Run(std::chrono::milliseconds time) {
     for (const er::Time end = now_ + time; now_ < end; now_ += kStep) Step();
   }
 
-  std::size_t MostWithin(std::chrono::milliseconds window,
-                         er::Time from) const {
-    std::size_t most = 0;
+  std::size_t MaxArrivalsWithin(std::chrono::milliseconds window,
+                                er::Time from) const {
+    std::size_t max_arrivals = 0;
     std::size_t first = 0;
     for (std::size_t i = 0; i < arrivals_.size(); ++i) {
       if (arrivals_[i] < from) first = i + 1;
       while (first < i && arrivals_[i] - arrivals_[first] >= window) ++first;
-      if (first <= i) most = std::max(most, i - first + 1);
+      if (first <= i) max_arrivals = std::max(max_arrivals, i - first + 1);
     }
-    return most;
+    return max_arrivals;
   }
 
   er::Time now() const { return now_; }
   er::EndpointSet& Set(std::size_t node) { return sets_[node]; }
-  er::Endpoint& At(std::size_t node) { return *sets_[node].by_id["limited"]; }
+  er::Endpoint& EndpointAt(std::size_t node) {
+    return *sets_[node].by_id["limited"];
+  }
 
  private:
   struct Answer {
@@ -81,35 +83,36 @@
     std::optional<double> limit;
   };
 
-  void Tell(std::size_t from, std::size_t to) {
-    for (const auto& told : er::MakeLimitGossip(sets_[from], random_, now_)) {
-      er::ApplyLimitGossip(sets_[to], told, now_);
+  void SendGossip(std::size_t from, std::size_t to) {
+    for (const auto& gossip : er::MakeLimitGossip(sets_[from], random_, now_)) {
+      er::ApplyLimitGossip(sets_[to], gossip, now_);
     }
   }
 
   void Exchange() {
     for (std::size_t i = 0; i < sets_.size(); ++i) {
       const std::size_t peer = ek::RandomBelow(random_, sets_.size());
-      Tell(i, peer);
-      Tell(peer, i);
+      SendGossip(i, peer);
+      SendGossip(peer, i);
     }
   }
 
   void Step() {
-    const auto passed = now_ - kStart;
-    if (talk_ && passed % er::kLargeFleetExchangeInterval < kStep) Exchange();
+    const auto elapsed = now_ - kStart;
+    if (gossip_enabled_ && elapsed % er::kLargeFleetExchangeInterval < kStep)
+      Exchange();
     for (; !answers_.empty() && answers_.front().due <= now_;
          answers_.pop_front()) {
       er::OnAdvertisedLimit(sets_[answers_.front().node],
-                            At(answers_.front().node), answers_.front().limit,
-                            now_);
+                            EndpointAt(answers_.front().node),
+                            answers_.front().limit, now_);
     }
     for (std::size_t i = 0; i < sets_.size(); ++i) {
-      const er::FleetSnapshot part{names_.size(), names_[i], names_, "a"};
+      const er::FleetSnapshot snapshot{names_.size(), names_[i], names_, "a"};
       er::Demand demand;
       demand.service = &service_;
       const auto placement =
-          er::ChoosePlacement(sets_[i], demand, {}, part, random_, now_);
+          er::ChoosePlacement(sets_[i], demand, {}, snapshot, random_, now_);
       if (placement.endpoint == nullptr) continue;
       er::OnAttemptSent(*placement.endpoint, demand, ++attempts_, placement,
                         now_);
@@ -124,17 +127,17 @@
   std::vector<er::Time> arrivals_;
   std::deque<Answer> answers_;
   std::optional<double> limit_;
-  bool talk_ = false;
+  bool gossip_enabled_ = false;
   ek::Random random_{11};
   std::uint64_t attempts_ = 0;
   er::Time now_ = kStart;
 };
 
-std::size_t AllowedWithinFourSeconds(double limit) {
+std::size_t MaxArrivalsInFourSeconds(double limit) {
   return static_cast<std::size_t>(1.5 * limit * 4 + 5);
 }
 
-er::EndpointSet WithEndpoints(const std::vector<std::string>& ids) {
+er::EndpointSet MakeEndpointSet(const std::vector<std::string>& ids) {
   er::EndpointSet set;
   for (const std::string& id : ids) {
     er::OnEntryPublished(
@@ -147,73 +150,75 @@
 
 }  // namespace
 
-TEST_GROUP(NamedLimits){};
+TEST_GROUP(AdvertisedLimits){};
 
-// Guards against a sum over nodes that is many times the limit.
-TEST(NamedLimits, HoldForAllNodesTogetherInFleetsOfAnySize) {
+// Guards against exceeding the limit many times over in the sum of all nodes.
+TEST(AdvertisedLimits, HoldForAllNodesTogetherInFleetsOfAnySize) {
   for (const std::size_t nodes : {1, 7, 90, 300}) {
     for (const double limit : {0.0, 0.3, 2.0, 12.0}) {
       LimitedFleet fleet(nodes);
-      if (nodes > 16) fleet.LetThemTalk();
-      fleet.Name(limit);
+      if (nodes > 16) fleet.EnableGossip();
+      fleet.Advertise(limit);
       fleet.Run(1s);
-      const er::Time told = fleet.now();
+      const er::Time advertised_at = fleet.now();
       fleet.Run(25s);
-      CHECK(fleet.MostWithin(4s, told) <= AllowedWithinFourSeconds(limit));
+      CHECK(fleet.MaxArrivalsWithin(4s, advertised_at) <=
+            MaxArrivalsInFourSeconds(limit));
     }
   }
 }
 
-// Guards against an endpoint that goes on getting little once it has recovered.
-TEST(NamedLimits, EndOnceTheEndpointNamesNone) {
+// Guards against limiting an endpoint that has recovered.
+TEST(AdvertisedLimits, EndWhenTheEndpointAdvertisesNone) {
   LimitedFleet fleet(7);
-  fleet.Name(2);
+  fleet.Advertise(2);
   fleet.Run(5s);
   const er::Time limited = fleet.now();
   fleet.Run(6s);
-  CHECK(fleet.MostWithin(4s, limited) >= 4);
-  fleet.Name(std::nullopt);
+  CHECK(fleet.MaxArrivalsWithin(4s, limited) >= 4);
+  fleet.Advertise(std::nullopt);
   fleet.Run(6s);
   for (std::size_t i = 0; i < 7; ++i) {
-    DOUBLES_EQUAL(0, fleet.At(i).limit.per_second, 0);
+    DOUBLES_EQUAL(0, fleet.EndpointAt(i).limit.per_second, 0);
   }
 }
 
-// Guards against an endpoint that took nothing and is left out long after that.
-TEST(NamedLimits, AnEndpointThatTookNothingIsAskedAgainWithinSeconds) {
+// Guards against leaving out an endpoint long after it accepted nothing.
+TEST(AdvertisedLimits, AnEndpointThatAcceptedNothingIsProbedWithinSeconds) {
   LimitedFleet fleet(3);
-  fleet.LetThemTalk();
-  fleet.Name(0);
+  fleet.EnableGossip();
+  fleet.Advertise(0);
   fleet.Run(5s);
-  LONGS_EQUAL(3, fleet.NodesThatTakeItForLimited());
-  fleet.Name(std::nullopt);
+  LONGS_EQUAL(3, fleet.CountNodesWithLimit());
+  fleet.Advertise(std::nullopt);
   fleet.Run(8s);
-  LONGS_EQUAL(0, fleet.NodesThatTakeItForLimited());
+  LONGS_EQUAL(0, fleet.CountNodesWithLimit());
 }
 
-// Guards against nodes that leave an endpoint out for as long as they run.
-TEST(NamedLimits, NodesThatDoNotSendHearThatALimitEnded) {
+// Guards against nodes that leave out an endpoint for the rest of their run,
+// because they don't send to it.
+TEST(AdvertisedLimits, NodesThatDoNotSendLearnThatALimitEnded) {
   LimitedFleet fleet(90);
-  fleet.LetThemTalk();
-  fleet.Name(2);
+  fleet.EnableGossip();
+  fleet.Advertise(2);
   fleet.Run(8s);
-  LONGS_EQUAL(90, fleet.NodesThatTakeItForLimited());
-  fleet.Name(std::nullopt);
+  LONGS_EQUAL(90, fleet.CountNodesWithLimit());
+  fleet.Advertise(std::nullopt);
   fleet.Run(8s);
-  LONGS_EQUAL(0, fleet.NodesThatTakeItForLimited());
+  LONGS_EQUAL(0, fleet.CountNodesWithLimit());
 }
 
-// Guards against an endpoint whose earlier process was in need.
-TEST(NamedLimits, NewsOfAnEarlierProcessAreNotBelieved) {
+// Guards against limiting an endpoint because its earlier process was limited.
+TEST(AdvertisedLimits, GossipAboutAnEarlierProcessIsIgnored) {
   LimitedFleet fleet(1);
   const er::LimitGossip before{"limited", 2, 500ms};
   CHECK_FALSE(er::ApplyLimitGossip(fleet.Set(0), before, kStart + 400ms));
   CHECK(er::ApplyLimitGossip(fleet.Set(0), before, kStart + 600ms));
-  DOUBLES_EQUAL(2, fleet.At(0).limit.per_second, 0);
+  DOUBLES_EQUAL(2, fleet.EndpointAt(0).limit.per_second, 0);
 }
 
-// Guards against a peer whose news are old or nonsense.
-TEST(NamedLimits, OddNewsChangeNothing) {
+// Guards against outdated or invalid gossip from a peer.
+TEST(AdvertisedLimits, InvalidGossipIsIgnored) {
   LimitedFleet fleet(1);
   const double none = std::numeric_limits<double>::quiet_NaN();
   const er::Time now = kStart + 60s;
@@ -221,23 +226,25 @@
   CHECK_FALSE(er::ApplyLimitGossip(fleet.Set(0), {"limited", -1, 0ms}, now));
   CHECK_FALSE(er::ApplyLimitGossip(fleet.Set(0), {"unknown", 2, 0ms}, now));
   CHECK_FALSE(er::ApplyLimitGossip(fleet.Set(0), {"limited", 2, 11s}, now));
-  DOUBLES_EQUAL(0, fleet.At(0).limit.per_second, 0);
+  DOUBLES_EQUAL(0, fleet.EndpointAt(0).limit.per_second, 0);
 }
 
-// Guards against a flood by turns taken under a larger limit.
-TEST(NamedLimits, ASmallerLimitHoldsAtOnce) {
+// Guards against exceeding a reduced limit with turns granted under the larger
+// one.
+TEST(AdvertisedLimits, ASmallerLimitHoldsAtOnce) {
   LimitedFleet fleet(78);
-  fleet.Name(60);
+  fleet.Advertise(60);
   fleet.Run(4s);
-  fleet.Name(2);
+  fleet.Advertise(2);
   fleet.Run(2s);
-  const er::Time told = fleet.now();
+  const er::Time advertised_at = fleet.now();
   fleet.Run(12s);
-  CHECK(fleet.MostWithin(4s, told) <= AllowedWithinFourSeconds(2));
+  CHECK(fleet.MaxArrivalsWithin(4s, advertised_at) <=
+        MaxArrivalsInFourSeconds(2));
 }
 
-TEST(NamedLimits, BesideAColdStartTheSmallerRateHolds) {
-  er::EndpointSet set = WithEndpoints({"one"});
+TEST(AdvertisedLimits, DuringAColdStartTheSmallerRateHolds) {
+  er::EndpointSet set = MakeEndpointSet({"one"});
   er::Endpoint& endpoint = *set.by_id["one"];
   er::Service service{.name = "engines", .cold_per_second = 5};
   endpoint.cold_until = kStart + 10s;
@@ -251,51 +258,52 @@
   LONGS_EQUAL(er::kMaxColdSenders, rate->senders);
 }
 
-TEST(NamedLimits, AreKeptWithinBounds) {
+TEST(AdvertisedLimits, AreKeptWithinBounds) {
   LimitedFleet fleet(1);
-  er::Endpoint& endpoint = fleet.At(0);
+  er::Endpoint& endpoint = fleet.EndpointAt(0);
   CHECK(er::OnAdvertisedLimit(fleet.Set(0), endpoint, 0, kStart));
   DOUBLES_EQUAL(er::kMinLimitPerSecond, endpoint.limit.per_second, 0);
   CHECK(er::OnAdvertisedLimit(fleet.Set(0), endpoint, 1e300, kStart));
   DOUBLES_EQUAL(er::kMaxLimitPerSecond, endpoint.limit.per_second, 0);
-  // What hardly changes isn't worth a line.
+  // A small change isn't logged.
   CHECK_FALSE(er::OnAdvertisedLimit(fleet.Set(0), endpoint, 0.9e6, kStart));
   CHECK(er::OnAdvertisedLimit(fleet.Set(0), endpoint, std::nullopt, kStart));
 }
 
-// Guards against callers that wait while other endpoints are free.
-TEST(NamedLimits, OtherEndpointsTakeWhatALimitedOneMayNot) {
-  er::EndpointSet set = WithEndpoints({"limited", "free"});
+// Guards against callers that wait for a limited endpoint while another is
+// free.
+TEST(AdvertisedLimits, OtherEndpointsGetWhatALimitedOneCannotTake) {
+  er::EndpointSet set = MakeEndpointSet({"limited", "free"});
   er::Service service{.name = "engines"};
   er::OnAdvertisedLimit(set, *set.by_id["limited"], 1, kStart);
   er::Demand demand;
   demand.service = &service;
-  const er::FleetSnapshot alone{1, "n1", {"n1"}, "a"};
+  const er::FleetSnapshot lone_node{1, "n1", {"n1"}, "a"};
   ek::Random random{5};
   for (int i = 0; i < 20; ++i) {
     const auto placement =
-        er::ChoosePlacement(set, demand, {}, alone, random, kStart + 1ms);
+        er::ChoosePlacement(set, demand, {}, lone_node, random, kStart + 1ms);
     CHECK(placement.endpoint == set.by_id["free"]);
   }
 }
 
-TEST(NamedLimits, WhereAllAreLimitedTheNextTurnIsKnown) {
-  er::EndpointSet set = WithEndpoints({"one", "two"});
+TEST(AdvertisedLimits, IfAllAreLimitedTheNextTurnIsReported) {
+  er::EndpointSet set = MakeEndpointSet({"one", "two"});
   er::Service service{.name = "engines"};
   er::Demand demand;
   demand.service = &service;
-  const er::FleetSnapshot alone{1, "n1", {"n1"}, "a"};
+  const er::FleetSnapshot lone_node{1, "n1", {"n1"}, "a"};
   ek::Random random{5};
   er::OnAdvertisedLimit(set, *set.by_id["one"], 1, kStart);
   er::OnAdvertisedLimit(set, *set.by_id["two"], 4, kStart);
-  auto none = er::ChoosePlacement(set, demand, {}, alone, random, kStart);
+  auto none = er::ChoosePlacement(set, demand, {}, lone_node, random, kStart);
   CHECK(none.endpoint == nullptr);
   CHECK(none.reason == er::PlacementReason::kAllLimited);
-  // The first turn comes within one pause of the larger limit.
+  // The first turn comes within one interval of the larger limit.
   CHECK(none.next_turn_in > 0ms && none.next_turn_in <= 313ms);
-  // One that is full for a moment may be free before that.
+  // An endpoint that is full for a moment may be free before that.
   er::OnAdvertisedLimit(set, *set.by_id["two"], std::nullopt, kStart);
   er::OnEndpointFull(*set.by_id["two"], 200ms, kStart);
-  none = er::ChoosePlacement(set, demand, {}, alone, random, kStart);
+  none = er::ChoosePlacement(set, demand, {}, lone_node, random, kStart);
   CHECK(none.endpoint == nullptr && !none.next_turn_in);
 }
--- a/routing/tests/endpoints_test.cc
+++ b/routing/tests/endpoints_test.cc
@@ -12,7 +12,7 @@
 
 constexpr er::Time kStart{std::chrono::hours(1)};
 
-er::EndpointEntry Entry(const std::string& id) {
+er::EndpointEntry MakeEntry(const std::string& id) {
   er::EndpointEntry entry;
   entry.id = id;
   entry.service = "engines";
@@ -27,46 +27,47 @@
 
 TEST_GROUP(Endpoints) { er::EndpointSet set; };
 
-TEST(Endpoints, ComeChangeAndGo) {
-  CHECK(er::OnEntryPublished(set, Entry("x"), kStart) == EntryChange::kNew);
-  CHECK(er::OnEntryPublished(set, Entry("x"), kStart) == EntryChange::kNone);
-  er::EndpointEntry leaving = Entry("x");
+TEST(Endpoints, AreAddedChangedAndRemoved) {
+  CHECK(er::OnEntryPublished(set, MakeEntry("x"), kStart) == EntryChange::kNew);
+  CHECK(er::OnEntryPublished(set, MakeEntry("x"), kStart) ==
+        EntryChange::kNone);
+  er::EndpointEntry leaving = MakeEntry("x");
   leaving.leaving = true;
   CHECK(er::OnEntryPublished(set, leaving, kStart) == EntryChange::kLeaving);
   CHECK(er::OnEntryRemoved(set, "x", false, kStart) == EntryChange::kGone);
   CHECK(set.by_service["engines"].empty());
 }
 
-// Guards against nodes that divide the same engines differently.
-TEST(Endpoints, HaveTheSamePlacesInWhateverOrderTheyCame) {
-  constexpr int kCount = 40;
-  er::EndpointSet backwards;
-  for (int i = 0; i < kCount; ++i) {
-    er::OnEntryPublished(set, Entry("e" + std::to_string(i)), kStart);
-    er::OnEntryPublished(backwards, Entry("e" + std::to_string(kCount - 1 - i)),
-                         kStart);
+// Guards against nodes that split the same engines differently.
+TEST(Endpoints, HashPositionsDoNotDependOnTheOrderOfArrival) {
+  constexpr int kEndpoints = 40;
+  er::EndpointSet reversed;
+  for (int i = 0; i < kEndpoints; ++i) {
+    er::OnEntryPublished(set, MakeEntry("e" + std::to_string(i)), kStart);
+    er::OnEntryPublished(
+        reversed, MakeEntry("e" + std::to_string(kEndpoints - 1 - i)), kStart);
   }
-  // One that came in between and left again leaves no gap.
-  er::OnEntryPublished(set, Entry("other"), kStart);
+  // An endpoint that came and left leaves no gap.
+  er::OnEntryPublished(set, MakeEntry("other"), kStart);
   er::OnEntryRemoved(set, "other", false, kStart);
-  std::set<double> places;
+  std::set<double> positions;
   for (const auto& [id, endpoint] : set.by_id) {
-    DOUBLES_EQUAL(backwards.by_id[id]->hash_position, endpoint->hash_position,
+    DOUBLES_EQUAL(reversed.by_id[id]->hash_position, endpoint->hash_position,
                   0);
     CHECK(endpoint->hash_position >= 0 && endpoint->hash_position < 1);
-    places.insert(endpoint->hash_position);
+    positions.insert(endpoint->hash_position);
   }
-  LONGS_EQUAL(kCount, places.size());
+  LONGS_EQUAL(kEndpoints, positions.size());
 }
 
-// An endpoint crashes and starts again under its name. What this node knew of
-// it, its warm memory above all, is gone with the process.
+// Guards against applying what was learned about an endpoint to its restarted
+// process, above all its prefix cache.
 TEST(Endpoints, ARestartedProcessHasNoHistory) {
-  er::OnEntryPublished(set, Entry("x"), kStart);
+  er::OnEntryPublished(set, MakeEntry("x"), kStart);
   const er::EndpointPtr before = set.by_id["x"];
   er::RecordPromptParts(*before, {7}, kStart);
   before->in_flight = 3;
-  er::EndpointEntry again = Entry("x");
+  er::EndpointEntry again = MakeEntry("x");
   again.started_unix_ms = 200;
   again.cold_left = 3s;
   CHECK(er::OnEntryPublished(set, again, kStart + 1s) ==
@@ -79,15 +80,15 @@
   CHECK(after->cold_until == kStart + 4s);
 }
 
-// The store was away longer than leases last: on its return it names no
-// endpoint at all until they have registered anew. Believed at once, no request
-// would be served for two seconds.
-TEST(Endpoints, AnEntryThatLapsedInAnOutageIsBelievedForAWhile) {
-  er::OnEntryPublished(set, Entry("x"), kStart);
+// Guards against two seconds without any endpoint after an outage of the store
+// that is longer than the leases: on its return the store lists no endpoint
+// until all have registered again.
+TEST(Endpoints, AnEntryThatLapsedInAnOutageStaysUsableForAWhile) {
+  er::OnEntryPublished(set, MakeEntry("x"), kStart);
   CHECK(er::OnEntryRemoved(set, "x", true, kStart) == EntryChange::kLapsed);
   LONGS_EQUAL(1, set.by_service["engines"].size());
   CHECK(er::RemoveLapsedEndpoints(set, kStart + 1s).empty());
-  CHECK(er::OnEntryPublished(set, Entry("x"), kStart + 1s) ==
+  CHECK(er::OnEntryPublished(set, MakeEntry("x"), kStart + 1s) ==
         EntryChange::kChanged);
   CHECK(er::RemoveLapsedEndpoints(set, kStart + 5s).empty());
   er::OnEntryRemoved(set, "x", true, kStart + 6s);
@@ -95,13 +96,13 @@
   CHECK(set.by_id.empty());
 }
 
-// A third of a service's endpoints are emptied at once and remove their
-// entries. That looks like an outage's work, so that they are believed for a
-// while; but two seconds later nothing may be sent to them, and a node looks at
-// what has lapsed ten times a second.
-TEST(Endpoints, ManyThatLeaveAtOnceGetNothingTwoSecondsLater) {
+// Guards against sending to endpoints for too long that removed their own
+// entries at once, here a third of a service. That looks like the effect of an
+// outage, so they stay usable for a while. But two seconds later nothing may be
+// sent to them, and a node removes lapsed endpoints ten times a second.
+TEST(Endpoints, RemovedEndpointsGetNothingTwoSecondsLater) {
   for (const char* id : {"x", "y", "z"})
-    er::OnEntryPublished(set, Entry(id), kStart);
+    er::OnEntryPublished(set, MakeEntry(id), kStart);
   for (const char* id : {"x", "y", "z"}) {
     er::OnEntryRemoved(set, id, true, kStart);
   }
@@ -109,21 +110,21 @@
   CHECK(set.by_service["engines"].empty());
 }
 
-// An endpoint that was leaving before the outage is not kept by it.
-TEST(Endpoints, ALeavingOneGoesAlsoInAnOutage) {
-  er::EndpointEntry leaving = Entry("x");
+// An endpoint that was leaving before the outage gets no grace period.
+TEST(Endpoints, ALeavingEndpointIsRemovedEvenInAnOutage) {
+  er::EndpointEntry leaving = MakeEntry("x");
   leaving.leaving = true;
   er::OnEntryPublished(set, leaving, kStart);
   CHECK(er::OnEntryRemoved(set, "x", true, kStart) == EntryChange::kGone);
 }
 
-TEST(Endpoints, FailuresFadeAndRefusalsDouble) {
-  er::OnEntryPublished(set, Entry("x"), kStart);
+TEST(Endpoints, FailureRateHalvesAndConnectBackoffDoubles) {
+  er::OnEntryPublished(set, MakeEntry("x"), kStart);
   er::Endpoint& endpoint = *set.by_id["x"];
   er::OnAttemptFailed(endpoint, kStart);
-  const double failing = er::FailureRate(endpoint.health, kStart);
-  CHECK(failing > 0);
-  DOUBLES_EQUAL(failing / 2,
+  const double rate = er::FailureRate(endpoint.health, kStart);
+  CHECK(rate > 0);
+  DOUBLES_EQUAL(rate / 2,
                 er::FailureRate(endpoint.health, kStart + er::kFailureHalfLife),
                 0.001);
   er::OnConnectFailed(endpoint, kStart);
@@ -134,8 +135,8 @@
   CHECK(endpoint.health.avoid_until == er::Time{});
 }
 
-TEST(Endpoints, ForgetsTheOlderHalfOfTheParts) {
-  er::OnEntryPublished(set, Entry("x"), kStart);
+TEST(Endpoints, DropsTheOlderHalfOfThePromptParts) {
+  er::OnEntryPublished(set, MakeEntry("x"), kStart);
   er::Endpoint& endpoint = *set.by_id["x"];
   for (std::uint64_t part = 1; part <= er::kMaxPromptParts + 1; ++part) {
     er::RecordPromptParts(endpoint, {part},
--- a/routing/tests/engine_split_test.cc
+++ b/routing/tests/engine_split_test.cc
@@ -35,13 +35,13 @@
 
 }  // namespace
 
-TEST_GROUP(Sides) {
+TEST_GROUP(EngineSplit) {
   ek::Random random{11};
   std::vector<er::SplitDemandMeter> meters{kNodes};
-  std::vector<er::FleetDemand> agreed{kNodes};
+  std::vector<er::FleetDemand> demands{kNodes};
   er::Time now = kStart;
 
-  static er::Placement At(std::uint32_t slots, double uncached) {
+  static er::Placement PlacementAt(std::uint32_t slots, double uncached) {
     er::Placement placement;
     placement.endpoint = std::make_shared<er::Endpoint>();
     placement.endpoint->entry.slots = slots;
@@ -49,177 +49,179 @@
     return placement;
   }
 
-  void ChoosePlacement(er::SplitDemandMeter & meter, const er::Demand& demand,
-                       const er::Placement& placement) const {
+  void AddToMeter(er::SplitDemandMeter & meter, const er::Demand& demand,
+                  const er::Placement& placement) const {
     er::OnPlaced(meter, demand, placement, now);
   }
 
-  // Requests of so many a second in all, each at a node drawn at random.
-  void Arrive(const er::Demand& demand, double per_second,
-              std::chrono::milliseconds step) {
+  // Adds the requests of one time step, each at a random node.
+  void AddArrivals(const er::Demand& demand, double per_second,
+                   std::chrono::milliseconds step) {
     const double uncached = demand.prompt_tokens - er::SharedTokens(demand);
-    const er::Placement placement = At(24, uncached);
-    double due = per_second * std::chrono::duration<double>(step).count();
-    while (due > 0 && (due >= 1 || ek::RandomFraction(random) < due)) {
-      ChoosePlacement(meters[ek::RandomBelow(random, kNodes)], demand,
-                      placement);
-      due -= 1;
+    const er::Placement placement = PlacementAt(24, uncached);
+    double expected = per_second * std::chrono::duration<double>(step).count();
+    while (expected > 0 &&
+           (expected >= 1 || ek::RandomFraction(random) < expected)) {
+      AddToMeter(meters[ek::RandomBelow(random, kNodes)], demand, placement);
+      expected -= 1;
     }
   }
 
-  // Plays the load, with an exchange of each node with a random peer every
-  // 200 ms.
-  void Play(std::chrono::milliseconds time, double tight, double rest,
-            bool exchange = true) {
+  // Simulates `tight` tight streams and `rest` long prompts a second. Every 200
+  // ms each node exchanges its value with a random peer.
+  void Simulate(std::chrono::milliseconds time, double tight, double rest,
+                bool exchange = true) {
     for (const er::Time end = now + time; now < end; now += 10ms) {
-      Arrive(TightStream(), tight, 10ms);
-      Arrive(LongPrompt(), rest, 10ms);
+      AddArrivals(TightStream(), tight, 10ms);
+      AddArrivals(LongPrompt(), rest, 10ms);
       if ((now - kStart) % 200ms != 0ms) continue;
       for (std::size_t i = 0; i < kNodes; ++i) {
-        er::FollowMeasuredDemand(agreed[i], meters[i], now);
+        er::FollowMeasuredDemand(demands[i], meters[i], now);
         if (!exchange) continue;
         const std::size_t peer = ek::RandomBelow(random, kNodes);
-        const er::SplitDemand told = agreed[i].mean;
-        er::MergePeerDemand(agreed[i], agreed[peer].mean);
-        er::MergePeerDemand(agreed[peer], told);
+        const er::SplitDemand own_mean = demands[i].mean;
+        er::MergePeerDemand(demands[i], demands[peer].mean);
+        er::MergePeerDemand(demands[peer], own_mean);
       }
     }
   }
 
-  std::vector<double> Parts() const {
-    std::vector<double> parts;
-    for (const er::FleetDemand& one : agreed) {
-      parts.push_back(er::TightFraction(one.mean));
+  std::vector<double> SortedTightFractions() const {
+    std::vector<double> fractions;
+    for (const er::FleetDemand& demand : demands) {
+      fractions.push_back(er::TightFraction(demand.mean));
     }
-    std::sort(parts.begin(), parts.end());
-    return parts;
+    std::sort(fractions.begin(), fractions.end());
+    return fractions;
   }
   double Spread() const {
-    const auto parts = Parts();
-    return parts[kNodes * 9 / 10] - parts[kNodes / 10];
+    const auto fractions = SortedTightFractions();
+    return fractions[kNodes * 9 / 10] - fractions[kNodes / 10];
   }
-  double Middle() const { return Parts()[kNodes / 2]; }
+  double MedianFraction() const { return SortedTightFractions()[kNodes / 2]; }
 };
 
-// Each of many nodes sees one or two requests a second of either kind. Going by
-// these alone, nodes would draw the boundary at quite different engines, and
-// those between would get both kinds.
-TEST(Sides, NodesAgreeOnTheBoundary) {
-  Play(8s, 117, 145);
-  CHECK(Spread() < 0.06);  // Five engines of ninety.
-  const double with = Spread();
-  agreed.assign(kNodes, {});
+// Guards against nodes that split the engines at different places. Each of many
+// nodes sees only one or two requests a second of either kind. If each node
+// used its own measurement, the engines between the boundaries would get both
+// kinds.
+TEST(EngineSplit, NodesAgreeOnTheBoundary) {
+  Simulate(8s, 117, 145);
+  CHECK(Spread() < 0.06);  // Five of ninety engines.
+  const double with_exchange = Spread();
+  demands.assign(kNodes, {});
   meters.assign(kNodes, {});
-  Play(8s, 117, 145, false);
-  CHECK(Spread() > 3 * with);
+  Simulate(8s, 117, 145, false);
+  CHECK(Spread() > 3 * with_exchange);
 }
 
-// Parents ask at twice the rate for some seconds. Engines kept for others by
-// then would leave their questions waiting.
-TEST(Sides, TheBoundaryFollowsABurst) {
-  Play(8s, 117, 145);
-  const double calm = Middle();
-  Play(5s, 280, 145);
-  const double burst = Middle();
+// Guards against tight streams that wait during a burst of some seconds because
+// the boundary stays where it was before.
+TEST(EngineSplit, TheBoundaryFollowsABurst) {
+  Simulate(8s, 117, 145);
+  const double calm = MedianFraction();
+  Simulate(5s, 280, 145);
+  const double burst = MedianFraction();
   CHECK(burst > calm + 0.1);
-  Play(6s, 117, 330);
-  CHECK(Middle() < calm - 0.05);
+  Simulate(6s, 117, 330);
+  CHECK(MedianFraction() < calm - 0.05);
 }
 
-TEST(Sides, ANodeThatStartsTakesWhatItsPeersAgreedOn) {
-  Play(8s, 117, 145);
-  er::FleetDemand fresh;
-  er::MergePeerDemand(fresh, agreed.front().mean);
-  DOUBLES_EQUAL(er::TightFraction(agreed.front().mean),
-                er::TightFraction(fresh.mean), 0.001);
+TEST(EngineSplit, ANewNodeAdoptsTheDemandOfItsPeers) {
+  Simulate(8s, 117, 145);
+  er::FleetDemand new_node;
+  er::MergePeerDemand(new_node, demands.front().mean);
+  DOUBLES_EQUAL(er::TightFraction(demands.front().mean),
+                er::TightFraction(new_node.mean), 0.001);
 }
 
-// It has seen no request by the time of its own next exchange. Pulled to that
-// at once, it would send long prompts to a quarter of the engines that the
-// others keep for tight streams.
-TEST(Sides, ANodeThatStartsKeepsWhatItTookUntilItHasMeasured) {
-  Play(8s, 117, 145);
-  const double part = er::TightFraction(agreed.front().mean);
-  er::FleetDemand fresh;
-  er::MergePeerDemand(fresh, agreed.front().mean);
+// Guards against a new node that follows its own measurement at once, before it
+// has seen a request. It would send long prompts to a quarter of the engines
+// that the other nodes keep for tight streams.
+TEST(EngineSplit, ANewNodeKeepsTheAdoptedDemandUntilItHasMeasured) {
+  Simulate(8s, 117, 145);
+  const double fraction = er::TightFraction(demands.front().mean);
+  er::FleetDemand new_node;
+  er::MergePeerDemand(new_node, demands.front().mean);
   const er::SplitDemandMeter idle;
-  er::FollowMeasuredDemand(fresh, idle, now);
-  er::FollowMeasuredDemand(fresh, idle, now + 200ms);
-  DOUBLES_EQUAL(part, er::TightFraction(fresh.mean), 0.001);
-  CHECK(fresh.mean.tight > agreed.front().mean.tight / 2);
+  er::FollowMeasuredDemand(new_node, idle, now);
+  er::FollowMeasuredDemand(new_node, idle, now + 200ms);
+  DOUBLES_EQUAL(fraction, er::TightFraction(new_node.mean), 0.001);
+  CHECK(new_node.mean.tight > demands.front().mean.tight / 2);
 }
 
-// A node that knows nothing yet would pull the others' figure to nothing.
-TEST(Sides, ANodeThatKnowsNothingChangesNoFigure) {
+// Guards against a node without a value that draws the value of its peers
+// towards 0.
+TEST(EngineSplit, ANodeWithoutAValueDoesNotChangeThatOfItsPeers) {
   er::FleetDemand known;
   er::MergePeerDemand(known, {4, 8});
   er::MergePeerDemand(known, {});
   DOUBLES_EQUAL(4, known.mean.tight, 0);
 }
 
-TEST(Sides, EachKindFindsRoomBeforeItsDemandIsKnown) {
+TEST(EngineSplit, EachKindHasEnginesBeforeItsDemandIsKnown) {
   DOUBLES_EQUAL(er::kDefaultTightFraction, er::TightFraction({}), 0);
   DOUBLES_EQUAL(er::kMinTightFraction, er::TightFraction({0, 10}), 0);
   DOUBLES_EQUAL(er::kMaxTightFraction, er::TightFraction({10, 0}), 0);
 }
 
-// An engine of 128 slots runs a stream beside many others, and its part of the
-// engine is small. Counted as on an engine of 24, streams would be given half
-// of the engines while long prompts wait at the other half.
-TEST(Sides, AStreamTakesASmallerPartOfAnEngineWithMoreSlots) {
+// Guards against counting a stream on an engine of 128 slots like one on an
+// engine of 24 slots. Streams would get half of the engines, while long prompts
+// wait at the other half.
+TEST(EngineSplit, AStreamCountsLessAtAnEngineWithMoreSlots) {
   er::SplitDemandMeter small;
   er::SplitDemandMeter large;
-  ChoosePlacement(small, TightStream(), At(24, 600));
-  ChoosePlacement(large, TightStream(), At(128, 600));
+  AddToMeter(small, TightStream(), PlacementAt(24, 600));
+  AddToMeter(large, TightStream(), PlacementAt(128, 600));
   CHECK(large.demand.tight > 0);
   CHECK(large.demand.tight < small.demand.tight / 2);
 }
 
-// Engines of 24 and of 128 slots serve one service. Each counts with what a
-// request takes of it, wherever the node sends.
-TEST(Sides, EnginesOfDifferentSizesAddUp) {
+// Engines of 24 and of 128 slots serve one service. A request counts with the
+// part that it uses of the engine to which it is sent.
+TEST(EngineSplit, DemandAtEnginesOfDifferentSizesAddsUp) {
   er::SplitDemandMeter small;
   er::SplitDemandMeter large;
   er::SplitDemandMeter both;
-  ChoosePlacement(small, TightStream(), At(24, 600));
-  ChoosePlacement(large, TightStream(), At(128, 600));
-  ChoosePlacement(both, TightStream(), At(24, 600));
-  ChoosePlacement(both, TightStream(), At(128, 600));
+  AddToMeter(small, TightStream(), PlacementAt(24, 600));
+  AddToMeter(large, TightStream(), PlacementAt(128, 600));
+  AddToMeter(both, TightStream(), PlacementAt(24, 600));
+  AddToMeter(both, TightStream(), PlacementAt(128, 600));
   DOUBLES_EQUAL(small.demand.tight + large.demand.tight, both.demand.tight,
                 0.0001);
 }
 
-// Engines lose what long prompts share, and read it anew. The prompts then take
-// most of the engines' time; counted as if all were held, they would be given
-// too few engines, and lose more.
-TEST(Sides, SharedPartsThatAreReadAnewCountAsDemand) {
-  er::SplitDemandMeter held;
-  er::SplitDemandMeter anew;
-  ChoosePlacement(held, LongPrompt(), At(24, 6600));
-  ChoosePlacement(anew, LongPrompt(), At(24, 11'600));
-  CHECK(anew.demand.rest > held.demand.rest);
+// Guards against giving long prompts too few engines when their shared parts
+// drop out of the prefix caches. Prefilling them again takes most of the
+// engines' time, and with too few engines even more parts would be lost.
+TEST(EngineSplit, SharedPartsThatArePrefilledAgainCountAsDemand) {
+  er::SplitDemandMeter cached;
+  er::SplitDemandMeter uncached;
+  AddToMeter(cached, LongPrompt(), PlacementAt(24, 6600));
+  AddToMeter(uncached, LongPrompt(), PlacementAt(24, 11'600));
+  CHECK(uncached.demand.rest > cached.demand.rest);
 }
 
-// A service gets many short prompts that may pause, another one plain requests.
-// Both go to all engines and need none of their own.
-TEST(Sides, RequestsOfNeitherSideAreNoDemand) {
-  er::Demand brief = TightStream();
-  brief.tight = false;
-  const er::Demand plain;
+// Guards against reserving engines for short prompts that may pause or for
+// requests that aren't generations. Both use all engines.
+TEST(EngineSplit, RequestsOfNeitherKindAreNoDemand) {
+  er::Demand short_request = TightStream();
+  short_request.tight = false;
+  const er::Demand plain_request;
   er::SplitDemandMeter meter;
   for (int i = 0; i < 1000; ++i) {
-    ChoosePlacement(meter, brief, At(24, 600));
-    ChoosePlacement(meter, plain, At(6, 0));
+    AddToMeter(meter, short_request, PlacementAt(24, 600));
+    AddToMeter(meter, plain_request, PlacementAt(6, 0));
   }
   DOUBLES_EQUAL(0, meter.demand.tight, 0);
   DOUBLES_EQUAL(0, meter.demand.rest, 0);
-  ChoosePlacement(meter, LongPrompt(), At(24, 6600));
+  AddToMeter(meter, LongPrompt(), PlacementAt(24, 6600));
   const er::SplitDemand before = meter.demand;
-  ChoosePlacement(meter, brief, At(24, 600));
+  AddToMeter(meter, short_request, PlacementAt(24, 600));
   DOUBLES_EQUAL(before.rest, meter.demand.rest, 0);
 }
 
-TEST(Sides, ShortRequestsThatMayPauseGoToBoth) {
+TEST(EngineSplit, ShortRequestsThatMayPauseUseAllEngines) {
   er::Endpoint endpoint;
   endpoint.hash_position = 0.1;
   er::Demand demand = TightStream();
--- a/routing/tests/members_test.cc
+++ b/routing/tests/members_test.cc
@@ -16,7 +16,7 @@
 
 constexpr er::Time kStart{std::chrono::hours(1)};
 
-er::Member Node(const std::string& name, std::uint64_t incarnation = 10) {
+er::Member MakeMember(const std::string& name, std::uint64_t incarnation = 10) {
   er::Member member;
   member.node = name;
   member.callers = name + ":80";
@@ -26,87 +26,90 @@
   return member;
 }
 
-bool Names(const std::vector<std::string>& addresses, const std::string& one) {
-  return std::find(addresses.begin(), addresses.end(), one) != addresses.end();
+bool Contains(const std::vector<std::string>& addresses,
+              const std::string& address) {
+  return std::find(addresses.begin(), addresses.end(), address) !=
+         addresses.end();
 }
 
-constexpr std::size_t kRoundsPerPulse =
+constexpr std::size_t kRoundsPerReaderHeartbeat =
     er::kReaderHeartbeatInterval / er::kExchangeInterval;
 
-// Nodes that exchange with each other in rounds, without a network.
+// A fleet of nodes that exchange gossip in rounds, without a network.
 struct Fleet {
   std::vector<er::Members> nodes;
-  std::vector<bool> runs;
+  std::vector<bool> is_running;
   ek::Random random{3};
-  std::set<std::size_t> dark;
+  std::set<std::size_t> powerless;
   std::size_t rounds = 0;
-  bool turns = false;
+  bool alternate_turns = false;
 
   explicit Fleet(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
-      nodes.push_back(er::MakeMembers(Node("n" + std::to_string(i)),
+      nodes.push_back(er::MakeMembers(MakeMember("n" + std::to_string(i)),
                                       {"n0:90", "n1:90"}, kStart));
-      runs.push_back(true);
+      is_running.push_back(true);
     }
   }
-  void Round(er::Time now) {
-    if (++rounds % kRoundsPerPulse == 0) ShowReaders(now);
+  void RunRound(er::Time now) {
+    if (++rounds % kRoundsPerReaderHeartbeat == 0) SendReaderHeartbeats(now);
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      if (!runs[i]) continue;
-      // A node that knows its fleet to be large exchanges every other time.
-      const bool turn = !turns || (rounds + i) % 2 == 0;
+      if (!is_running[i]) continue;
+      // A node that knows its fleet to be large exchanges in every other round.
+      const bool turn = !alternate_turns || (rounds + i) % 2 == 0;
       if (!turn && !er::IsSmallFleet(nodes[i])) continue;
       er::IncrementHeartbeat(nodes[i], now);
       const std::string peer = er::PickExchangePeer(nodes[i], random, now);
       for (std::size_t j = 0; j < nodes.size(); ++j) {
         if (nodes[j].self.peers != peer || i == j) continue;
-        if (!runs[j]) {
-          if (!dark.contains(j)) er::OnPeerUnreachable(nodes[i], peer, now);
+        if (!is_running[j]) {
+          if (!powerless.contains(j))
+            er::OnPeerUnreachable(nodes[i], peer, now);
           continue;
         }
-        const er::MemberGossip asks =
+        const er::MemberGossip request =
             er::MakeMemberGossip(nodes[i], {}, random, now);
-        er::ApplyMemberGossip(nodes[j], asks, now);
+        er::ApplyMemberGossip(nodes[j], request, now);
         er::ApplyMemberGossip(
-            nodes[i], er::MakeMemberGossip(nodes[j], asks.unknown, random, now),
-            now);
+            nodes[i],
+            er::MakeMemberGossip(nodes[j], request.unknown, random, now), now);
         er::OnExchangeAnswered(nodes[i], now);
         er::OnExchangeAnswered(nodes[j], now);
       }
     }
   }
-  void ShowReaders(er::Time now) {
+  void SendReaderHeartbeats(er::Time now) {
     for (const std::size_t reader : Readers(now)) {
       for (const std::string& peer : er::StandbyAddresses(nodes[reader], now)) {
         for (std::size_t i = 0; i < nodes.size(); ++i) {
-          if (runs[i] && nodes[i].self.peers == peer) {
+          if (is_running[i] && nodes[i].self.peers == peer) {
             er::OnPeerMessage(nodes[i], nodes[reader].self.peers, now);
           }
         }
       }
     }
   }
-  // It refuses nothing and answers nothing.
+  // From now on the node neither refuses connections nor answers.
   void LosePower(std::size_t node) {
-    runs[node] = false;
-    dark.insert(node);
+    is_running[node] = false;
+    powerless.insert(node);
   }
   void Run(er::Time& now, std::chrono::milliseconds time) {
     for (const er::Time end = now + time; now < end;
          now += er::kExchangeInterval) {
-      Round(now);
+      RunRound(now);
     }
   }
-  // Nodes that read the store for all.
+  // Returns the nodes that read the store for all.
   std::vector<std::size_t> Readers(er::Time now) const {
-    std::vector<std::size_t> found;
+    std::vector<std::size_t> readers;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      if (runs[i] && er::IsReader(nodes[i], now)) found.push_back(i);
+      if (is_running[i] && er::IsReader(nodes[i], now)) readers.push_back(i);
     }
-    return found;
+    return readers;
   }
-  std::vector<std::string> Told(std::size_t by, er::Time now) {
-    return er::DirectoryFor(nodes[by], "a", random, now);
+  std::vector<std::string> Directory(std::size_t node, er::Time now) {
+    return er::DirectoryFor(nodes[node], "a", random, now);
   }
 };
 
@@ -114,62 +117,67 @@
 
 TEST_GROUP(Members){};
 
-TEST(Members, FindEachOtherThroughSeeds) {
+TEST(Members, NodesDiscoverEachOtherThroughSeeds) {
   for (const std::size_t count : {std::size_t{7}, std::size_t{60}}) {
     Fleet fleet(count);
     er::Time now = kStart;
     fleet.Run(now, 3s);
     for (std::size_t i = 0; i < count; ++i) {
-      LONGS_EQUAL(count, fleet.Told(i, now).size());
+      LONGS_EQUAL(count, fleet.Directory(i, now).size());
     }
   }
 }
 
-// Most of what is told is a hash and two numbers. A node that missed the moment
-// when others were told of a newcomer must find out who that is.
-TEST(Members, ANodeAsksWhoItIsOfWhomItHearsOnlyPulses) {
-  er::Members late = er::MakeMembers(Node("late"), {}, kStart);
-  er::Members peer = er::MakeMembers(Node("peer"), {}, kStart);
-  er::MemberGossip met;
-  met.members = {Node("other")};
-  er::ApplyMemberGossip(peer, met, kStart);
+// Guards against a node that never learns the address of a member: complete
+// records are sent only for a while, and after that only heartbeats.
+TEST(Members, ANodeRequestsTheRecordOfAMemberKnownByHeartbeatOnly) {
+  er::Members late_node = er::MakeMembers(MakeMember("late"), {}, kStart);
+  er::Members peer = er::MakeMembers(MakeMember("peer"), {}, kStart);
+  er::MemberGossip known_by_peer;
+  known_by_peer.members = {MakeMember("other")};
+  er::ApplyMemberGossip(peer, known_by_peer, kStart);
   ek::Random random{1};
   const er::Time now = kStart + er::kNewMemberTime;
-  met.members[0].heartbeat = 1;
-  er::ApplyMemberGossip(peer, met, now - 100ms);
-  const er::MemberGossip told = er::MakeMemberGossip(peer, {}, random, now);
-  LONGS_EQUAL(1, told.members.size());
-  LONGS_EQUAL(1, told.pulses.size());
-  er::ApplyMemberGossip(late, told, now);
-  CHECK_FALSE(Names(er::DirectoryFor(late, "a", random, now), "other:80"));
-  const er::MemberGossip asks = er::MakeMemberGossip(late, {}, random, now);
-  LONGS_EQUAL(1, asks.unknown.size());
+  known_by_peer.members[0].heartbeat = 1;
+  er::ApplyMemberGossip(peer, known_by_peer, now - 100ms);
+  const er::MemberGossip gossip = er::MakeMemberGossip(peer, {}, random, now);
+  LONGS_EQUAL(1, gossip.members.size());
+  LONGS_EQUAL(1, gossip.pulses.size());
+  er::ApplyMemberGossip(late_node, gossip, now);
+  CHECK_FALSE(
+      Contains(er::DirectoryFor(late_node, "a", random, now), "other:80"));
+  const er::MemberGossip request =
+      er::MakeMemberGossip(late_node, {}, random, now);
+  LONGS_EQUAL(1, request.unknown.size());
   er::ApplyMemberGossip(
-      late, er::MakeMemberGossip(peer, asks.unknown, random, now), now);
-  CHECK(Names(er::DirectoryFor(late, "a", random, now), "other:80"));
-  CHECK(er::MakeMemberGossip(late, {}, random, now).unknown.empty());
+      late_node, er::MakeMemberGossip(peer, request.unknown, random, now), now);
+  CHECK(Contains(er::DirectoryFor(late_node, "a", random, now), "other:80"));
+  CHECK(er::MakeMemberGossip(late_node, {}, random, now).unknown.empty());
 }
 
-// A node starts again at another address while most hear of it by pulses. Its
-// old address must not be told with the new life's heartbeats.
-TEST(Members, APulseOfANewLifeIsNotTakenForTheOldOne) {
-  er::Members node = er::MakeMembers(Node("n0"), {}, kStart);
-  er::MemberGossip told;
-  told.members = {Node("n1", 10)};
-  er::ApplyMemberGossip(node, told, kStart);
-  er::MemberGossip pulse;
-  pulse.pulses = {{static_cast<std::uint32_t>(ek::HashBytes("n1")), 11, 5}};
-  er::ApplyMemberGossip(node, pulse, kStart + 100ms);
+// Guards against combining a node's old address with the heartbeats of its new
+// incarnation, if the node restarted at another address and peers receive only
+// its heartbeat.
+TEST(Members, AHeartbeatOfANewIncarnationDoesNotCountForTheOldOne) {
+  er::Members node = er::MakeMembers(MakeMember("n0"), {}, kStart);
+  er::MemberGossip gossip;
+  gossip.members = {MakeMember("n1", 10)};
+  er::ApplyMemberGossip(node, gossip, kStart);
+  er::MemberGossip heartbeat_gossip;
+  heartbeat_gossip.pulses = {
+      {static_cast<std::uint32_t>(ek::HashBytes("n1")), 11, 5}};
+  er::ApplyMemberGossip(node, heartbeat_gossip, kStart + 100ms);
   LONGS_EQUAL(10, node.others.at("n1").member.incarnation);
   ek::Random random{1};
   LONGS_EQUAL(1, er::MakeMemberGossip(node, {}, random, kStart).unknown.size());
 }
 
-// The size of the first letter. A living node that is heard of too rarely drops
-// out of what callers are told, and its part of the load falls on the others.
-TEST(Members, InAFleetOf390LivingNodesAreToldAndADeadOneIsNot) {
+// Guards against live nodes that drop out of the directory of a large fleet
+// because their heartbeats arrive too rarely. Their load would fall on the
+// other nodes.
+TEST(Members, AFleetOf390KeepsLiveNodesAndDropsADeadOne) {
   Fleet fleet(390);
-  fleet.turns = true;
+  fleet.alternate_turns = true;
   er::Time now = kStart;
   fleet.Run(now, 10s);
   LONGS_EQUAL(390, er::MakeFleetSnapshot(fleet.nodes[0], now).names.size());
@@ -179,115 +187,118 @@
   LONGS_EQUAL(389, er::MakeFleetSnapshot(fleet.nodes[0], now).names.size());
 }
 
-// A node loses its power. Callers that are told its address connect to nothing
-// and lose a second each time.
-TEST(Members, AKilledNodeIsNotToldForLongAndALivingOneIsToldAlways) {
+// Guards against callers that lose a second with each connection to a node that
+// was killed.
+TEST(Members, TheDirectoryDropsAKilledNodeAndKeepsLiveOnes) {
   Fleet fleet(7);
   er::Time now = kStart;
   fleet.Run(now, 3s);
-  fleet.runs[3] = false;
+  fleet.is_running[3] = false;
   for (int i = 0; i < 50; ++i) {
-    fleet.Round(now);
+    fleet.RunRound(now);
     now += er::kExchangeInterval;
-    const auto told = fleet.Told(0, now);
+    const auto directory = fleet.Directory(0, now);
     for (int other = 0; other < 7; ++other) {
       if (other == 3) continue;
-      CHECK(Names(told, "n" + std::to_string(other) + ":80"));
+      CHECK(Contains(directory, "n" + std::to_string(other) + ":80"));
     }
   }
-  CHECK_FALSE(Names(fleet.Told(0, now), "n3:80"));
+  CHECK_FALSE(Contains(fleet.Directory(0, now), "n3:80"));
 }
 
-// A machine freezes, or is cut off: nothing refuses a connection there, its
-// heartbeat just stands still.
-TEST(Members, ASilentNodeIsNotToldForLong) {
+// Guards against sending callers to a machine that is frozen or cut off. It
+// refuses no connection, and only its heartbeat stands still.
+TEST(Members, TheDirectoryDropsASilentNode) {
   Fleet fleet(7);
   er::Time now = kStart;
   fleet.Run(now, 3s);
   fleet.LosePower(3);
   fleet.Run(now, er::kMaxMemberSilence + 500ms);
-  CHECK_FALSE(Names(fleet.Told(0, now), "n3:80"));
+  CHECK_FALSE(Contains(fleet.Directory(0, now), "n3:80"));
 }
 
-TEST(Members, ALeavingNodeIsNotToldAtOnce) {
+TEST(Members, TheDirectoryDropsALeavingNode) {
   Fleet fleet(3);
   er::Time now = kStart;
   fleet.Run(now, 2s);
   fleet.nodes[2].self.leaving = true;
   fleet.Run(now, 500ms);
-  CHECK_FALSE(Names(fleet.Told(0, now), "n2:80"));
-  CHECK_FALSE(Names(fleet.Told(2, now), "n2:80"));
+  CHECK_FALSE(Contains(fleet.Directory(0, now), "n2:80"));
+  CHECK_FALSE(Contains(fleet.Directory(2, now), "n2:80"));
 }
 
-// A machine's time of day goes back, and its process starts again with a lower
-// number than before. Its peers take what it says for old; it must outbid the
-// life that they remember, or no caller would ever be sent to it.
-TEST(Members, AProcessThatStartsWithAnEarlierTimeOfDayIsBelieved) {
+// Guards against a node that never returns to the directory because its clock
+// was set back and its process restarted with a lower incarnation, so that
+// peers ignore its gossip as old.
+TEST(Members, AProcessWithAnEarlierTimeOfDayRejoins) {
   Fleet fleet(3);
   er::Time now = kStart;
   fleet.Run(now, 2s);
-  fleet.nodes[2] = er::MakeMembers(Node("n2", 4), {"n0:90"}, now);
+  fleet.nodes[2] = er::MakeMembers(MakeMember("n2", 4), {"n0:90"}, now);
   fleet.Run(now, 4s);
-  CHECK(Names(fleet.Told(0, now), "n2:80"));
-  CHECK(Names(fleet.Told(1, now), "n2:80"));
+  CHECK(Contains(fleet.Directory(0, now), "n2:80"));
+  CHECK(Contains(fleet.Directory(1, now), "n2:80"));
 }
 
-// All nodes but one are gone. It still names itself.
-TEST(Members, TheLastNodeNamesItself) {
-  er::Members alone = er::MakeMembers(Node("n0"), {}, kStart);
-  alone.self.leaving = true;
+// A leaving node that is the last one still lists itself.
+TEST(Members, TheDirectoryOfTheLastNodeHoldsItself) {
+  er::Members lone_node = er::MakeMembers(MakeMember("n0"), {}, kStart);
+  lone_node.self.leaving = true;
   ek::Random random{1};
-  CHECK(Names(er::DirectoryFor(alone, "a", random, kStart), "n0:80"));
+  CHECK(Contains(er::DirectoryFor(lone_node, "a", random, kStart), "n0:80"));
 }
 
-// The network splits in two. Each half sees fewer nodes, and must not take a
-// larger part of what all share.
-TEST(Members, TheFleetCountsAsLargeAsItWasKnownToBe) {
+// Guards against nodes that use a larger part of shared limits because they see
+// fewer nodes in a network partition.
+TEST(Members, APartitionDoesNotReduceTheFleetSize) {
   Fleet fleet(7);
   er::Time now = kStart;
   fleet.Run(now, 4s);
   LONGS_EQUAL(7, er::MakeFleetSnapshot(fleet.nodes[0], now).nodes);
-  now += 10s;  // Nobody is heard.
+  now += 10s;  // No gossip arrives.
   LONGS_EQUAL(7, er::MakeFleetSnapshot(fleet.nodes[0], now).nodes);
   LONGS_EQUAL(1, er::MakeFleetSnapshot(fleet.nodes[0], now).names.size());
 }
 
-// A node that just started knows nobody, and would take all for itself.
-TEST(Members, ANewNodeTakesTheSmallestPart) {
-  er::Members fresh = er::MakeMembers(Node("n0"), {"n1:90"}, kStart);
+// Guards against a node that uses a shared limit alone because it has just
+// started and knows no other node.
+TEST(Members, ANewNodeAssumesTheDefaultFleetSize) {
+  er::Members new_node = er::MakeMembers(MakeMember("n0"), {"n1:90"}, kStart);
   LONGS_EQUAL(er::kDefaultFleetSize,
-              er::MakeFleetSnapshot(fresh, kStart).nodes);
+              er::MakeFleetSnapshot(new_node, kStart).nodes);
 }
 
-// Ninety nodes that all watch the store would cost ninety calls for each
-// change. A few read for all, and those that the store turns away are replaced.
+// Guards against one store call per node for each change. A few nodes read for
+// all, and readers that the store rejects are replaced.
 TEST(Members, AFewNodesOfALargeFleetReadTheStore) {
   Fleet fleet(60);
   er::Time now = kStart;
   fleet.Run(now, 5s);
-  const auto first = fleet.Readers(now);
-  LONGS_EQUAL(er::kMaxReaders, first.size());
-  for (const std::size_t reader : first) {
+  const auto first_readers = fleet.Readers(now);
+  LONGS_EQUAL(er::kMaxReaders, first_readers.size());
+  for (const std::size_t reader : first_readers) {
     fleet.nodes[reader].self.store_troubled = true;
   }
   fleet.Run(now, 3s);
   std::size_t others = 0;
   for (const std::size_t reader : fleet.Readers(now)) {
-    if (std::find(first.begin(), first.end(), reader) == first.end()) ++others;
+    if (std::find(first_readers.begin(), first_readers.end(), reader) ==
+        first_readers.end())
+      ++others;
   }
   LONGS_EQUAL(er::kMaxReaders, others);
 }
 
-// Guards against rules and leaving endpoints of which no node hears for
-// seconds.
-TEST(Members, WhenAllReadersLoseTheirPowerOthersReadWithinTwoSeconds) {
+// Guards against changed rules and leaving endpoints that no node learns of for
+// seconds because all readers lost power.
+TEST(Members, StandbysReplaceAllReadersWithinTwoSeconds) {
   for (const std::size_t count : {std::size_t{40}, std::size_t{120}}) {
     Fleet fleet(count);
     er::Time now = kStart;
     fleet.Run(now, 6s);
-    const auto first = fleet.Readers(now);
-    LONGS_EQUAL(er::kMaxReaders, first.size());
-    for (const std::size_t reader : first) fleet.LosePower(reader);
+    const auto first_readers = fleet.Readers(now);
+    LONGS_EQUAL(er::kMaxReaders, first_readers.size());
+    for (const std::size_t reader : first_readers) fleet.LosePower(reader);
     fleet.Run(now, 2s);
     CHECK(!fleet.Readers(now).empty());
     fleet.Run(now, 5s);
@@ -295,18 +306,18 @@
   }
 }
 
-// Guards against callers that follow to a closed port.
-TEST(Members, ANodeThatIsAloneAndDoesntListenNamesNobody) {
+// Guards against sending callers to a closed port.
+TEST(Members, TheDirectoryOfALoneNodeThatDoesNotListenIsEmpty) {
   ek::Random random{1};
-  er::Members alone = er::MakeMembers(Node("n0"), {}, kStart);
-  alone.self.leaving = true;
-  LONGS_EQUAL(1, er::DirectoryFor(alone, "a", random, kStart).size());
-  alone.is_listening = false;
-  CHECK(er::DirectoryFor(alone, "a", random, kStart).empty());
+  er::Members lone_node = er::MakeMembers(MakeMember("n0"), {}, kStart);
+  lone_node.self.leaving = true;
+  LONGS_EQUAL(1, er::DirectoryFor(lone_node, "a", random, kStart).size());
+  lone_node.is_listening = false;
+  CHECK(er::DirectoryFor(lone_node, "a", random, kStart).empty());
 }
 
-// Guards against a store that is met by the whole fleet when it comes back.
-TEST(Members, FewNodesOfALargeFleetKeepTryingAStoreThatIsAway) {
+// Guards against requests of the whole fleet at once when the store comes back.
+TEST(Members, FewNodesOfALargeFleetRetryAnUnreachableStore) {
   Fleet fleet(60);
   er::Time now = kStart;
   for (er::Members& node : fleet.nodes) node.self.store_troubled = true;
@@ -325,27 +336,27 @@
   for (const er::Members& node : fleet.nodes) CHECK(er::IsReader(node, now));
 }
 
-// Guards against gossip of hundreds of nodes of which four fifths crosses
-// zones, and against a zone that hears nothing of the others.
+// Guards against gossip of hundreds of nodes that crosses zones in four of five
+// exchanges, and against a zone that gets no gossip from the others.
 TEST(Members, MostExchangesOfALargeFleetStayInTheZone) {
-  er::Members node = er::MakeMembers(Node("n0"), {"n1:90"}, kStart);
-  er::MemberGossip told;
+  er::Members node = er::MakeMembers(MakeMember("n0"), {"n1:90"}, kStart);
+  er::MemberGossip gossip;
   for (int i = 1; i < 100; ++i) {
-    er::Member other = Node("n" + std::to_string(i));
+    er::Member other = MakeMember("n" + std::to_string(i));
     other.zone = i < 20 ? "a" : "b";
-    told.members.push_back(other);
+    gossip.members.push_back(other);
   }
-  er::ApplyMemberGossip(node, told, kStart);
+  er::ApplyMemberGossip(node, gossip, kStart);
   ek::Random random{5};
-  std::size_t near = 0;
-  constexpr std::size_t kTurns = 1000;
-  for (std::size_t i = 0; i < kTurns; ++i) {
+  std::size_t same_zone = 0;
+  constexpr std::size_t kExchanges = 1000;
+  for (std::size_t i = 0; i < kExchanges; ++i) {
     const std::string peer = er::PickExchangePeer(node, random, kStart);
     const auto at = std::find_if(
-        told.members.begin(), told.members.end(),
+        gossip.members.begin(), gossip.members.end(),
         [&peer](const er::Member& member) { return member.peers == peer; });
-    if (at->zone == "a") ++near;
+    if (at->zone == "a") ++same_zone;
   }
-  CHECK(near > kTurns * 6 / 10);
-  CHECK(near < kTurns * 9 / 10);
+  CHECK(same_zone > kExchanges * 6 / 10);
+  CHECK(same_zone < kExchanges * 9 / 10);
 }
--- a/routing/tests/placement_load_test.cc
+++ b/routing/tests/placement_load_test.cc
@@ -1,4 +1,5 @@
-// Plays a load on engines and checks what callers get.
+// Simulates load on engines and checks the pauses and durations that callers
+// see.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -22,56 +23,57 @@
 constexpr double kTokensPerEvent = 9;
 
 // One stream at an engine.
-struct Run {
+struct StreamRun {
   bool tight = false;
-  double prompt = 0;   // Tokens.
-  double to_read = 0;  // Of these.
-  double to_make = 0;  // Tokens of its answer.
-  double made = 0;
-  double event_at = 0;  // Last event, ms; 0: none so far.
-  double longest_pause = 0;
-  std::function<void(const Run&)> done;
+  double prompt = 0;              // Tokens.
+  double tokens_to_prefill = 0;   // Prompt tokens that are left.
+  double tokens_to_generate = 0;  // Length of the answer.
+  double generated_tokens = 0;
+  double last_event_ms = 0;  // Time of the last event; 0: none so far.
+  double longest_pause = 0;  // Between two events, in ms.
+  std::function<void(const StreamRun&)> on_done;
 };
 
-// Steps of one token for each running stream; a step that carries a part of a
-// prompt takes longer.
+// An engine that generates one token per step for each running stream. A step
+// that prefills a part of a prompt takes longer.
 struct Engine {
-  double speed = 1;  // Times as long.
-  double time = 0;   // Ms.
-  std::vector<Run> runs;
+  double slowdown = 1;  // Factor on the duration of each step.
+  double time = 0;      // In ms.
+  std::vector<StreamRun> runs;
 
   void Step() {
     const std::size_t running = std::min(runs.size(), kSlots);
-    double step = 3.4 + 0.1 * static_cast<double>(running);
+    double step_ms = 3.4 + 0.1 * static_cast<double>(running);
     for (std::size_t i = 0; i < running; ++i) {
-      if (runs[i].to_read <= 0) continue;
-      const double part = std::min(runs[i].to_read, 1024.0);
-      runs[i].to_read -= part;
-      // Reading gets slower towards the end of a long prompt.
-      step += part / 110 + part * runs[i].prompt * 0.2e-6;
+      if (runs[i].tokens_to_prefill <= 0) continue;
+      const double prefill_tokens = std::min(runs[i].tokens_to_prefill, 1024.0);
+      runs[i].tokens_to_prefill -= prefill_tokens;
+      // Prefill gets slower towards the end of a long prompt.
+      step_ms +=
+          prefill_tokens / 110 + prefill_tokens * runs[i].prompt * 0.2e-6;
       break;
     }
-    time += step * speed;
-    for (std::size_t i = 0; i < running; ++i) MakeToken(runs[i]);
+    time += step_ms * slowdown;
+    for (std::size_t i = 0; i < running; ++i) GenerateToken(runs[i]);
     for (std::size_t i = running; i-- > 0;) {
-      if (runs[i].made < runs[i].to_make) continue;
-      const Run over = runs[i];
+      if (runs[i].generated_tokens < runs[i].tokens_to_generate) continue;
+      const StreamRun finished = runs[i];
       runs.erase(runs.begin() + static_cast<std::ptrdiff_t>(i));
-      over.done(over);
+      finished.on_done(finished);
     }
   }
 
-  void MakeToken(Run& run) const {
-    if (run.to_read > 0) return;
-    ++run.made;
-    if (std::fmod(run.made, kTokensPerEvent) != 0) return;
-    if (run.event_at > 0) {
-      run.longest_pause = std::max(run.longest_pause, time - run.event_at);
+  void GenerateToken(StreamRun& run) const {
+    if (run.tokens_to_prefill > 0) return;
+    ++run.generated_tokens;
+    if (std::fmod(run.generated_tokens, kTokensPerEvent) != 0) return;
+    if (run.last_event_ms > 0) {
+      run.longest_pause = std::max(run.longest_pause, time - run.last_event_ms);
     }
-    run.event_at = time;
+    run.last_event_ms = time;
   }
 
-  void PlayUntil(double until) {
+  void RunUntil(double until) {
     while (time < until) {
       if (runs.empty()) {
         time = until;
@@ -82,10 +84,10 @@
   }
 };
 
-// Nodes that place requests on shared engines, each by what it knows itself.
-class Load {
+// Nodes that place requests on shared engines, each with its own knowledge.
+class LoadSimulation {
  public:
-  Load(std::size_t nodes, std::size_t engines) : engines_(engines) {
+  LoadSimulation(std::size_t nodes, std::size_t engines) : engines_(engines) {
     for (std::size_t i = 0; i < nodes; ++i) {
       sets_.push_back(std::make_unique<er::EndpointSet>());
       sets_.back()->tight_fraction = 0.35;
@@ -93,32 +95,33 @@
     }
   }
 
-  void SwitchOff(er::Mechanism mechanism) {
+  void Disable(er::Mechanism mechanism) {
     for (const auto& set : sets_) {
       set->disabled_mechanisms.set(static_cast<std::size_t>(mechanism));
     }
   }
-  void Slow(std::size_t engine, double speed) {
-    engines_[engine].speed = speed;
+  void SlowDown(std::size_t engine, double slowdown) {
+    engines_[engine].slowdown = slowdown;
   }
 
-  // So many requests a second of both kinds, for some seconds.
-  void Play(double tight, double rest, std::chrono::seconds time) {
+  // Runs the given numbers of requests a second of both kinds for `time`.
+  void Simulate(double tight, double long_prompts, std::chrono::seconds time) {
     for (double ms = 0;
          ms < std::chrono::duration<double, std::milli>(time).count();
          ms += 5) {
       now_ = kStart + std::chrono::duration_cast<er::Time::duration>(
                           std::chrono::duration<double, std::milli>(ms));
-      for (Engine& engine : engines_) engine.PlayUntil(ms);
-      Arrive(tight / 200, true, ms);
-      Arrive(rest / 200, false, ms);
+      for (Engine& engine : engines_) engine.RunUntil(ms);
+      AddArrivals(tight / 200, true, ms);
+      AddArrivals(long_prompts / 200, false, ms);
     }
   }
 
-  // Part of the tight streams without a pause over `most_ms`.
-  double Unpaused(double most_ms) const {
+  // Returns the fraction of the tight streams without a pause over
+  // `max_pause_ms`.
+  double FractionWithoutPause(double max_pause_ms) const {
     double in_time = 0;
-    for (const double pause : pauses_) in_time += pause <= most_ms ? 1 : 0;
+    for (const double pause : pauses_) in_time += pause <= max_pause_ms ? 1 : 0;
     return in_time / static_cast<double>(pauses_.size());
   }
   double MeanLengthMs() const {
@@ -137,14 +140,14 @@
     er::OnEntryPublished(set, entry, kStart);
   }
 
-  void Arrive(double expected, bool tight, double ms) {
+  void AddArrivals(double expected, bool tight, double ms) {
     while (expected > 0 && ek::RandomFraction(random_) < expected) {
-      Send(tight, ms);
+      SendRequest(tight, ms);
       expected -= 1;
     }
   }
 
-  void Send(bool tight, double ms) {
+  void SendRequest(bool tight, double ms) {
     er::EndpointSet& set = *sets_[ek::RandomBelow(random_, sets_.size())];
     er::Demand demand;
     demand.service = &service_;
@@ -161,17 +164,17 @@
                       now_);
     Engine& engine =
         engines_[std::stoul(placement.endpoint->entry.id.substr(1))];
-    Run run;
+    StreamRun run;
     run.tight = tight;
     run.prompt = demand.prompt_tokens;
-    run.to_read = placement.uncached_tokens;
-    run.to_make = demand.events * kTokensPerEvent;
-    run.done = [this, &set, &engine, demand, placement, ms,
-                attempt = attempts_](const Run& over) {
+    run.tokens_to_prefill = placement.uncached_tokens;
+    run.tokens_to_generate = demand.events * kTokensPerEvent;
+    run.on_done = [this, &set, &engine, demand, placement, ms,
+                   attempt = attempts_](const StreamRun& finished) {
       er::OnAttemptStarted(*placement.endpoint, demand, attempt, placement);
       er::OnAttemptEnded(*placement.endpoint);
-      if (!over.tight) return;
-      pauses_.push_back(over.longest_pause);
+      if (!finished.tight) return;
+      pauses_.push_back(finished.longest_pause);
       lengths_.push_back(engine.time - ms);
       er::OnEventInterval(placement.endpoint->pace,
                           set.service_paces["engines"],
@@ -194,35 +197,37 @@
 
 }  // namespace
 
-TEST_GROUP(PlacingLoad){};
+TEST_GROUP(PlacementLoad){};
 
-// Thirty engines get long prompts and, among them, parents' questions whose
-// answers must not pause for more than 150 ms. Without the division most
-// answers stand still while the engine reads a prompt.
-TEST(PlacingLoad, QuestionsDoNotPauseBesideLongPrompts) {
-  Load divided(20, 30);
-  divided.Play(39, 100, 12s);
-  Load mixed(20, 30);
-  for (Load* load : {&divided, &mixed}) {
+// Guards against streams that stand still while their engine prefills a prompt.
+// Thirty engines get long prompts and tight streams that must not pause for
+// more than 150 ms; without the engine split most streams do.
+TEST(PlacementLoad, TightStreamsDoNotPauseBesideLongPrompts) {
+  LoadSimulation split(20, 30);
+  split.Simulate(39, 100, 12s);
+  LoadSimulation mixed(20, 30);
+  for (LoadSimulation* load : {&split, &mixed}) {
     for (std::size_t engine = 0; engine < 30; engine += 3) {
-      load->Slow(engine, 1.3);
+      load->SlowDown(engine, 1.3);
     }
   }
-  mixed.SwitchOff(er::Mechanism::kEngineSplit);
-  mixed.Play(39, 100, 12s);
-  CHECK(divided.Unpaused(150) >= 0.95);
-  CHECK(mixed.Unpaused(150) < divided.Unpaused(150) - 0.1);
+  mixed.Disable(er::Mechanism::kEngineSplit);
+  mixed.Simulate(39, 100, 12s);
+  CHECK(split.FractionWithoutPause(150) >= 0.95);
+  CHECK(mixed.FractionWithoutPause(150) <
+        split.FractionWithoutPause(150) - 0.1);
 }
 
-// Three of nine engines take twice as long for each token. A stream there is
-// late, and twice as often cut when something fails meanwhile.
-TEST(PlacingLoad, TightStreamsLearnToAvoidSlowEngines) {
-  Load learned(7, 9);
-  Load blind(7, 9);
-  blind.SwitchOff(er::Mechanism::kPace);
-  for (Load* load : {&learned, &blind}) {
-    for (const std::size_t engine : {0U, 1U, 2U}) load->Slow(engine, 2);
-    load->Play(21, 5, 30s);
+// Guards against placing tight streams at engines that take twice as long for
+// each token, here three of nine. A stream there is late, and twice as often
+// cut when something fails meanwhile.
+TEST(PlacementLoad, TightStreamsAvoidSlowEngines) {
+  LoadSimulation with_pace(7, 9);
+  LoadSimulation without_pace(7, 9);
+  without_pace.Disable(er::Mechanism::kPace);
+  for (LoadSimulation* load : {&with_pace, &without_pace}) {
+    for (const std::size_t engine : {0U, 1U, 2U}) load->SlowDown(engine, 2);
+    load->Simulate(21, 5, 30s);
   }
-  CHECK(learned.MeanLengthMs() < 0.9 * blind.MeanLengthMs());
+  CHECK(with_pace.MeanLengthMs() < 0.9 * without_pace.MeanLengthMs());
 }
--- a/routing/tests/placement_test.cc
+++ b/routing/tests/placement_test.cc
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-TEST_GROUP(ChoosePlacement) {
+TEST_GROUP(Placement) {
   er::EndpointSet set;
   er::Service engines{.name = "engines"};
   er::FleetSnapshot fleet{1, "n1", {"n1"}, "a"};
   ek::Random random{7};
 
-  void Add(const std::string& id, const std::string& zone = "a") {
+  void AddEndpoint(const std::string& id, const std::string& zone = "a") {
     er::EndpointEntry entry;
     entry.id = id;
     entry.service = "engines";
@@ -35,17 +35,17 @@
     entry.slots = 16;
     er::OnEntryPublished(set, entry, kStart);
   }
-  er::Endpoint& At(const std::string& id) { return *set.by_id[id]; }
+  er::Endpoint& EndpointOf(const std::string& id) { return *set.by_id[id]; }
 
-  er::Demand Prompt(std::uint64_t session) const {
+  er::Demand LongPrompt(std::uint64_t session) const {
     er::Demand demand;
     demand.service = &engines;
     demand.parts = {{session, 13'000}, {session + 1'000'000, 3'000}};
     demand.prompt_tokens = 16'000;
     return demand;
   }
-  // A short question whose answer must not pause.
-  er::Demand Tight(std::uint64_t session) const {
+  // A short question whose answer is a tight stream.
+  er::Demand TightStream(std::uint64_t session) const {
     er::Demand demand;
     demand.service = &engines;
     demand.parts = {{session, 200}, {session + 1'000'000, 600}};
@@ -54,26 +54,26 @@
     demand.events = 32;
     return demand;
   }
-  bool IsForTight(const er::Endpoint& endpoint) const {
+  bool ServesTightStreams(const er::Endpoint& endpoint) const {
     return endpoint.hash_position < set.tight_fraction;
   }
-  er::Demand Plain() const {
+  er::Demand PlainRequest() const {
     er::Demand demand;
     demand.service = &engines;
     return demand;
   }
-  er::Placement Choose(const er::Demand& demand, er::Time now = kStart) {
+  er::Placement PlaceRequest(const er::Demand& demand, er::Time now = kStart) {
     return er::ChoosePlacement(set, demand, {}, fleet, random, now);
   }
 };
 
-TEST(ChoosePlacement, ASessionStaysWithItsEndpointOnEveryNode) {
-  for (const char* id : {"w", "x", "y", "z"}) Add(id);
+TEST(Placement, ASessionHasTheSameEndpointAtEveryNode) {
+  for (const char* id : {"w", "x", "y", "z"}) AddEndpoint(id);
   std::map<std::string, int> chosen;
   for (std::uint64_t session = 1; session <= 200; ++session) {
-    const er::Placement first = Choose(Prompt(session));
+    const er::Placement first = PlaceRequest(LongPrompt(session));
     random.seed(session);
-    const er::Placement again = Choose(Prompt(session));
+    const er::Placement again = PlaceRequest(LongPrompt(session));
     CHECK(first.endpoint == again.endpoint);
     CHECK(first.reason == PlacementReason::kSession);
     ++chosen[first.endpoint->entry.id];
@@ -82,15 +82,14 @@
   LONGS_EQUAL(4, chosen.size());
 }
 
-// One session gets much of the traffic. All of it at one endpoint would queue
-// for seconds there while the others stand idle; all of it everywhere would be
-// read anew everywhere.
-TEST(ChoosePlacement, AHotSessionSpillsToFewEndpoints) {
-  for (int i = 0; i < 12; ++i) Add("e" + std::to_string(i));
-  const er::Demand demand = Prompt(5);
+// Guards against a busy session that either waits for seconds at one endpoint
+// while the others are idle, or is prefilled at all endpoints.
+TEST(Placement, ABusySessionSpillsOverToFewEndpoints) {
+  for (int i = 0; i < 12; ++i) AddEndpoint("e" + std::to_string(i));
+  const er::Demand demand = LongPrompt(5);
   std::map<std::string, int> sent;
   for (std::uint64_t n = 1; n <= 40; ++n) {
-    const er::Placement placement = Choose(demand);
+    const er::Placement placement = PlaceRequest(demand);
     er::OnAttemptSent(*placement.endpoint, demand, n, placement, kStart);
     ++sent[placement.endpoint->entry.id];
   }
@@ -98,17 +97,17 @@
   CHECK(sent.size() <= er::kPreferredEndpoints);
 }
 
-// A burst of long prompts over many sessions. What spills is read anew at the
-// second endpoint, and every engine is busy with parts that another one holds.
-TEST(ChoosePlacement, ABurstOverManySessionsReadsFewPartsTwice) {
-  for (int i = 0; i < 12; ++i) Add("e" + std::to_string(i));
+// Guards against a burst of long prompts that spills over so freely that every
+// engine prefills parts which another one has cached.
+TEST(Placement, ABurstOfManySessionsPrefillsFewPartsTwice) {
+  for (int i = 0; i < 12; ++i) AddEndpoint("e" + std::to_string(i));
   std::map<std::uint64_t, std::map<std::string, int>> readers;
   std::uint64_t attempt = 0;
-  // A second of work waits at each engine: 20 prompts of 7,500 tokens.
+  // Up to a second of work waits at each engine: 20 prompts of 7,500 tokens.
   for (int round = 0; round < 2; ++round) {
     for (std::uint64_t session = 1; session <= 120; ++session) {
-      const er::Demand demand = Prompt(session);
-      const er::Placement placement = Choose(demand);
+      const er::Demand demand = LongPrompt(session);
+      const er::Placement placement = PlaceRequest(demand);
       er::OnAttemptSent(*placement.endpoint, demand, ++attempt, placement,
                         kStart);
       ++readers[session][placement.endpoint->entry.id];
@@ -118,70 +117,75 @@
     }
   }
   std::size_t copies = 0;
-  for (const auto& [session, by] : readers) copies += by.size();
+  for (const auto& [session, count_by_endpoint] : readers)
+    copies += count_by_endpoint.size();
   CHECK(copies <= 120 + 12);
 }
 
-TEST(ChoosePlacement, WorkGoesToTheLeastLoadedAndNearest) {
-  Add("far", "b");
-  Add("near");
-  CHECK(Choose(Plain()).endpoint == set.by_id["near"]);
-  At("near").in_flight = 8;
-  CHECK(Choose(Plain()).endpoint == set.by_id["far"]);
-  At("far").peers_in_flight = 12;
-  CHECK(Choose(Plain()).endpoint == set.by_id["near"]);
+TEST(Placement, PrefersLessLoadedAndNearerEndpoints) {
+  AddEndpoint("far", "b");
+  AddEndpoint("near");
+  CHECK(PlaceRequest(PlainRequest()).endpoint == set.by_id["near"]);
+  EndpointOf("near").in_flight = 8;
+  CHECK(PlaceRequest(PlainRequest()).endpoint == set.by_id["far"]);
+  EndpointOf("far").peers_in_flight = 12;
+  CHECK(PlaceRequest(PlainRequest()).endpoint == set.by_id["near"]);
 }
 
-// An engine with free slots reads a long prompt of a lower rank. It reads on to
-// the end, and a parent's question behind it has its first event late.
-TEST(ChoosePlacement, AQuestionDoesNotWaitBehindAPromptThatIsBeingRead) {
-  Add("reading", "a");
-  Add("idle", "b");
-  At("reading").waiting_tokens[2] = 50'000;
-  CHECK(Choose(Tight(1)).endpoint == set.by_id["idle"]);
-  // With all slots taken the engine admits by rank: the question goes first.
-  At("reading").in_flight = 16;
-  At("idle").in_flight = 30;
-  At("idle").waiting_tokens[0] = 50'000;
-  CHECK(Choose(Tight(1)).endpoint == set.by_id["reading"]);
+// Guards against placing a short request behind a long prompt of a lower rank.
+// An engine with free slots finishes the prefill first, and the first event of
+// the short request is late.
+TEST(Placement, AShortRequestDoesNotWaitBehindAPrefill) {
+  AddEndpoint("reading", "a");
+  AddEndpoint("idle", "b");
+  EndpointOf("reading").waiting_tokens[2] = 50'000;
+  CHECK(PlaceRequest(TightStream(1)).endpoint == set.by_id["idle"]);
+  // With all slots taken, the engine admits by rank: the short request goes
+  // first.
+  EndpointOf("reading").in_flight = 16;
+  EndpointOf("idle").in_flight = 30;
+  EndpointOf("idle").waiting_tokens[0] = 50'000;
+  CHECK(PlaceRequest(TightStream(1)).endpoint == set.by_id["reading"]);
 }
 
-// An endpoint fails its requests at once. It looks idle, and without a price on
-// failures it would draw all work and fail it.
-TEST(ChoosePlacement, AnEndpointThatFailsLosesItsWork) {
-  Add("bad");
-  Add("good");
-  for (int i = 0; i < 5; ++i) er::OnAttemptFailed(At("bad"), kStart);
-  At("good").in_flight = 10;
-  CHECK(Choose(Plain()).endpoint == set.by_id["good"]);
-  CHECK(Choose(Plain(), kStart + 20s).endpoint == set.by_id["bad"]);
+// Guards against an endpoint that fails its requests at once. It seems idle,
+// and without a cost for failures it would attract all requests and fail them.
+TEST(Placement, AvoidsAnEndpointThatFailsRequests) {
+  AddEndpoint("bad");
+  AddEndpoint("good");
+  for (int i = 0; i < 5; ++i) er::OnAttemptFailed(EndpointOf("bad"), kStart);
+  EndpointOf("good").in_flight = 10;
+  CHECK(PlaceRequest(PlainRequest()).endpoint == set.by_id["good"]);
+  CHECK(PlaceRequest(PlainRequest(), kStart + 20s).endpoint ==
+        set.by_id["bad"]);
 }
 
-// An endpoint hangs: it accepts requests and answers none. Its health check
-// still passes.
-TEST(ChoosePlacement, ASilentEndpointIsLeft) {
-  Add("mute");
-  er::Placement to_mute = Choose(Plain());
-  er::OnAttemptSent(At("mute"), Plain(), 1, to_mute, kStart);
-  Add("good");
-  At("good").in_flight = 6;
-  CHECK(Choose(Plain(), kStart + 2s).endpoint == set.by_id["good"]);
+// Guards against an endpoint that accepts requests and answers none, while its
+// health check still passes.
+TEST(Placement, AvoidsAnEndpointThatDoesNotAnswer) {
+  AddEndpoint("mute");
+  er::Placement to_mute = PlaceRequest(PlainRequest());
+  er::OnAttemptSent(EndpointOf("mute"), PlainRequest(), 1, to_mute, kStart);
+  AddEndpoint("good");
+  EndpointOf("good").in_flight = 6;
+  CHECK(PlaceRequest(PlainRequest(), kStart + 2s).endpoint ==
+        set.by_id["good"]);
 }
 
-TEST(ChoosePlacement, NothingGoesToLeavingOnesOrZonesOut) {
-  Add("x");
-  At("x").phase = er::EndpointPhase::kLeaving;
-  CHECK(Choose(Plain()).reason == PlacementReason::kAllLeaving);
-  Add("y");
+TEST(Placement, LeavingEndpointsAndZonesOutGetNothing) {
+  AddEndpoint("x");
+  EndpointOf("x").phase = er::EndpointPhase::kLeaving;
+  CHECK(PlaceRequest(PlainRequest()).reason == PlacementReason::kAllLeaving);
+  AddEndpoint("y");
   er::SetZoneOut(set, "a", true);
-  POINTERS_EQUAL(nullptr, Choose(Plain()).endpoint.get());
+  POINTERS_EQUAL(nullptr, PlaceRequest(PlainRequest()).endpoint.get());
   er::SetZoneOut(set, "a", false);
-  CHECK(Choose(Plain()).endpoint == set.by_id["y"]);
+  CHECK(PlaceRequest(PlainRequest()).endpoint == set.by_id["y"]);
 }
 
-// Endpoints come back cold, and every node sends them work at once: they crash.
-// The rate that they bear holds for the sum over all nodes, at every second.
-TEST(ChoosePlacement, AColdEndpointGetsNoMoreThanItsRateFromAllNodesTogether) {
+// Guards against crashing an endpoint after a cold start. Its rate limit holds
+// for the sum over all nodes within every second.
+TEST(Placement, AColdEndpointGetsAtMostItsRateFromAllNodesTogether) {
   constexpr std::size_t kNodes = 7;
   engines.cold_per_second = 19;
   std::vector<er::EndpointSet> sets(kNodes);
@@ -189,25 +193,25 @@
   for (std::size_t i = 0; i < kNodes; ++i) {
     names.push_back("n" + std::to_string(i));
   }
-  for (er::EndpointSet& one : sets) {
+  for (er::EndpointSet& node_set : sets) {
     er::EndpointEntry entry;
     entry.id = "cold";
     entry.service = "engines";
     entry.address = "10.0.0.1:80";
     entry.slots = 1000;
     entry.cold_left = 3s;
-    er::OnEntryPublished(one, entry, kStart);
+    er::OnEntryPublished(node_set, entry, kStart);
   }
   std::vector<er::Time> arrivals;
   std::uint64_t attempt = 0;
   for (er::Time now = kStart; now < kStart + 3s; now += 5ms) {
     for (std::size_t i = 0; i < kNodes; ++i) {
-      const er::FleetSnapshot part{kNodes, names[i], names, "a"};
-      const auto placement =
-          er::ChoosePlacement(sets[i], Plain(), {}, part, random, now);
+      const er::FleetSnapshot fleet_snapshot{kNodes, names[i], names, "a"};
+      const auto placement = er::ChoosePlacement(sets[i], PlainRequest(), {},
+                                                 fleet_snapshot, random, now);
       if (placement.endpoint == nullptr) continue;
-      er::OnAttemptSent(*placement.endpoint, Plain(), ++attempt, placement,
-                        now);
+      er::OnAttemptSent(*placement.endpoint, PlainRequest(), ++attempt,
+                        placement, now);
       arrivals.push_back(now);
     }
   }
@@ -220,129 +224,132 @@
   CHECK(arrivals.size() > 19);
 }
 
-// A fleet of ninety nodes, which know each other: only a few of them may send.
-TEST(ChoosePlacement, FewNodesOfALargeFleetSendToAColdEndpoint) {
-  Add("cold");
+// Guards against a cold endpoint that gets the first requests of ninety nodes
+// at once.
+TEST(Placement, FewNodesOfALargeFleetSendToAColdEndpoint) {
+  AddEndpoint("cold");
   std::vector<std::string> names;
   for (int i = 0; i < 90; ++i) names.push_back("node-" + std::to_string(i));
   std::size_t senders = 0;
   for (const std::string& name : names) {
-    const er::FleetSnapshot part{names.size(), name, names, "a"};
-    if (er::IsSender(At("cold"), kColdRate, part)) ++senders;
+    const er::FleetSnapshot fleet_snapshot{names.size(), name, names, "a"};
+    if (er::IsSender(EndpointOf("cold"), kColdRate, fleet_snapshot)) ++senders;
   }
   LONGS_EQUAL(er::kMaxColdSenders, senders);
 }
 
-// The network splits, and a node sees itself alone. It must not take the whole
-// rate for itself, since the others still send.
-TEST(ChoosePlacement, ANodeCutOffFromALargeFleetDoesNotTakeTheWholeRate) {
-  Add("cold");
-  const er::FleetSnapshot part{90, "alone", {"alone"}, "a"};
-  CHECK_FALSE(er::IsSender(At("cold"), kColdRate, part));
+// Guards against a node that uses the whole rate when a network partition
+// leaves it alone: the other nodes still send.
+TEST(Placement, APartitionedNodeDoesNotTakeTheWholeRate) {
+  AddEndpoint("cold");
+  const er::FleetSnapshot fleet_snapshot{90, "alone", {"alone"}, "a"};
+  CHECK_FALSE(er::IsSender(EndpointOf("cold"), kColdRate, fleet_snapshot));
 }
 
-TEST(ChoosePlacement, OneNodeTakesNoMoreThanItsPartOfTheSlots) {
-  Add("x");
+TEST(Placement, OneNodeUsesAtMostItsPartOfTheSlots) {
+  AddEndpoint("x");
   fleet.nodes = 8;
-  At("x").in_flight = 4;
-  CHECK(Choose(Plain()).reason == PlacementReason::kAllFull);
+  EndpointOf("x").in_flight = 4;
+  CHECK(PlaceRequest(PlainRequest()).reason == PlacementReason::kAllFull);
   fleet.nodes = 4;
-  CHECK(Choose(Plain()).endpoint == set.by_id["x"]);
+  CHECK(PlaceRequest(PlainRequest()).endpoint == set.by_id["x"]);
 }
 
-TEST(ChoosePlacement, SaysWhyThereIsNone) {
-  CHECK(Choose(Plain()).reason == PlacementReason::kNoneKnown);
-  Add("x");
-  er::OnConnectFailed(At("x"), kStart);
-  CHECK(Choose(Plain()).reason == PlacementReason::kAllDown);
-  At("x").health = {};
-  er::OnEndpointFull(At("x"), 60ms, kStart);
-  CHECK(Choose(Plain()).reason == PlacementReason::kAllFull);
+TEST(Placement, ReportsWhyThereIsNoEndpoint) {
+  CHECK(PlaceRequest(PlainRequest()).reason == PlacementReason::kNoneKnown);
+  AddEndpoint("x");
+  er::OnConnectFailed(EndpointOf("x"), kStart);
+  CHECK(PlaceRequest(PlainRequest()).reason == PlacementReason::kAllDown);
+  EndpointOf("x").health = {};
+  er::OnEndpointFull(EndpointOf("x"), 60ms, kStart);
+  CHECK(PlaceRequest(PlainRequest()).reason == PlacementReason::kAllFull);
 }
 
-// All endpoints of a service but one are down, and that one failed a read once.
-// Waiting for the others, the caller would get nothing for a second and then a
-// failure.
-TEST(ChoosePlacement, TheOnlyEndpointIsTriedAgain) {
-  Add("x");
-  Add("down");
-  er::OnConnectFailed(At("down"), kStart);
-  const auto again = er::ChoosePlacement(set, Plain(), {set.by_id["x"]}, fleet,
-                                         random, kStart);
+// Guards against a caller that waits for a second and then gets an error
+// because the only endpoint that isn't down has failed the request once.
+TEST(Placement, TheOnlyEndpointIsTriedAgain) {
+  AddEndpoint("x");
+  AddEndpoint("down");
+  er::OnConnectFailed(EndpointOf("down"), kStart);
+  const auto again = er::ChoosePlacement(set, PlainRequest(), {set.by_id["x"]},
+                                         fleet, random, kStart);
   CHECK(again.endpoint == set.by_id["x"]);
-  Add("other");
-  const auto elsewhere = er::ChoosePlacement(set, Plain(), {set.by_id["x"]},
-                                             fleet, random, kStart);
+  AddEndpoint("other");
+  const auto elsewhere = er::ChoosePlacement(
+      set, PlainRequest(), {set.by_id["x"]}, fleet, random, kStart);
   CHECK(elsewhere.endpoint == set.by_id["other"]);
 }
 
-// Short streams whose events must follow each other closely run beside long
-// prompts. Each part of a prompt that is read delays them, and callers see a
-// pause in the middle of their answer.
-TEST(ChoosePlacement,
-     LongPromptsStayAwayFromTightStreamsWhereThereAreManyEngines) {
-  for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
+// Guards against pauses in tight streams that run beside long prompts: each
+// part of a prompt that is prefilled delays their events.
+TEST(Placement, ManyEnginesAreSplitBetweenLongPromptsAndTightStreams) {
+  for (int i = 0; i < 96; ++i) AddEndpoint("e" + std::to_string(i));
   set.tight_fraction = 0.25;
-  std::size_t together = 0;
+  std::size_t misplaced = 0;
   for (std::uint64_t session = 1; session <= 200; ++session) {
-    if (!IsForTight(*Choose(Tight(session)).endpoint)) ++together;
-    if (IsForTight(*Choose(Prompt(session + 500)).endpoint)) ++together;
+    if (!ServesTightStreams(*PlaceRequest(TightStream(session)).endpoint))
+      ++misplaced;
+    if (ServesTightStreams(*PlaceRequest(LongPrompt(session + 500)).endpoint))
+      ++misplaced;
   }
-  CHECK_EQUAL(0U, together);
+  CHECK_EQUAL(0U, misplaced);
 }
 
-// All engines for long prompts are full. A prompt that waited for them would be
-// late, while the others have room.
-TEST(ChoosePlacement, LongPromptsGoToTheOtherSideWhereTheirsIsFull) {
-  for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
+// Guards against long prompts that wait for their own side of the split while
+// the other side has free engines.
+TEST(Placement, LongPromptsUseTheOtherSideIfTheirsIsFull) {
+  for (int i = 0; i < 96; ++i) AddEndpoint("e" + std::to_string(i));
   set.tight_fraction = 0.25;
   for (const auto& [id, endpoint] : set.by_id) {
-    if (!IsForTight(*endpoint)) er::OnEndpointFull(*endpoint, 60ms, kStart);
+    if (!ServesTightStreams(*endpoint))
+      er::OnEndpointFull(*endpoint, 60ms, kStart);
   }
   for (std::uint64_t session = 1; session <= 200; ++session) {
-    const er::Placement placement = Choose(Prompt(session));
+    const er::Placement placement = PlaceRequest(LongPrompt(session));
     CHECK(placement.endpoint != nullptr);
-    CHECK(IsForTight(*placement.endpoint));
+    CHECK(ServesTightStreams(*placement.endpoint));
   }
 }
 
-TEST(ChoosePlacement, FewEnginesServeAll) {
-  for (int i = 0; i < 12; ++i) Add("e" + std::to_string(i));
+TEST(Placement, FewEnginesAreNotSplit) {
+  for (int i = 0; i < 12; ++i) AddEndpoint("e" + std::to_string(i));
   set.tight_fraction = 0.25;
-  std::size_t at_tight = 0;
+  std::size_t at_tight_engines = 0;
   for (std::uint64_t session = 1; session <= 300; ++session) {
-    if (IsForTight(*Choose(Prompt(session)).endpoint)) ++at_tight;
+    if (ServesTightStreams(*PlaceRequest(LongPrompt(session)).endpoint))
+      ++at_tight_engines;
   }
-  CHECK(at_tight > 0);
+  CHECK(at_tight_engines > 0);
 }
 
-// One question is asked by a quarter of all callers. What its requests share is
-// read in two milliseconds; kept together for it, they fill one engine.
-TEST(ChoosePlacement, ASmallSharedPartKeepsNothingTogether) {
-  for (int i = 0; i < 12; ++i) Add("e" + std::to_string(i));
+// Guards against filling one engine with the requests of a quarter of all
+// callers for the sake of a shared part that is prefilled in two milliseconds.
+TEST(Placement, ASmallSharedPartHasNoSessionAffinity) {
+  for (int i = 0; i < 12; ++i) AddEndpoint("e" + std::to_string(i));
   std::map<std::string, int> sent;
   for (std::uint64_t n = 1; n <= 120; ++n) {
-    const er::Demand demand = Tight(5);
-    const er::Placement placement = Choose(demand);
+    const er::Demand demand = TightStream(5);
+    const er::Placement placement = PlaceRequest(demand);
     er::OnAttemptSent(*placement.endpoint, demand, n, placement, kStart);
     ++sent[placement.endpoint->entry.id];
   }
   for (const auto& [id, count] : sent) CHECK(count <= 14);
 }
 
-// Operators measure what a mechanism is worth by a setting that leaves it out.
-TEST(ChoosePlacement, AMechanismThatIsSwitchedOffTakesNoPart) {
-  for (int i = 0; i < 96; ++i) Add("e" + std::to_string(i));
+// Operators measure the benefit of a mechanism with a setting that disables it.
+TEST(Placement, ADisabledMechanismHasNoEffect) {
+  for (int i = 0; i < 96; ++i) AddEndpoint("e" + std::to_string(i));
   set.tight_fraction = 0.25;
   set.disabled_mechanisms.set(
       static_cast<std::size_t>(er::Mechanism::kEngineSplit));
   set.disabled_mechanisms.set(static_cast<std::size_t>(er::Mechanism::kZone));
-  std::size_t at_tight = 0;
+  std::size_t at_tight_engines = 0;
   for (std::uint64_t session = 1; session <= 200; ++session) {
-    if (IsForTight(*Choose(Prompt(session)).endpoint)) ++at_tight;
+    if (ServesTightStreams(*PlaceRequest(LongPrompt(session)).endpoint))
+      ++at_tight_engines;
   }
-  CHECK(at_tight > 20);
+  CHECK(at_tight_engines > 20);
   fleet.zone = "elsewhere";
-  const er::Placement placement = Choose(Plain());
+  const er::Placement placement = PlaceRequest(PlainRequest());
   DOUBLES_EQUAL(0, placement.costs.Total(), 0.001);
 }
