--- a/routing/include/egretladder/routing/engine_split.h
+++ b/routing/include/egretladder/routing/engine_split.h
@@ -37,8 +37,8 @@
 /// prefilling what it hasn't cached, and the stream's part of a full batch
 /// there. A request that is neither a tight stream nor a long prompt isn't
 /// counted.
-void OnPlaced(SplitDemandMeter& meter, const Demand& demand,
-              const Placement& placement, Time now);
+void OnRequestPlaced(SplitDemandMeter& meter, const Demand& demand,
+                     const Placement& placement, Time now);
 
 /// Returns the demand at `now`.
 SplitDemand CurrentDemand(const SplitDemandMeter& meter, Time now);
--- a/routing/include/egretladder/routing/members.h
+++ b/routing/include/egretladder/routing/members.h
@@ -49,7 +49,7 @@
 /// The members that one exchange gossips.
 struct MemberGossip {
   std::vector<Member> members;  ///< The sender first.
-  std::vector<MemberHeartbeat> pulses;
+  std::vector<MemberHeartbeat> member_heartbeats;
   /// Hashes of nodes whose heartbeat the sender received and whose record it
   /// lacks.
   std::vector<std::uint32_t> unknown;
--- a/routing/include/egretladder/routing/retry_budget.h
+++ b/routing/include/egretladder/routing/retry_budget.h
@@ -48,8 +48,8 @@
 
 /// Counts a retry and returns true if the budget has room for one. Otherwise
 /// returns false.
-bool TakeRetry(NodeRetryBudget& budget, const RetryBudgetRule& rule,
-               const RetryBudgetFleet& fleet, Time now);
+bool TryConsumeRetry(NodeRetryBudget& budget, const RetryBudgetRule& rule,
+                     const RetryBudgetFleet& fleet, Time now);
 
 /// Returns the number of retries for which the budget still has room.
 ///
--- a/routing/include/egretladder/routing/suspects.h
+++ b/routing/include/egretladder/routing/suspects.h
@@ -52,7 +52,8 @@
 void OnRequestRan(Suspects& suspects, std::uint64_t request, Time now);
 
 /// Returns how much longer the request is held back; 0: it can be sent.
-milliseconds HeldFor(const Suspects& suspects, std::uint64_t request, Time now);
+milliseconds RemainingHoldTime(const Suspects& suspects, std::uint64_t request,
+                               Time now);
 
 /// A broken connection, as nodes gossip it. It holds ages, because clocks
 /// differ.
--- a/routing/src/engine_split.cc
+++ b/routing/src/engine_split.cc
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-void OnPlaced(SplitDemandMeter& meter, const Demand& demand,
-              const Placement& placement, Time now) {
+void OnRequestPlaced(SplitDemandMeter& meter, const Demand& demand,
+                     const Placement& placement, Time now) {
   const bool is_long = IsLongPrompt(demand);
   if (!demand.tight && !is_long) return;
   meter.demand = CurrentDemand(meter, now);
--- a/routing/src/members.cc
+++ b/routing/src/members.cc
@@ -116,7 +116,7 @@
   for (auto& [node, known] : members.others)
     by_key.emplace(NodeKey(node), &known);
   const std::uint32_t self = NodeKey(members.self.node);
-  for (const MemberHeartbeat& heartbeat : gossip.pulses) {
+  for (const MemberHeartbeat& heartbeat : gossip.member_heartbeats) {
     const auto at = by_key.find(heartbeat.node);
     const Member* known = at != by_key.end()       ? &at->second->member
                           : heartbeat.node == self ? &members.self
@@ -177,8 +177,8 @@
     if ((is_requested || now - known->first_seen_at < kNewMemberTime) &&
         gossip.members.size() <= kMaxMembersPerExchange) {
       gossip.members.push_back(known->member);
-    } else if (gossip.pulses.size() < kMaxHeartbeatsPerExchange) {
-      gossip.pulses.push_back(MakeHeartbeat(known->member));
+    } else if (gossip.member_heartbeats.size() < kMaxHeartbeatsPerExchange) {
+      gossip.member_heartbeats.push_back(MakeHeartbeat(known->member));
     }
   }
   return gossip;
--- a/routing/src/retry_budget.cc
+++ b/routing/src/retry_budget.cc
@@ -54,8 +54,8 @@
   return std::max(0.0, allowed - retries);
 }
 
-bool TakeRetry(NodeRetryBudget& budget, const RetryBudgetRule& rule,
-               const RetryBudgetFleet& fleet, Time now) {
+bool TryConsumeRetry(NodeRetryBudget& budget, const RetryBudgetRule& rule,
+                     const RetryBudgetFleet& fleet, Time now) {
   if (RetriesLeft(budget, rule, fleet, now) < 1) return false;
   ++BucketAt(budget, BucketNumber(rule, now)).retries;
   return true;
--- a/routing/src/suspects.cc
+++ b/routing/src/suspects.cc
@@ -91,8 +91,8 @@
   at->second.changed = now;
 }
 
-milliseconds HeldFor(const Suspects& suspects, std::uint64_t request,
-                     Time now) {
+milliseconds RemainingHoldTime(const Suspects& suspects, std::uint64_t request,
+                               Time now) {
   const auto at = suspects.by_request.find(request);
   if (at == suspects.by_request.end()) return {};
   const CrashChain chain = FindCrashChain(at->second, now);
--- a/routing/tests/engine_split_test.cc
+++ b/routing/tests/engine_split_test.cc
@@ -51,7 +51,7 @@
 
   void AddToMeter(er::SplitDemandMeter & meter, const er::Demand& demand,
                   const er::Placement& placement) const {
-    er::OnPlaced(meter, demand, placement, now);
+    er::OnRequestPlaced(meter, demand, placement, now);
   }
 
   // Adds the requests of one time step, each at a random node.
--- a/routing/tests/members_test.cc
+++ b/routing/tests/members_test.cc
@@ -142,7 +142,7 @@
   er::ApplyMemberGossip(peer, known_by_peer, now - 100ms);
   const er::MemberGossip gossip = er::MakeMemberGossip(peer, {}, random, now);
   LONGS_EQUAL(1, gossip.members.size());
-  LONGS_EQUAL(1, gossip.pulses.size());
+  LONGS_EQUAL(1, gossip.member_heartbeats.size());
   er::ApplyMemberGossip(late_node, gossip, now);
   CHECK_FALSE(
       Contains(er::DirectoryFor(late_node, "a", random, now), "other:80"));
@@ -164,7 +164,7 @@
   gossip.members = {MakeMember("n1", 10)};
   er::ApplyMemberGossip(node, gossip, kStart);
   er::MemberGossip heartbeat_gossip;
-  heartbeat_gossip.pulses = {
+  heartbeat_gossip.member_heartbeats = {
       {static_cast<std::uint32_t>(ek::HashBytes("n1")), 11, 5}};
   er::ApplyMemberGossip(node, heartbeat_gossip, kStart + 100ms);
   LONGS_EQUAL(10, node.others.at("n1").member.incarnation);
--- a/routing/tests/retry_budget_test.cc
+++ b/routing/tests/retry_budget_test.cc
@@ -26,7 +26,7 @@
   for (er::Time now = kStart; now < kStart + 60s; now += 10ms) {
     auto& budget = budgets[requests++ % kNodes];
     er::OnRequest(budget, kRule, now);
-    if (er::TakeRetry(budget, kRule, {kNodes, 1min}, now)) {
+    if (er::TryConsumeRetry(budget, kRule, {kNodes, 1min}, now)) {
       retries.push_back(now);
     }
   }
@@ -42,13 +42,14 @@
 TEST(RetryBudget, ANodeWithFewRequestsHasAFewRetries) {
   er::NodeRetryBudget budget;
   er::OnRequest(budget, kRule, kStart);
-  CHECK(er::TakeRetry(budget, kRule, {7, 1min}, kStart));
+  CHECK(er::TryConsumeRetry(budget, kRule, {7, 1min}, kStart));
   int further_retries = 0;
   for (int i = 0; i < 54; ++i) {
-    if (er::TakeRetry(budget, kRule, {7, 1min}, kStart)) ++further_retries;
+    if (er::TryConsumeRetry(budget, kRule, {7, 1min}, kStart))
+      ++further_retries;
   }
   CHECK(further_retries < 54 / 7);
-  CHECK(er::TakeRetry(budget, kRule, {7, 1min}, kStart + 11s));
+  CHECK(er::TryConsumeRetry(budget, kRule, {7, 1min}, kStart + 11s));
 }
 
 // Guards against nodes that get their whole part of the slack anew with each
@@ -67,7 +68,7 @@
       }
       const auto age =
           std::chrono::duration_cast<std::chrono::milliseconds>(now - started);
-      if (er::TakeRetry(budget, kRule, {kNodes, age}, now)) ++retries;
+      if (er::TryConsumeRetry(budget, kRule, {kNodes, age}, now)) ++retries;
     }
   }
   CHECK(static_cast<double>(retries) <= kRule.slack);
@@ -76,6 +77,6 @@
 
 TEST(RetryBudget, AProcessThatJustStartedHasOneRetry) {
   er::NodeRetryBudget budget;
-  CHECK(er::TakeRetry(budget, kRule, {7, 0s}, kStart));
-  CHECK_FALSE(er::TakeRetry(budget, kRule, {7, 0s}, kStart));
+  CHECK(er::TryConsumeRetry(budget, kRule, {7, 0s}, kStart));
+  CHECK_FALSE(er::TryConsumeRetry(budget, kRule, {7, 0s}, kStart));
 }
--- a/routing/tests/suspects_test.cc
+++ b/routing/tests/suspects_test.cc
@@ -26,7 +26,7 @@
     }
   }
   bool IsHeld(er::Time now) const {
-    return er::HeldFor(suspects, kRequest, now) > 0ms;
+    return er::RemainingHoldTime(suspects, kRequest, now) > 0ms;
   }
   void GossipToOther(er::Time now) {
     for (const er::SuspectGossip& gossip :
@@ -43,7 +43,8 @@
   CHECK_FALSE(IsHeld(kStart + 1s));
   CrashEndpointsInTurn(3);
   CHECK_TRUE(IsHeld(kStart + 1s));
-  LONGS_EQUAL(0, er::HeldFor(suspects, kRequest + 1, kStart + 1s).count());
+  LONGS_EQUAL(
+      0, er::RemainingHoldTime(suspects, kRequest + 1, kStart + 1s).count());
   CHECK_FALSE(IsHeld(kStart + er::kSuspectHoldTime + 1s));
 }
 
@@ -77,7 +78,7 @@
   GossipToOther(kStart + 200ms);
   er::OnConnectionBroke(other_node, kRequest,
                         {3, kStart + 300ms, kStart + 320ms});
-  CHECK(er::HeldFor(other_node, kRequest, kStart + 400ms) > 0ms);
+  CHECK(er::RemainingHoldTime(other_node, kRequest, kStart + 400ms) > 0ms);
   // Repeated and late gossip changes nothing.
   GossipToOther(kStart + 500ms);
   LONGS_EQUAL(3, other_node.by_request.at(kRequest).breaks.size());
@@ -88,10 +89,11 @@
 TEST(Suspects, AnAnswerAtOneNodeClearsTheRequestEverywhere) {
   CrashEndpointsInTurn(3);
   GossipToOther(kStart + 500ms);
-  CHECK(er::HeldFor(other_node, kRequest, kStart + 1s) > 0ms);
+  CHECK(er::RemainingHoldTime(other_node, kRequest, kStart + 1s) > 0ms);
   er::OnRequestRan(suspects, kRequest, kStart + 1s);
   GossipToOther(kStart + 2s);
-  LONGS_EQUAL(0, er::HeldFor(other_node, kRequest, kStart + 2s).count());
+  LONGS_EQUAL(0,
+              er::RemainingHoldTime(other_node, kRequest, kStart + 2s).count());
 }
 
 // Guards against gossip that circulates between two nodes for ever and holds a
