--- a/routing/include/egretladder/routing/limits.h
+++ b/routing/include/egretladder/routing/limits.h
@@ -19,7 +19,7 @@
 /// Time that each running request adds to the time to the first event, in ms,
 /// because it lengthens each step of the batch.
 inline constexpr double kCostPerRunningMs = 0.5;
-/// Assumed mean time of a request that isn't a generation, in ms, until one was
+/// Mean time of a request that isn't a generation, in ms, until one was
 /// measured. Each running request adds the mean time divided by the endpoint's
 /// slots to the wait.
 inline constexpr double kDefaultServiceTimeMs = 40;
@@ -95,7 +95,7 @@
 // --- Pace of engines (pace.h) ---
 
 /// Time that each running request adds between two events, relative to that
-/// time with no other request running. An assumed prior.
+/// time with no other request running. It isn't learned from samples.
 inline constexpr double kPaceFactorPerRunning = 0.03;
 /// Time between two events until one was measured, in ms.
 inline constexpr double kDefaultEventMs = 25;
