--- a/routing/src/admission.cc
+++ b/routing/src/admission.cc
@@ -6,14 +6,14 @@
 
 namespace {
 
-// Until a caller that comes back is expected to find room.
-double RoomExpectedMs(const Placement& placement) {
-  // A transient fault of a few endpoints is over, or known to all nodes, within
-  // a second.
-  constexpr double kUnknownMs = 250;
+// Returns the time in ms until a caller that retries is expected to find room.
+double ExpectedRoomMs(const Placement& placement) {
+  // Within a second, a transient fault of a few endpoints is over or known to
+  // all nodes.
+  constexpr double kDefaultMs = 250;
   if (placement.endpoint != nullptr) return placement.expected_ms / 2;
-  if (!placement.room_in) return kUnknownMs;
-  return static_cast<double>(placement.room_in->count());
+  if (!placement.next_turn_in) return kDefaultMs;
+  return static_cast<double>(placement.next_turn_in->count());
 }
 
 }  // namespace
@@ -32,23 +32,23 @@
   return "unknown";
 }
 
-AdmissionVerdict DecideAdmission(const AdmissionInput& ask,
+AdmissionVerdict DecideAdmission(const AdmissionInput& input,
                                  const Placement& placement, Time now) {
-  const auto left =
-      std::chrono::duration<double, std::milli>(ask.deadline - now);
+  const auto time_left =
+      std::chrono::duration<double, std::milli>(input.deadline - now);
   if (placement.endpoint == nullptr) {
-    const auto part =
-        std::chrono::duration_cast<milliseconds>(ask.target * kWaitPart);
-    const auto longest =
-        std::max(part, ask.was_sent_before ? kWaitAgain : kWaitLeast);
-    const auto waited = now - ask.waiting_since;
-    const auto until_room = placement.room_in.value_or(milliseconds{});
-    const bool waited_enough =
-        waited >= longest || left.count() <= 0 || waited + until_room > longest;
-    return waited_enough ? AdmissionVerdict::kNoEndpoint
-                         : AdmissionVerdict::kWait;
+    const auto target_wait =
+        std::chrono::duration_cast<milliseconds>(input.target * kMaxWaitRatio);
+    const auto max_wait = std::max(
+        target_wait, input.was_sent_before ? kMinResentWait : kMinWait);
+    const auto waited = now - input.waiting_since;
+    const auto until_turn = placement.next_turn_in.value_or(milliseconds{});
+    const bool must_reject = waited >= max_wait || time_left.count() <= 0 ||
+                             waited + until_turn > max_wait;
+    return must_reject ? AdmissionVerdict::kNoEndpoint
+                       : AdmissionVerdict::kWait;
   }
-  if (placement.expected_ms > left.count() * kUsefulPart) {
+  if (placement.expected_ms > time_left.count() * kMaxExpectedWaitRatio) {
     return AdmissionVerdict::kTooLate;
   }
   return AdmissionVerdict::kSend;
@@ -56,16 +56,17 @@
 
 milliseconds RetryAfterRejection(const Placement& placement,
                                  milliseconds target, kernel::Random& random) {
-  const double least = static_cast<double>(target.count()) / 4;
-  const double spread = 0.5 + kernel::RandomFraction(random);
+  const double min_delay_ms = static_cast<double>(target.count()) / 4;
+  const double jitter = 0.5 + kernel::RandomFraction(random);
   return milliseconds(static_cast<std::int64_t>(
-      std::max(least, RoomExpectedMs(placement)) * spread));
+      std::max(min_delay_ms, ExpectedRoomMs(placement)) * jitter));
 }
 
 milliseconds RetryAfterNotReady(milliseconds lasted, kernel::Random& random) {
-  const auto wait = std::clamp(lasted, kReadyRetryLeast, kReadyRetryMost);
-  const double spread = 0.75 + kernel::RandomFraction(random) / 2;
-  return std::chrono::duration_cast<milliseconds>(wait * spread);
+  const auto wait =
+      std::clamp(lasted, kMinNotReadyRetryDelay, kMaxNotReadyRetryDelay);
+  const double jitter = 0.75 + kernel::RandomFraction(random) / 2;
+  return std::chrono::duration_cast<milliseconds>(wait * jitter);
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/catalog.cc
+++ b/routing/src/catalog.cc
@@ -6,22 +6,22 @@
 namespace egretladder::routing {
 namespace {
 
-// True when it is news.
-bool Take(FeedState& feed, const Item& item, Time now) {
+// Applies one item. Returns true if it changes the known state.
+bool ApplyItem(FeedState& feed, const Item& item, Time now) {
   const auto at = feed.items.find(item.key);
   if (at != feed.items.end() && at->second.rev >= item.rev) return false;
   if (at == feed.items.end() && item.removed) {
-    // Never known here; kept all the same, so that an older write of it that
-    // comes later is not believed.
+    // The tombstone of an unknown item is kept as well, so that an older write
+    // that arrives later is ignored.
     feed.items.emplace(item.key, item);
     feed.removed_at[item.key] = now;
     return false;
   }
-  const bool was_there = at != feed.items.end() && !at->second.removed;
+  const bool was_known = at != feed.items.end() && !at->second.removed;
   feed.items[item.key] = item;
   if (item.removed) {
     feed.removed_at[item.key] = now;
-    return was_there;
+    return was_known;
   }
   feed.removed_at.erase(item.key);
   return true;
@@ -43,30 +43,31 @@
 
 std::vector<Item> Apply(Catalog& catalog, const Changes& changes, Time now) {
   FeedState& feed = GetFeedState(catalog, changes.feed);
-  std::vector<Item> news;
+  std::vector<Item> changed_items;
   for (const Item& item : changes.items) {
     feed.changed = std::max(feed.changed, item.rev);
-    if (Take(feed, item, now)) news.push_back(item);
+    if (ApplyItem(feed, item, now)) changed_items.push_back(item);
   }
   if (changes.whole) {
-    std::set<std::string_view> named;
-    for (const Item& item : changes.items) named.insert(item.key);
-    std::vector<Item> gone;
+    std::set<std::string_view> listed_keys;
+    for (const Item& item : changes.items) listed_keys.insert(item.key);
+    std::vector<Item> removed_items;
     for (const auto& [key, item] : feed.items) {
-      if (item.removed || item.rev > changes.revision || named.contains(key)) {
+      if (item.removed || item.rev > changes.revision ||
+          listed_keys.contains(key)) {
         continue;
       }
-      gone.push_back({key, {}, changes.revision, true});
+      removed_items.push_back({key, {}, changes.revision, true});
     }
-    for (const Item& item : gone) {
+    for (const Item& item : removed_items) {
       feed.changed = std::max(feed.changed, item.rev);
       feed.items[item.key] = item;
       feed.removed_at[item.key] = now;
-      news.push_back(item);
+      changed_items.push_back(item);
     }
   }
   feed.revision = std::max(feed.revision, changes.revision);
-  return news;
+  return changed_items;
 }
 
 Changes ChangesSince(const Catalog& catalog, Feed feed,
@@ -76,7 +77,7 @@
   changes.feed = feed;
   changes.revision = state.revision;
   if (revision >= state.revision) return changes;
-  changes.whole = revision < state.forgotten || revision == 0;
+  changes.whole = revision < state.pruned_revision || revision == 0;
   for (const auto& [key, item] : state.items) {
     if (changes.whole ? !item.removed : item.rev > revision) {
       changes.items.push_back(item);
@@ -101,9 +102,9 @@
 void PruneTombstones(Catalog& catalog, Time now) {
   for (FeedState& feed : catalog.feeds) {
     std::erase_if(feed.removed_at, [&feed, now](const auto& entry) {
-      if (now - entry.second < kRemovalsKept) return false;
+      if (now - entry.second < kTombstoneRetention) return false;
       const auto at = feed.items.find(entry.first);
-      feed.forgotten = std::max(feed.forgotten, at->second.rev);
+      feed.pruned_revision = std::max(feed.pruned_revision, at->second.rev);
       feed.items.erase(at);
       return true;
     });
--- a/routing/src/endpoints.cc
+++ b/routing/src/endpoints.cc
@@ -9,18 +9,19 @@
 namespace egretladder::routing {
 namespace {
 
-// Places by rank, not by the hash itself: with ninety engines a part of them
-// would else differ by a quarter from what was asked for.
-void SetOrder(const std::vector<EndpointPtr>& by_hash) {
+// Positions are taken from the rank by hash, not from the hash itself: with
+// ninety engines, a fraction chosen by hash value would differ by a quarter
+// from the intended one.
+void SetHashPositions(const std::vector<EndpointPtr>& by_hash) {
   const double size = static_cast<double>(by_hash.size());
   for (std::size_t i = 0; i < by_hash.size(); ++i) {
-    by_hash[i]->order = static_cast<double>(i) / size;
+    by_hash[i]->hash_position = static_cast<double>(i) / size;
   }
 }
 
-// Each into its place: sorted anew for each of thousands of entries, a node
-// that starts is busy for seconds.
-void Enlist(EndpointSet& set, const EndpointPtr& endpoint) {
+// Inserts the endpoint in hash order. Sorting the list again for each of
+// thousands of entries would keep a starting node busy for seconds.
+void AddToService(EndpointSet& set, const EndpointPtr& endpoint) {
   auto& list = set.by_service[endpoint->entry.service];
   const auto at =
       std::upper_bound(list.begin(), list.end(), endpoint,
@@ -28,20 +29,20 @@
                          return left->name_hash < right->name_hash;
                        });
   list.insert(at, endpoint);
-  SetOrder(list);
+  SetHashPositions(list);
 }
 
-void Unlist(EndpointSet& set, const EndpointPtr& endpoint) {
+void RemoveFromService(EndpointSet& set, const EndpointPtr& endpoint) {
   auto& list = set.by_service[endpoint->entry.service];
   std::erase(list, endpoint);
-  SetOrder(list);
+  SetHashPositions(list);
 }
 
 void Remove(EndpointSet& set, const std::string& id) {
   const auto at = set.by_id.find(id);
   if (at == set.by_id.end()) return;
   at->second->phase = EndpointPhase::kGone;
-  Unlist(set, at->second);
+  RemoveFromService(set, at->second);
   set.by_id.erase(at);
 }
 
@@ -52,15 +53,15 @@
   endpoint->phase =
       entry.leaving ? EndpointPhase::kLeaving : EndpointPhase::kServing;
   endpoint->cold_until = now + entry.cold_left;
-  // What peers heard of an earlier process doesn't count.
-  endpoint->limit.named = now;
-  Enlist(set, endpoint);
+  // Limits that peers learned from an earlier process don't count.
+  endpoint->limit.advertised_at = now;
+  AddToService(set, endpoint);
   set.by_id[entry.id] = std::move(endpoint);
   return EntryChange::kNew;
 }
 
-double Smooth(double before, double newest) {
-  return before + kNewestWeight * (newest - before);
+double Smooth(double average, double sample) {
+  return average + kNewestAnswerWeight * (sample - average);
 }
 
 }  // namespace
@@ -123,7 +124,7 @@
       entry.leaving ? EndpointPhase::kLeaving : EndpointPhase::kServing;
   if (entry.cold_left.count() > 0) {
     known.cold_until = std::max(known.cold_until, now + entry.cold_left);
-    // What it held is lost with its warmth.
+    // An endpoint that turned cold has lost its prefix cache.
     if (!was_cold) known.parts.clear();
   }
   if (entry.leaving && !was_leaving) return EntryChange::kLeaving;
@@ -132,15 +133,15 @@
 }
 
 EntryChange OnEntryRemoved(EndpointSet& set, const std::string& id,
-                           bool trouble, Time now) {
+                           bool store_was_unreachable, Time now) {
   const auto at = set.by_id.find(id);
   if (at == set.by_id.end()) return EntryChange::kNone;
-  if (trouble && at->second->phase == EndpointPhase::kServing) {
+  if (store_was_unreachable && at->second->phase == EndpointPhase::kServing) {
     at->second->phase = EndpointPhase::kLapsed;
     at->second->lapsed_until = now + kLapseGrace;
     return EntryChange::kLapsed;
   }
-  if (trouble && at->second->phase == EndpointPhase::kLapsed) {
+  if (store_was_unreachable && at->second->phase == EndpointPhase::kLapsed) {
     return EntryChange::kNone;
   }
   Remove(set, id);
@@ -152,19 +153,19 @@
 }
 
 std::vector<std::string> RemoveLapsedEndpoints(EndpointSet& set, Time now) {
-  std::vector<std::string> gone;
+  std::vector<std::string> expired;
   for (const auto& [id, endpoint] : set.by_id) {
     if (endpoint->phase == EndpointPhase::kLapsed &&
         endpoint->lapsed_until <= now) {
-      gone.push_back(id);
+      expired.push_back(id);
     }
   }
-  for (const std::string& id : gone) Remove(set, id);
-  return gone;
+  for (const std::string& id : expired) Remove(set, id);
+  return expired;
 }
 
-void SetZoneOut(EndpointSet& set, const std::string& zone, bool out) {
-  set.zones_out[zone] = out;
+void SetZoneOut(EndpointSet& set, const std::string& zone, bool is_out) {
+  set.zones_out[zone] = is_out;
 }
 
 bool IsZoneOut(const EndpointSet& set, std::string_view zone) {
@@ -179,85 +180,91 @@
   return at != set.service_paces.end() ? at->second : kNone;
 }
 
-void OnSignOfLife(Endpoint& endpoint, Time now) { endpoint.heard_at = now; }
+void OnSignOfLife(Endpoint& endpoint, Time now) {
+  endpoint.last_heard_at = now;
+}
 
 bool IsRecentlyHeard(const Endpoint& endpoint, Time now) {
-  return now - endpoint.heard_at < kHeardLately;
+  return now - endpoint.last_heard_at < kRecentlyHeardWindow;
 }
 
 void OnConnectFailed(Endpoint& endpoint, Time now) {
-  Trust& health = endpoint.health;
-  constexpr std::uint32_t kDoublings = 5;
-  const auto pause = kAvoidFirst * (1U << std::min(health.refused, kDoublings));
-  health.avoid_until = now + std::min<milliseconds>(pause, kAvoidMost);
-  ++health.refused;
+  EndpointHealth& health = endpoint.health;
+  constexpr std::uint32_t kMaxDoublings = 5;
+  const auto pause =
+      kInitialConnectBackoff *
+      (1U << std::min(health.refused_connections, kMaxDoublings));
+  health.avoid_until = now + std::min<milliseconds>(pause, kMaxConnectBackoff);
+  ++health.refused_connections;
 }
 
 void OnAttemptFailed(Endpoint& endpoint, Time now) {
-  Trust& health = endpoint.health;
-  health.failing = Smooth(FailingOf(health, now), 1);
-  health.failing_at = now;
+  EndpointHealth& health = endpoint.health;
+  health.failure_rate = Smooth(FailureRate(health, now), 1);
+  health.failure_rate_at = now;
 }
 
 void OnEndpointFull(Endpoint& endpoint, milliseconds pause, Time now) {
   endpoint.health.full_until = now + pause;
-  endpoint.health.refused = 0;
+  endpoint.health.refused_connections = 0;
 }
 
-void OnFirstByte(Endpoint& endpoint, milliseconds took, milliseconds expected) {
-  const double late =
-      std::max(0.0, static_cast<double>((took - expected).count()));
-  endpoint.health.drift_ms = Smooth(endpoint.health.drift_ms, late);
+void OnFirstByte(Endpoint& endpoint, milliseconds elapsed,
+                 milliseconds expected) {
+  const double late_ms =
+      std::max(0.0, static_cast<double>((elapsed - expected).count()));
+  endpoint.health.drift_ms = Smooth(endpoint.health.drift_ms, late_ms);
 }
 
-void OnAnswered(Endpoint& endpoint, milliseconds took, Time now) {
-  Trust& health = endpoint.health;
-  health.refused = 0;
+void OnAnswered(Endpoint& endpoint, milliseconds elapsed, Time now) {
+  EndpointHealth& health = endpoint.health;
+  health.refused_connections = 0;
   health.avoid_until = {};
-  health.failing = Smooth(FailingOf(health, now), 0);
-  health.failing_at = now;
-  const auto ms = static_cast<double>(took.count());
-  health.mean_ms = health.mean_ms == 0 ? ms : Smooth(health.mean_ms, ms);
+  health.failure_rate = Smooth(FailureRate(health, now), 0);
+  health.failure_rate_at = now;
+  const auto ms = static_cast<double>(elapsed.count());
+  health.mean_answer_ms =
+      health.mean_answer_ms == 0 ? ms : Smooth(health.mean_answer_ms, ms);
 }
 
-double FailingOf(const Trust& health, Time now) {
+double FailureRate(const EndpointHealth& health, Time now) {
   const auto age =
-      std::chrono::duration<double, std::milli>(now - health.failing_at);
-  return health.failing *
+      std::chrono::duration<double, std::milli>(now - health.failure_rate_at);
+  return health.failure_rate *
          std::exp2(-age.count() /
                    static_cast<double>(kFailureHalfLife.count()));
 }
 
-milliseconds SilenceOf(const Endpoint& endpoint, Time now) {
+milliseconds OverdueTime(const Endpoint& endpoint, Time now) {
   if (endpoint.unanswered.empty()) return {};
   const auto& [sent, due] = endpoint.unanswered.begin()->second;
   const auto expected = std::chrono::duration<double>(due - sent);
   const auto allowed = std::max(
-      std::chrono::duration_cast<milliseconds>(expected * kSilentRatio),
-      kSilentLeast);
+      std::chrono::duration_cast<milliseconds>(expected * kSilenceFactor),
+      kMinSilence);
   const auto waited = std::chrono::duration_cast<milliseconds>(now - sent);
   return std::max(milliseconds(0), waited - allowed);
 }
 
-void NoteParts(Endpoint& endpoint, const std::vector<std::uint64_t>& parts,
-               Time now) {
+void RecordPromptParts(Endpoint& endpoint,
+                       const std::vector<std::uint64_t>& parts, Time now) {
   for (const std::uint64_t part : parts) endpoint.parts[part] = now;
-  if (endpoint.parts.size() <= kPartsMost) return;
-  // Rare: drops the older half in one go.
-  std::vector<Time> uses;
-  uses.reserve(endpoint.parts.size());
-  for (const auto& [part, used] : endpoint.parts) uses.push_back(used);
+  if (endpoint.parts.size() <= kMaxPromptParts) return;
+  // Dropping the older half at once keeps this rare.
+  std::vector<Time> last_uses;
+  last_uses.reserve(endpoint.parts.size());
+  for (const auto& [part, used] : endpoint.parts) last_uses.push_back(used);
   const auto middle =
-      uses.begin() + static_cast<std::ptrdiff_t>(uses.size() / 2);
-  std::nth_element(uses.begin(), middle, uses.end());
+      last_uses.begin() + static_cast<std::ptrdiff_t>(last_uses.size() / 2);
+  std::nth_element(last_uses.begin(), middle, last_uses.end());
   std::erase_if(endpoint.parts, [oldest = *middle](const auto& entry) {
     return entry.second < oldest;
   });
 }
 
-bool HoldsPart(const Endpoint& endpoint, std::uint64_t part, Time now) {
+bool HasCachedPart(const Endpoint& endpoint, std::uint64_t part, Time now) {
   const auto at = endpoint.parts.find(part);
-  return at != endpoint.parts.end() && now - at->second < kPartKept;
+  return at != endpoint.parts.end() && now - at->second < kPromptPartRetention;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/engine_split.cc
+++ b/routing/src/engine_split.cc
@@ -6,17 +6,19 @@
 namespace egretladder::routing {
 namespace {
 
-// Time for which the engine is busy with one request while it runs a batch.
-double EngineMs(const Demand& demand, const Placement& placement) {
+// Returns the time in ms for which the request keeps the engine busy while it
+// runs a full batch.
+double EngineBusyMs(const Demand& demand, const Placement& placement) {
   const Endpoint& engine = *placement.endpoint;
   const double slots = std::max<std::uint32_t>(engine.entry.slots, 1);
   return placement.uncached_tokens / kPromptTokensPerMs +
          demand.expected_stream_ms / slots;
 }
 
-double Decay(Time from, Time to) {
+double DecayFactor(Time from, Time to) {
   const std::chrono::duration<double, std::milli> age = to - from;
-  return std::exp(-age.count() / static_cast<double>(kSideMemory.count()));
+  return std::exp(-age.count() /
+                  static_cast<double>(kSplitDemandTimeConstant.count()));
 }
 
 }  // namespace
@@ -25,66 +27,69 @@
                      const Placement& placement, Time now) {
   const bool is_long = IsLongPrompt(demand);
   if (!demand.tight && !is_long) return;
-  meter.demand = DemandOf(meter, now);
+  meter.demand = CurrentDemand(meter, now);
   meter.at = now;
-  const double engines =
-      EngineMs(demand, placement) / static_cast<double>(kSideMemory.count());
+  const double busy_engines =
+      EngineBusyMs(demand, placement) /
+      static_cast<double>(kSplitDemandTimeConstant.count());
   if (demand.tight) {
-    meter.demand.tight += engines * kTightMargin;
+    meter.demand.tight += busy_engines * kTightDemandFactor;
   } else {
-    meter.demand.rest += engines;
+    meter.demand.rest += busy_engines;
   }
 }
 
-SideDemand DemandOf(const SplitDemandMeter& meter, Time now) {
-  const double left = Decay(meter.at, now);
-  return {meter.demand.tight * left, meter.demand.rest * left};
+SplitDemand CurrentDemand(const SplitDemandMeter& meter, Time now) {
+  const double factor = DecayFactor(meter.at, now);
+  return {meter.demand.tight * factor, meter.demand.rest * factor};
 }
 
-void MergePeerDemand(FleetDemand& agreed, const SideDemand& told) {
-  if (told.tight + told.rest <= 0) return;  // It knows nothing yet.
-  if (!agreed.known) {
-    agreed.mean = told;
-    agreed.known = true;
+void MergePeerDemand(FleetDemand& fleet, const SplitDemand& peer) {
+  if (peer.tight + peer.rest <= 0) return;  // The peer has no value yet.
+  if (!fleet.known) {
+    fleet.mean = peer;
+    fleet.known = true;
     return;
   }
-  agreed.mean.tight = (agreed.mean.tight + told.tight) / 2;
-  agreed.mean.rest = (agreed.mean.rest + told.rest) / 2;
+  fleet.mean.tight = (fleet.mean.tight + peer.tight) / 2;
+  fleet.mean.rest = (fleet.mean.rest + peer.rest) / 2;
 }
 
-void FollowMeasuredDemand(FleetDemand& agreed, const SplitDemandMeter& meter,
+void FollowMeasuredDemand(FleetDemand& fleet, const SplitDemandMeter& meter,
                           Time now) {
-  const SideDemand own = DemandOf(meter, now);
-  if (!agreed.known) {
-    agreed.known = own.tight + own.rest > 0;
-    agreed.mean = own;
-    agreed.pulled = now;
+  const SplitDemand own = CurrentDemand(meter, now);
+  if (!fleet.known) {
+    fleet.known = own.tight + own.rest > 0;
+    fleet.mean = own;
+    fleet.updated_at = now;
     return;
   }
-  // A figure taken from a peer counts from here on.
-  if (agreed.pulled == Time{}) agreed.pulled = now;
-  const std::chrono::duration<double, std::milli> since = now - agreed.pulled;
-  agreed.pulled = now;
-  const double part =
-      1 - std::exp(-since.count() / static_cast<double>(kSidePull.count()));
-  agreed.mean.tight += part * (own.tight - agreed.mean.tight);
-  agreed.mean.rest += part * (own.rest - agreed.mean.rest);
+  // A value adopted from a peer starts to follow the measurement now.
+  if (fleet.updated_at == Time{}) fleet.updated_at = now;
+  const std::chrono::duration<double, std::milli> since =
+      now - fleet.updated_at;
+  fleet.updated_at = now;
+  const double weight =
+      1 - std::exp(-since.count() /
+                   static_cast<double>(kFleetDemandTimeConstant.count()));
+  fleet.mean.tight += weight * (own.tight - fleet.mean.tight);
+  fleet.mean.rest += weight * (own.rest - fleet.mean.rest);
 }
 
-double TightFraction(const SideDemand& mean) {
+double TightFraction(const SplitDemand& mean) {
   const double sum = mean.tight + mean.rest;
-  if (sum <= 0) return kTightPartUnknown;
-  return std::clamp(mean.tight / sum, kTightPartLeast, kTightPartMost);
+  if (sum <= 0) return kDefaultTightFraction;
+  return std::clamp(mean.tight / sum, kMinTightFraction, kMaxTightFraction);
 }
 
 bool IsLongPrompt(const Demand& demand) {
-  return demand.prompt_tokens > kLongPrompt;
+  return demand.prompt_tokens > kLongPromptTokens;
 }
 
-bool IsOnItsSide(const Endpoint& endpoint, const Demand& demand,
-                 double tight_fraction) {
+bool IsOnDemandSide(const Endpoint& endpoint, const Demand& demand,
+                    double tight_fraction) {
   if (!demand.tight && !IsLongPrompt(demand)) return true;
-  return (endpoint.order < tight_fraction) == demand.tight;
+  return (endpoint.hash_position < tight_fraction) == demand.tight;
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/pace.cc
+++ b/routing/src/pace.cc
@@ -5,10 +5,12 @@
 namespace egretladder::routing {
 namespace {
 
-double AloneMs(const EnginePace& engine, const ServicePace& service) {
-  const double prior =
-      service.alone_ms > 0 ? service.alone_ms : kEventMsUnknown;
-  return (engine.samples * engine.alone_ms + kPacePriorSamples * prior) /
+double EstimateUnloadedEventMs(const EnginePace& engine,
+                               const ServicePace& service) {
+  const double prior = service.unloaded_event_ms > 0 ? service.unloaded_event_ms
+                                                     : kDefaultEventMs;
+  return (engine.samples * engine.unloaded_event_ms +
+          kPacePriorSamples * prior) /
          (engine.samples + kPacePriorSamples);
 }
 
@@ -19,21 +21,23 @@
 }  // namespace
 
 void OnEventInterval(EnginePace& engine, ServicePace& service, double running,
-                     std::chrono::duration<double, std::milli> pause) {
-  const double alone = pause.count() / (1 + kPacePerRunning * running);
-  Smooth(engine.alone_ms, alone, kPaceWeight);
-  engine.samples = std::min(engine.samples + 1, kPaceSamplesMost);
-  Smooth(service.alone_ms, alone, kPaceWeightOfService);
+                     std::chrono::duration<double, std::milli> event_interval) {
+  const double unloaded_ms =
+      event_interval.count() / (1 + kPaceFactorPerRunning * running);
+  Smooth(engine.unloaded_event_ms, unloaded_ms, kEnginePaceWeight);
+  engine.samples = std::min(engine.samples + 1, kMaxPaceSamples);
+  Smooth(service.unloaded_event_ms, unloaded_ms, kServicePaceWeight);
 }
 
 void OnStreamEnded(ServicePace& service, const std::string& route,
                    double events,
-                   std::chrono::duration<double, std::milli> lasted) {
+                   std::chrono::duration<double, std::milli> duration) {
   StreamLength& length = service.lengths[route];
-  Smooth(length.events, events, kEventsWeight);
-  Smooth(length.ms, lasted.count(), kEventsWeight);
-  length.longest = std::max(
-      events, length.longest - kLongestForgets * (length.longest - events));
+  Smooth(length.events, events, kStreamLengthWeight);
+  Smooth(length.ms, duration.count(), kStreamLengthWeight);
+  length.longest =
+      std::max(events, length.longest -
+                           kLongStreamDecayWeight * (length.longest - events));
 }
 
 void OnStreamRunning(ServicePace& service, const std::string& route,
@@ -46,23 +50,25 @@
 double ExpectedStreamEvents(const ServicePace& service,
                             const std::string& route) {
   const auto at = service.lengths.find(route);
-  return at != service.lengths.end() ? at->second.events : kEventsUnknown;
+  return at != service.lengths.end() ? at->second.events : kDefaultStreamEvents;
 }
 
 double LongStreamEvents(const ServicePace& service, const std::string& route) {
   const auto at = service.lengths.find(route);
-  return at != service.lengths.end() ? at->second.longest : kEventsMostUnknown;
+  return at != service.lengths.end() ? at->second.longest
+                                     : kDefaultLongStreamEvents;
 }
 
 double ExpectedStreamMs(const ServicePace& service, const std::string& route) {
   const auto at = service.lengths.find(route);
   return at != service.lengths.end() ? at->second.ms
-                                     : kEventsUnknown * kEventMsUnknown;
+                                     : kDefaultStreamEvents * kDefaultEventMs;
 }
 
-double EventMs(const EnginePace& engine, const ServicePace& service,
-               double running) {
-  return AloneMs(engine, service) * (1 + kPacePerRunning * running);
+double ExpectedEventMs(const EnginePace& engine, const ServicePace& service,
+                       double running) {
+  return EstimateUnloadedEventMs(engine, service) *
+         (1 + kPaceFactorPerRunning * running);
 }
 
 }  // namespace egretladder::routing
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -11,151 +11,172 @@
 namespace egretladder::routing {
 namespace {
 
-std::uint64_t SessionOf(const Demand& demand) {
+// Returns the id of the shared part by which the session's requests are kept
+// together; 0 if the session prefers no endpoints.
+std::uint64_t SessionHash(const Demand& demand) {
   const auto& parts = demand.parts;
-  if (parts.empty() || SharedTokens(demand) < kSessionTokens) return 0;
-  // The last part is the request's own where there are several.
+  if (parts.empty() || SharedTokens(demand) < kMinSessionTokens) return 0;
+  // With several parts, the last one belongs to this request alone.
   return parts[parts.size() > 1 ? parts.size() - 2 : 0].id;
 }
 
-std::uint32_t SlotsOfNode(const Endpoint& endpoint,
-                          const FleetSnapshot& fleet) {
-  const double even =
+std::uint32_t MaxInFlightPerNode(const Endpoint& endpoint,
+                                 const FleetSnapshot& fleet) {
+  const double even_share =
       static_cast<double>(endpoint.entry.slots) /
       static_cast<double>(std::max<std::size_t>(fleet.nodes, 1));
-  return std::max(kSlotsLeast,
-                  static_cast<std::uint32_t>(std::ceil(kSlotsOver * even)));
+  return std::max(kMinSlotsPerNode, static_cast<std::uint32_t>(std::ceil(
+                                        kSlotOvercommitFactor * even_share)));
 }
 
 bool IsCold(const Endpoint& endpoint, Time now) {
   return now < endpoint.cold_until;
 }
 
-Uncached UncachedAt(const Endpoint& endpoint, const Demand& demand, bool first,
-                    Time now) {
-  Uncached uncached;
+// Estimates the prompt tokens that the endpoint has to prefill. The session's
+// first choice is assumed to have the shared parts cached unless it is cold.
+UncachedTokens EstimateUncachedTokens(const Endpoint& endpoint,
+                                      const Demand& demand,
+                                      bool is_first_choice, Time now) {
+  UncachedTokens uncached;
   uncached.own = demand.prompt_tokens;
-  bool held = true;
+  bool is_cached = true;
   for (std::size_t i = 0; i < demand.parts.size(); ++i) {
     const PromptPart& part = demand.parts[i];
-    // The last part is the request's own, unless it was read here before.
-    const bool last = i + 1 == demand.parts.size();
-    held = held && (HoldsPart(endpoint, part.id, now) ||
-                    (first && !last && !IsCold(endpoint, now)));
-    if (!held && last) break;
+    // The last part belongs to this request alone, unless it was processed at
+    // this endpoint before.
+    const bool is_last = i + 1 == demand.parts.size();
+    is_cached =
+        is_cached && (HasCachedPart(endpoint, part.id, now) ||
+                      (is_first_choice && !is_last && !IsCold(endpoint, now)));
+    if (!is_cached && is_last) break;
     uncached.own -= part.tokens;
-    if (!held) uncached.shared += part.tokens;
+    if (!is_cached) uncached.shared += part.tokens;
   }
   uncached.own = std::max(0.0, uncached.own);
   return uncached;
 }
 
-struct Usable {
+// The endpoints that can take a request now.
+struct UsableEndpoints {
   std::vector<EndpointPtr> endpoints;
-  PlaceReason why_none = PlaceReason::kNoneKnown;
-  bool may_come_free = false;  // One that isn't used now, at any moment.
-  std::optional<Time> turn;    // The next one of this node under a limit.
+  PlacementReason reason_if_none = PlacementReason::kNoneKnown;
+  // An endpoint that can't be used now may become usable at any moment.
+  bool may_free_up = false;
+  // This node's earliest turn at an endpoint that advertises a limit.
+  std::optional<Time> next_turn;
 };
 
-// Remembers when room is expected at an endpoint that can't be used now.
-void NoteRoom(Usable& usable, PlaceReason use, const Endpoint& endpoint,
-              const Demand& demand, const FleetSnapshot& fleet, Time now) {
-  if (use == PlaceReason::kAllLeaving) return;
-  const auto rate = SharedRateOf(endpoint, *demand.service, now);
-  if (use != PlaceReason::kAllLimited || !rate) {
-    usable.may_come_free = true;
+// Records when an endpoint that can't be used now is expected to have room.
+void RecordNextTurn(UsableEndpoints& usable, PlacementReason reason,
+                    const Endpoint& endpoint, const Demand& demand,
+                    const FleetSnapshot& fleet, Time now) {
+  if (reason == PlacementReason::kAllLeaving) return;
+  const auto rate = FindSharedRate(endpoint, *demand.service, now);
+  if (reason != PlacementReason::kAllLimited || !rate) {
+    usable.may_free_up = true;
     return;
   }
-  const Time turn = NextTurn(endpoint, *rate, fleet);
-  // One that had its turn and may not send isn't this node's to use.
-  if (turn <= now) return;
-  usable.turn = usable.turn ? std::min(*usable.turn, turn) : turn;
+  const Time next_turn = NextTurnTime(endpoint, *rate, fleet);
+  // A turn in the past means that this node is not among the senders.
+  if (next_turn <= now) return;
+  usable.next_turn =
+      usable.next_turn ? std::min(*usable.next_turn, next_turn) : next_turn;
 }
 
-std::optional<milliseconds> RoomIn(const Usable& usable, Time now) {
-  if (usable.may_come_free || !usable.turn) return {};
-  return std::chrono::ceil<milliseconds>(*usable.turn - now);
+std::optional<milliseconds> TimeToNextTurn(const UsableEndpoints& usable,
+                                           Time now) {
+  if (usable.may_free_up || !usable.next_turn) return {};
+  return std::chrono::ceil<milliseconds>(*usable.next_turn - now);
 }
 
-// Why it can't be used now; `kCheapest` when it can.
-PlaceReason UseOf(const EndpointSet& set, const Endpoint& endpoint,
-                  const Demand& demand, const FleetSnapshot& fleet, Time now) {
+// Returns why the endpoint can't be used now; `kCheapest` if it can.
+PlacementReason WhyUnusable(const EndpointSet& set, const Endpoint& endpoint,
+                            const Demand& demand, const FleetSnapshot& fleet,
+                            Time now) {
   if (endpoint.phase == EndpointPhase::kLeaving ||
       endpoint.phase == EndpointPhase::kGone ||
       IsZoneOut(set, endpoint.entry.zone)) {
-    return PlaceReason::kAllLeaving;
+    return PlacementReason::kAllLeaving;
   }
-  if (now < endpoint.health.avoid_until) return PlaceReason::kAllDown;
+  if (now < endpoint.health.avoid_until) return PlacementReason::kAllDown;
   if (now < endpoint.health.full_until ||
-      endpoint.in_flight >= SlotsOfNode(endpoint, fleet)) {
-    return PlaceReason::kAllFull;
+      endpoint.in_flight >= MaxInFlightPerNode(endpoint, fleet)) {
+    return PlacementReason::kAllFull;
   }
-  if (const auto rate = SharedRateOf(endpoint, *demand.service, now)) {
-    if (now < NextTurn(endpoint, *rate, fleet) ||
+  if (const auto rate = FindSharedRate(endpoint, *demand.service, now)) {
+    if (now < NextTurnTime(endpoint, *rate, fleet) ||
         !IsSender(endpoint, *rate, fleet)) {
-      return rate->reason == RateReason::kCold ? PlaceReason::kAllCold
-                                               : PlaceReason::kAllLimited;
+      return rate->reason == RateReason::kCold ? PlacementReason::kAllCold
+                                               : PlacementReason::kAllLimited;
     }
   }
-  return PlaceReason::kCheapest;
+  return PlacementReason::kCheapest;
 }
 
-Usable FindUsable(const EndpointSet& set, const Demand& demand,
-                  const std::vector<EndpointPtr>& tried,
-                  const FleetSnapshot& fleet, Time now) {
-  Usable usable;
+UsableEndpoints FindUsable(const EndpointSet& set, const Demand& demand,
+                           const std::vector<EndpointPtr>& tried,
+                           const FleetSnapshot& fleet, Time now) {
+  UsableEndpoints usable;
   const auto at = set.by_service.find(demand.service->name);
   if (at == set.by_service.end()) return usable;
   for (const EndpointPtr& endpoint : at->second) {
     if (std::find(tried.begin(), tried.end(), endpoint) != tried.end()) {
-      usable.why_none = PlaceReason::kAllTried;
+      usable.reason_if_none = PlacementReason::kAllTried;
       continue;
     }
-    const PlaceReason use = UseOf(set, *endpoint, demand, fleet, now);
-    if (use == PlaceReason::kCheapest) {
+    const PlacementReason reason =
+        WhyUnusable(set, *endpoint, demand, fleet, now);
+    if (reason == PlacementReason::kCheapest) {
       usable.endpoints.push_back(endpoint);
       continue;
     }
-    NoteRoom(usable, use, *endpoint, demand, fleet, now);
-    if (usable.why_none != PlaceReason::kAllTried) usable.why_none = use;
+    RecordNextTurn(usable, reason, *endpoint, demand, fleet, now);
+    if (usable.reason_if_none != PlacementReason::kAllTried)
+      usable.reason_if_none = reason;
   }
   return usable;
 }
 
-std::uint64_t Weight(std::uint64_t session, const Endpoint& endpoint) {
+std::uint64_t PreferenceHash(std::uint64_t session, const Endpoint& endpoint) {
   return kernel::HashBytes(endpoint.entry.id, session);
 }
 
-// Moves the endpoints that the session prefers to the front, in order.
-void PreferFirst(std::vector<EndpointPtr>& endpoints, std::uint64_t session) {
-  const std::size_t count = std::min(kPreferred, endpoints.size());
+// Moves the endpoints that the session prefers to the front, in the order of
+// preference.
+void MovePreferredFirst(std::vector<EndpointPtr>& endpoints,
+                        std::uint64_t session) {
+  const std::size_t count = std::min(kPreferredEndpoints, endpoints.size());
   std::partial_sort(
       endpoints.begin(), endpoints.begin() + static_cast<std::ptrdiff_t>(count),
       endpoints.end(), [&](const EndpointPtr& left, const EndpointPtr& right) {
-        return Weight(session, *left) > Weight(session, *right);
+        return PreferenceHash(session, *left) > PreferenceHash(session, *right);
       });
 }
 
-// Leaves those on the demand's side, if there are any.
-void KeepItsSide(std::vector<EndpointPtr>& endpoints, const Demand& demand,
-                 double tight_fraction) {
+// Drops the endpoints on the other side of the engine split, unless no other
+// endpoint is usable.
+void KeepDemandSide(std::vector<EndpointPtr>& endpoints, const Demand& demand,
+                    double tight_fraction) {
   const auto end = std::stable_partition(
       endpoints.begin(), endpoints.end(), [&](const EndpointPtr& endpoint) {
-        return IsOnItsSide(*endpoint, demand, tight_fraction);
+        return IsOnDemandSide(*endpoint, demand, tight_fraction);
       });
   if (end != endpoints.begin()) endpoints.erase(end, endpoints.end());
 }
 
-// Moves random ones to places `from` and on.
-void DrawSome(std::vector<EndpointPtr>& endpoints, std::size_t from,
-              kernel::Random& random) {
-  const std::size_t until = std::min(endpoints.size(), from + kDrawn);
-  for (std::size_t i = from; i < until; ++i) {
+// Moves random endpoints to the positions from `first_drawn` on and drops those
+// after them.
+void DrawRandomCandidates(std::vector<EndpointPtr>& endpoints,
+                          std::size_t first_drawn, kernel::Random& random) {
+  const std::size_t end =
+      std::min(endpoints.size(), first_drawn + kRandomCandidates);
+  for (std::size_t i = first_drawn; i < end; ++i) {
     const std::size_t other =
         i + kernel::RandomBelow(random, endpoints.size() - i);
     std::swap(endpoints[i], endpoints[other]);
   }
-  endpoints.resize(until);
+  endpoints.resize(end);
 }
 
 }  // namespace
@@ -168,27 +189,27 @@
   return tokens;
 }
 
-const char* NameOf(PlaceReason reason) {
+const char* NameOf(PlacementReason reason) {
   switch (reason) {
-    case PlaceReason::kSession:
+    case PlacementReason::kSession:
       return "session";
-    case PlaceReason::kCached:
+    case PlacementReason::kCached:
       return "cached";
-    case PlaceReason::kCheapest:
+    case PlacementReason::kCheapest:
       return "cheapest";
-    case PlaceReason::kNoneKnown:
+    case PlacementReason::kNoneKnown:
       return "none-known";
-    case PlaceReason::kAllLeaving:
+    case PlacementReason::kAllLeaving:
       return "all-leaving";
-    case PlaceReason::kAllFull:
+    case PlacementReason::kAllFull:
       return "all-full";
-    case PlaceReason::kAllCold:
+    case PlacementReason::kAllCold:
       return "all-cold";
-    case PlaceReason::kAllLimited:
+    case PlacementReason::kAllLimited:
       return "all-limited";
-    case PlaceReason::kAllDown:
+    case PlacementReason::kAllDown:
       return "all-down";
-    case PlaceReason::kAllTried:
+    case PlacementReason::kAllTried:
       return "all-tried";
   }
   return "unknown";
@@ -198,51 +219,55 @@
                           const std::vector<EndpointPtr>& tried,
                           const FleetSnapshot& fleet, kernel::Random& random,
                           Time now) {
-  Placement best;
-  Usable usable = FindUsable(set, demand, tried, fleet, now);
-  if (usable.endpoints.empty() && usable.why_none == PlaceReason::kAllTried) {
-    // The only one that there is may do better the second time.
+  Placement placement;
+  UsableEndpoints usable = FindUsable(set, demand, tried, fleet, now);
+  if (usable.endpoints.empty() &&
+      usable.reason_if_none == PlacementReason::kAllTried) {
+    // The only usable endpoint was tried before. A second attempt there may
+    // succeed.
     usable = FindUsable(set, demand, {}, fleet, now);
   }
   if (usable.endpoints.empty()) {
-    best.reason = usable.why_none;
-    best.room_in = RoomIn(usable, now);
-    return best;
+    placement.reason = usable.reason_if_none;
+    placement.next_turn_in = TimeToNextTurn(usable, now);
+    return placement;
   }
   const auto is_off = [&set](Mechanism mechanism) {
     return set.disabled_mechanisms.test(static_cast<std::size_t>(mechanism));
   };
   const std::uint64_t session =
-      is_off(Mechanism::kSessions) ? 0 : SessionOf(demand);
-  if (usable.endpoints.size() >= kSplitLeast && !is_off(Mechanism::kSides)) {
-    KeepItsSide(usable.endpoints, demand, set.tight_fraction);
+      is_off(Mechanism::kSessionAffinity) ? 0 : SessionHash(demand);
+  if (usable.endpoints.size() >= kMinEnginesToSplit &&
+      !is_off(Mechanism::kEngineSplit)) {
+    KeepDemandSide(usable.endpoints, demand, set.tight_fraction);
   }
   std::size_t preferred = 0;
   if (session != 0) {
-    PreferFirst(usable.endpoints, session);
-    preferred = std::min(kPreferred, usable.endpoints.size());
+    MovePreferredFirst(usable.endpoints, session);
+    preferred = std::min(kPreferredEndpoints, usable.endpoints.size());
   }
-  DrawSome(usable.endpoints, preferred, random);
+  DrawRandomCandidates(usable.endpoints, preferred, random);
   const ServicePace& pace = FindServicePace(set, demand.service->name);
-  double least = std::numeric_limits<double>::max();
+  double lowest_cost = std::numeric_limits<double>::max();
   for (std::size_t i = 0; i < usable.endpoints.size(); ++i) {
     const EndpointPtr& endpoint = usable.endpoints[i];
-    const bool first = session != 0 && i == 0;
-    const Uncached uncached = UncachedAt(*endpoint, demand, first, now);
-    const Costs costs =
-        CostsOf({*endpoint, demand, uncached, pace, fleet, i < preferred, now},
-                set.disabled_mechanisms);
-    if (costs.Total() >= least) continue;
-    least = costs.Total();
-    best = {endpoint, PlaceReason::kCheapest, costs.UntilFirst(),
-            uncached.Sum(), costs};
-    if (first) {
-      best.reason = PlaceReason::kSession;
+    const bool is_first_choice = session != 0 && i == 0;
+    const UncachedTokens uncached =
+        EstimateUncachedTokens(*endpoint, demand, is_first_choice, now);
+    const PlacementCosts costs = ComputeCosts(
+        {*endpoint, demand, uncached, pace, fleet, i < preferred, now},
+        set.disabled_mechanisms);
+    if (costs.Total() >= lowest_cost) continue;
+    lowest_cost = costs.Total();
+    placement = {endpoint, PlacementReason::kCheapest, costs.UntilFirstEvent(),
+                 uncached.Total(), costs};
+    if (is_first_choice) {
+      placement.reason = PlacementReason::kSession;
     } else if (demand.prompt_tokens > 0 && uncached.shared == 0) {
-      best.reason = PlaceReason::kCached;
+      placement.reason = PlacementReason::kCached;
     }
   }
-  return best;
+  return placement;
 }
 
 void OnAttemptSent(Endpoint& endpoint, const Demand& demand,
@@ -251,14 +276,14 @@
   ++endpoint.in_flight;
   endpoint.waiting_tokens[std::min<std::size_t>(demand.tier, kTiers - 1)] +=
       placement.uncached_tokens;
-  const auto expected = std::chrono::duration_cast<Time::duration>(
+  const auto expected_wait = std::chrono::duration_cast<Time::duration>(
       std::chrono::duration<double, std::milli>(placement.expected_ms));
-  endpoint.unanswered[attempt] = {now, now + expected};
+  endpoint.unanswered[attempt] = {now, now + expected_wait};
   std::vector<std::uint64_t> parts;
   parts.reserve(demand.parts.size());
   for (const PromptPart& part : demand.parts) parts.push_back(part.id);
-  NoteParts(endpoint, parts, now);
-  if (SharedRateOf(endpoint, *demand.service, now))
+  RecordPromptParts(endpoint, parts, now);
+  if (FindSharedRate(endpoint, *demand.service, now))
     endpoint.last_limited_send = now;
 }
 
--- a/routing/src/placement_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -10,109 +10,115 @@
   return endpoint.in_flight + endpoint.peers_in_flight;
 }
 
-bool IsGeneration(const CostAsk& ask) { return ask.demand.prompt_tokens > 0; }
+bool IsGeneration(const CostInput& input) {
+  return input.demand.prompt_tokens > 0;
+}
 
-// Engines read what they have admitted in turn, and admit by rank only while
-// their slots are taken: until then all that waits is ahead, whatever its rank.
+// Returns the prompt tokens that the engine prefills before a request of
+// `tier`. Engines prefill admitted requests in the order of admission, and
+// admit by rank only while all slots are taken. With free slots, all waiting
+// requests are ahead whatever their rank.
 double TokensAhead(const Endpoint& endpoint, Tier tier) {
-  const bool by_rank = RunningAt(endpoint) >= endpoint.entry.slots;
+  const bool is_full = RunningAt(endpoint) >= endpoint.entry.slots;
   double tokens = endpoint.peers_waiting_tokens;
-  for (std::size_t i = 0; i < kTiers && (i <= tier || !by_rank); ++i) {
+  for (std::size_t i = 0; i < kTiers && (i <= tier || !is_full); ++i) {
     tokens += endpoint.waiting_tokens[i];
   }
   return tokens;
 }
 
-double Queue(const CostAsk& ask) {
-  const Endpoint& endpoint = ask.endpoint;
+double Queue(const CostInput& input) {
+  const Endpoint& endpoint = input.endpoint;
   const double running = RunningAt(endpoint);
-  if (IsGeneration(ask)) {
-    return TokensAhead(endpoint, ask.demand.tier) / kPromptTokensPerMs +
+  if (IsGeneration(input)) {
+    return TokensAhead(endpoint, input.demand.tier) / kPromptTokensPerMs +
            running * kCostPerRunningMs;
   }
-  const double mean = endpoint.health.mean_ms > 0 ? endpoint.health.mean_ms
-                                                  : kServiceTimeUnknownMs;
+  const double mean = endpoint.health.mean_answer_ms > 0
+                          ? endpoint.health.mean_answer_ms
+                          : kDefaultServiceTimeMs;
   return mean * running / std::max<std::uint32_t>(endpoint.entry.slots, 1);
 }
 
-double Reading(const CostAsk& ask) {
-  return ask.uncached.own / kPromptTokensPerMs;
+double OwnRead(const CostInput& input) {
+  return input.uncached.own / kPromptTokensPerMs;
 }
 
-double Again(const CostAsk& ask) {
-  const double times = ask.preferred ? kSpillCost : kStrayCost;
-  return std::min(ask.uncached.shared * times / kPromptTokensPerMs,
-                  kAnewMostMs);
+double SharedReread(const CostInput& input) {
+  const double factor =
+      input.preferred ? kPreferredRereadFactor : kUnpreferredRereadFactor;
+  return std::min(input.uncached.shared * factor / kPromptTokensPerMs,
+                  kMaxRereadCostMs);
 }
 
-double PaceOfOwn(const CostAsk& ask) {
-  if (!ask.demand.tight) return 0;
-  return ask.demand.events *
-         EventMs(ask.endpoint.pace, ask.pace, RunningAt(ask.endpoint));
+double OwnStreamPace(const CostInput& input) {
+  if (!input.demand.tight) return 0;
+  return input.demand.events * ExpectedEventMs(input.endpoint.pace, input.pace,
+                                               RunningAt(input.endpoint));
 }
 
-double Drift(const CostAsk& ask) { return ask.endpoint.health.drift_ms; }
+double Drift(const CostInput& input) { return input.endpoint.health.drift_ms; }
 
-double Failing(const CostAsk& ask) {
-  return FailingOf(ask.endpoint.health, ask.now) * kFailingMs;
+double Failing(const CostInput& input) {
+  return FailureRate(input.endpoint.health, input.now) * kFailureCostMs;
 }
 
-double Silence(const CostAsk& ask) {
-  return static_cast<double>(SilenceOf(ask.endpoint, ask.now).count());
+double Overdue(const CostInput& input) {
+  return static_cast<double>(OverdueTime(input.endpoint, input.now).count());
 }
 
-double Zone(const CostAsk& ask) {
-  return ask.endpoint.entry.zone != ask.fleet.zone ? kOtherZoneMs : 0;
+double Zone(const CostInput& input) {
+  return input.endpoint.entry.zone != input.fleet.zone ? kOtherZoneCostMs : 0;
 }
 
-double Cold(const CostAsk& ask) {
-  double cost = ask.now < ask.endpoint.cold_until ? kColdMs : 0;
-  if (ask.endpoint.phase == EndpointPhase::kLapsed) cost += kColdMs;
+double Cold(const CostInput& input) {
+  double cost = input.now < input.endpoint.cold_until ? kColdCostMs : 0;
+  if (input.endpoint.phase == EndpointPhase::kLapsed) cost += kColdCostMs;
   return cost;
 }
 
 struct Term {
   const char* name;
-  double (*ms)(const CostAsk& ask);
-  bool before_first;  // Delays the request's own first event.
+  double (*ms)(const CostInput& input);
+  bool delays_first_event;  // Counts in the wait for the first event.
 };
 
-double NoTerm(const CostAsk& /*ask*/) { return 0; }
+double NoCost(const CostInput& /*input*/) { return 0; }
 
-// In the order of `Mechanism`.
-constexpr std::array<Term, kMechanisms> kTerms = {{
+// One row per mechanism, in the order of the enumerators of `Mechanism`.
+constexpr std::array<Term, kMechanismCount> kTerms = {{
     {"queue", Queue, true},
-    {"reading", Reading, true},
-    {"again", Again, true},
-    {"pace", PaceOfOwn, false},
+    {"reading", OwnRead, true},
+    {"again", SharedReread, true},
+    {"pace", OwnStreamPace, false},
     {"drift", Drift, true},
     {"failing", Failing, true},
-    {"silence", Silence, true},
+    {"silence", Overdue, true},
     {"zone", Zone, true},
     {"cold", Cold, true},
-    {"sides", NoTerm, false},
-    {"sessions", NoTerm, false},
+    {"sides", NoCost, false},
+    {"sessions", NoCost, false},
 }};
 
 }  // namespace
 
-double Costs::Total() const {
+double PlacementCosts::Total() const {
   return std::accumulate(ms.begin(), ms.end(), 0.0);
 }
 
-double Costs::UntilFirst() const {
+double PlacementCosts::UntilFirstEvent() const {
   double sum = 0;
-  for (std::size_t i = 0; i < kMechanisms; ++i) {
-    if (kTerms[i].before_first) sum += ms[i];
+  for (std::size_t i = 0; i < kMechanismCount; ++i) {
+    if (kTerms[i].delays_first_event) sum += ms[i];
   }
   return sum;
 }
 
-Costs CostsOf(const CostAsk& ask,
-              const DisabledMechanisms& disabled_mechanisms) {
-  Costs costs;
-  for (std::size_t i = 0; i < kMechanisms; ++i) {
-    if (!disabled_mechanisms.test(i)) costs.ms[i] = kTerms[i].ms(ask);
+PlacementCosts ComputeCosts(const CostInput& input,
+                            const DisabledMechanisms& disabled_mechanisms) {
+  PlacementCosts costs;
+  for (std::size_t i = 0; i < kMechanismCount; ++i) {
+    if (!disabled_mechanisms.test(i)) costs.ms[i] = kTerms[i].ms(input);
   }
   return costs;
 }
@@ -122,7 +128,7 @@
 }
 
 std::optional<Mechanism> FindMechanism(std::string_view name) {
-  for (std::size_t i = 0; i < kMechanisms; ++i) {
+  for (std::size_t i = 0; i < kMechanismCount; ++i) {
     if (kTerms[i].name == name) return static_cast<Mechanism>(i);
   }
   return std::nullopt;
@@ -137,9 +143,9 @@
   return names;
 }
 
-std::string Describe(const Costs& costs) {
+std::string Describe(const PlacementCosts& costs) {
   std::string text;
-  for (std::size_t i = 0; i < kMechanisms; ++i) {
+  for (std::size_t i = 0; i < kMechanismCount; ++i) {
     const auto ms = static_cast<std::int64_t>(costs.ms[i]);
     if (ms == 0) continue;
     if (!text.empty()) text += ' ';
--- a/routing/src/suspects.cc
+++ b/routing/src/suspects.cc
@@ -5,41 +5,43 @@
 namespace egretladder::routing {
 namespace {
 
-milliseconds AgeOf(Time time, Time now) {
+milliseconds Age(Time time, Time now) {
   return std::chrono::duration_cast<milliseconds>(now - time);
 }
 
-Time NewestOf(const Suspect& suspect) {
-  Time newest = suspect.cleared;
-  for (const Break& seen : suspect.breaks) {
-    newest = std::max(newest, seen.broke);
+Time LastChange(const Suspect& suspect) {
+  Time latest = suspect.cleared;
+  for (const Break& known_break : suspect.breaks) {
+    latest = std::max(latest, known_break.broke);
   }
-  return newest;
+  return latest;
 }
 
-void MakeRoom(Suspects& suspects) {
-  if (suspects.by_request.size() < kSuspectsMost) return;
-  suspects.by_request.erase(
-      std::min_element(suspects.by_request.begin(), suspects.by_request.end(),
-                       [](const auto& left, const auto& right) {
-                         return NewestOf(left.second) < NewestOf(right.second);
-                       }));
+void EvictOldestIfFull(Suspects& suspects) {
+  if (suspects.by_request.size() < kMaxSuspects) return;
+  suspects.by_request.erase(std::min_element(
+      suspects.by_request.begin(), suspects.by_request.end(),
+      [](const auto& left, const auto& right) {
+        return LastChange(left.second) < LastChange(right.second);
+      }));
 }
 
-Suspect& SuspectOf(Suspects& suspects, std::uint64_t request) {
-  if (!suspects.by_request.contains(request)) MakeRoom(suspects);
+Suspect& FindOrAddSuspect(Suspects& suspects, std::uint64_t request) {
+  if (!suspects.by_request.contains(request)) EvictOldestIfFull(suspects);
   return suspects.by_request[request];
 }
 
-// Returns true when this is news.
-bool Merge(Suspect& suspect, const Break& seen) {
-  const auto known = std::find_if(
-      suspect.breaks.begin(), suspect.breaks.end(),
-      [&seen](const Break& one) { return one.endpoint == seen.endpoint; });
+// Records a broken connection. Returns true if it wasn't known.
+bool MergeBreak(Suspect& suspect, const Break& added) {
+  const auto known =
+      std::find_if(suspect.breaks.begin(), suspect.breaks.end(),
+                   [&added](const Break& known_break) {
+                     return known_break.endpoint == added.endpoint;
+                   });
   if (known == suspect.breaks.end()) {
-    suspect.breaks.push_back(seen);
-  } else if (known->broke + kSameBreak < seen.broke) {
-    *known = seen;
+    suspect.breaks.push_back(added);
+  } else if (known->broke + kSameBreakWindow < added.broke) {
+    *known = added;
   } else {
     return false;
   }
@@ -47,27 +49,29 @@
             [](const Break& left, const Break& right) {
               return left.broke < right.broke;
             });
-  if (suspect.breaks.size() > kBreaksKept) {
+  if (suspect.breaks.size() > kMaxBreaksPerSuspect) {
     suspect.breaks.erase(suspect.breaks.begin());
   }
   return true;
 }
 
-// Crashes one after the other: each was sent only after the one before broke.
-struct Chain {
+// Successive crashes: each request was sent only after the previous connection
+// broke.
+struct CrashChain {
   std::size_t crashes = 0;
   Time last{};
 };
 
-Chain ChainOf(const Suspect& suspect, Time now) {
-  Chain chain;
-  for (const Break& seen : suspect.breaks) {
-    if (seen.broke <= suspect.cleared || now - seen.broke >= kSuspectKept) {
+CrashChain FindCrashChain(const Suspect& suspect, Time now) {
+  CrashChain chain;
+  for (const Break& known_break : suspect.breaks) {
+    if (known_break.broke <= suspect.cleared ||
+        now - known_break.broke >= kSuspectRetention) {
       continue;
     }
-    if (chain.crashes > 0 && seen.sent < chain.last) continue;
+    if (chain.crashes > 0 && known_break.sent < chain.last) continue;
     ++chain.crashes;
-    chain.last = seen.broke;
+    chain.last = known_break.broke;
   }
   return chain;
 }
@@ -75,9 +79,9 @@
 }  // namespace
 
 void OnConnectionBroke(Suspects& suspects, std::uint64_t request,
-                       const Break& seen) {
-  Suspect& suspect = SuspectOf(suspects, request);
-  if (Merge(suspect, seen)) suspect.changed = seen.broke;
+                       const Break& added) {
+  Suspect& suspect = FindOrAddSuspect(suspects, request);
+  if (MergeBreak(suspect, added)) suspect.changed = added.broke;
 }
 
 void OnRequestRan(Suspects& suspects, std::uint64_t request, Time now) {
@@ -91,55 +95,57 @@
                                Time now) {
   const auto at = suspects.by_request.find(request);
   if (at == suspects.by_request.end()) return {};
-  const Chain chain = ChainOf(at->second, now);
-  if (chain.crashes < kCrashesMost) return {};
-  return std::max(milliseconds(0), kSuspectHeld - AgeOf(chain.last, now));
+  const CrashChain chain = FindCrashChain(at->second, now);
+  if (chain.crashes < kMaxCrashes) return {};
+  return std::max(milliseconds(0), kSuspectHoldTime - Age(chain.last, now));
 }
 
 std::vector<SuspectGossip> MakeSuspectGossip(const Suspects& suspects,
                                              Time now) {
-  std::vector<std::pair<Time, std::uint64_t>> newest;
+  std::vector<std::pair<Time, std::uint64_t>> recent;
   for (const auto& [request, suspect] : suspects.by_request) {
-    if (now - suspect.changed >= kSuspectTold) continue;
-    newest.emplace_back(suspect.changed, request);
+    if (now - suspect.changed >= kSuspectGossipTime) continue;
+    recent.emplace_back(suspect.changed, request);
   }
-  std::sort(newest.rbegin(), newest.rend());
-  if (newest.size() > kSuspectsTold) newest.resize(kSuspectsTold);
-  std::vector<SuspectGossip> told;
-  for (const auto& [time, request] : newest) {
+  std::sort(recent.rbegin(), recent.rend());
+  if (recent.size() > kMaxSuspectsPerExchange)
+    recent.resize(kMaxSuspectsPerExchange);
+  std::vector<SuspectGossip> gossip;
+  for (const auto& [time, request] : recent) {
     const Suspect& suspect = suspects.by_request.at(request);
-    SuspectGossip one;
-    one.request = request;
-    one.cleared_ago =
-        suspect.cleared == Time{} ? kNeverCleared : AgeOf(suspect.cleared, now);
-    for (const Break& seen : suspect.breaks) {
-      one.breaks.push_back(
-          {seen.endpoint, AgeOf(seen.sent, now), AgeOf(seen.broke, now)});
+    SuspectGossip suspect_gossip;
+    suspect_gossip.request = request;
+    suspect_gossip.cleared_ago =
+        suspect.cleared == Time{} ? kNeverCleared : Age(suspect.cleared, now);
+    for (const Break& known_break : suspect.breaks) {
+      suspect_gossip.breaks.push_back({known_break.endpoint,
+                                       Age(known_break.sent, now),
+                                       Age(known_break.broke, now)});
     }
-    told.push_back(std::move(one));
+    gossip.push_back(std::move(suspect_gossip));
   }
-  return told;
+  return gossip;
 }
 
-void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& told,
+void ApplySuspectGossip(Suspects& suspects, const SuspectGossip& gossip,
                         Time now) {
-  Suspect& suspect = SuspectOf(suspects, told.request);
-  if (told.cleared_ago < kSuspectKept) {
-    const Time cleared = now - told.cleared_ago;
-    if (suspect.cleared + kSameBreak < cleared) suspect.changed = now;
+  Suspect& suspect = FindOrAddSuspect(suspects, gossip.request);
+  if (gossip.cleared_ago < kSuspectRetention) {
+    const Time cleared = now - gossip.cleared_ago;
+    if (suspect.cleared + kSameBreakWindow < cleared) suspect.changed = now;
     suspect.cleared = std::max(suspect.cleared, cleared);
   }
-  for (const ToldBreak& seen : told.breaks) {
-    if (seen.broke_ago >= kSuspectKept) continue;
-    const bool is_news = Merge(
-        suspect, {seen.endpoint, now - seen.sent_ago, now - seen.broke_ago});
-    if (is_news) suspect.changed = now;
+  for (const BreakGossip& added : gossip.breaks) {
+    if (added.broke_ago >= kSuspectRetention) continue;
+    const bool is_new = MergeBreak(
+        suspect, {added.endpoint, now - added.sent_ago, now - added.broke_ago});
+    if (is_new) suspect.changed = now;
   }
 }
 
 void ForgetSuspects(Suspects& suspects, Time now) {
   std::erase_if(suspects.by_request, [now](const auto& entry) {
-    return now - NewestOf(entry.second) >= kSuspectKept;
+    return now - LastChange(entry.second) >= kSuspectRetention;
   });
 }
 
