--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -291,7 +291,7 @@
 net::ExchangeHandlers HandlersFor(Proxy& proxy, const CallPtr& call) {
   net::ExchangeHandlers handlers;
   handlers.may_send = [call] {
-    call->attempt->left = true;
+    call->attempt->request_sent = true;
     return true;
   };
   handlers.on_head = [&proxy, call](const net::HttpAnswerHead& head) {
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -48,10 +48,10 @@
   routing::Placement placement;
   net::HttpExchangePtr exchange;
   Time sent{};
-  bool left = false;     ///< Its first byte left this node.
-  bool started = false;  ///< The endpoint answered or sent an event.
-  bool events = false;   ///< The answer is a stream, passed on as it comes.
-  Time paced{};          ///< Begin of the present sample of its pace.
+  bool request_sent = false;  ///< The first byte was sent.
+  bool started = false;       ///< The endpoint answered or sent an event.
+  bool events = false;  ///< The answer is a stream, passed on as it comes.
+  Time paced{};         ///< Begin of the present sample of its pace.
   std::uint64_t paced_events = 0;  ///< Events in that sample so far.
   net::HttpAnswerHead head;
   AnswerFacts facts;
@@ -231,7 +231,7 @@
 /// True when an endpoint may run the request, or may have.
 inline bool WasSent(const Call& call) {
   return call.may_have_run > 0 ||
-         (call.attempt != nullptr && call.attempt->left);
+         (call.attempt != nullptr && call.attempt->request_sent);
 }
 /// Ends the call without a whole answer, as truthfully as its state allows: a
 /// begun answer is broken off, a request that left this node may have run, any
