--- a/proxy/include/egretladder/proxy/dialect.h
+++ b/proxy/include/egretladder/proxy/dialect.h
@@ -28,17 +28,17 @@
 };
 
 /// What a caller's request says of itself.
-struct CallFacts {
+struct RequestMetadata {
   std::string id;   ///< The caller's own, for logs and matching answers.
   std::string key;  ///< Of its client account; empty: none.
   std::optional<milliseconds> deadline;  ///< From now.
   std::vector<routing::PromptPart> parts;
   std::uint32_t prompt_tokens = 0;
-  std::string last_event;  ///< It wants to go on after this event.
+  std::string last_event_id;  ///< It wants to go on after this event.
 };
 
 /// What the system itself says to an endpoint about a request.
-struct SendFacts {
+struct ForwardMetadata {
   std::string endpoint_id;  ///< Another process must not run it.
   std::string account;      ///< Empty: none.
   milliseconds left{};      ///< Until the caller stops waiting.
@@ -47,16 +47,16 @@
 };
 
 /// What an endpoint's answer says beside its status.
-struct AnswerFacts {
-  std::string id;          ///< Of the request that it answers; empty: not said.
-  bool not_run = false;    ///< The endpoint certainly did not run it.
-  bool sealed = false;     ///< Signed by the endpoint, as each success is.
-  bool encoded = false;    ///< The body isn't the endpoint's own bytes.
-  bool is_events = false;  ///< The body is a stream of events.
+struct AnswerMetadata {
+  std::string id;        ///< Of the request that it answers; empty: not said.
+  bool not_run = false;  ///< The endpoint certainly did not run it.
+  bool sealed = false;   ///< Signed by the endpoint, as each success is.
+  bool encoded = false;  ///< The body isn't the endpoint's own bytes.
+  bool is_event_stream = false;  ///< The body is a stream of events.
   /// Requests a second that the endpoint takes from all nodes together;
   /// nothing: it names no limit.
   std::optional<double> limit;
-  bool limit_unclear = false;  ///< It names one that can't be read.
+  bool is_limit_invalid = false;  ///< It names one that can't be read.
 };
 
 /// The functions of one platform.
@@ -90,20 +90,20 @@
   /// The caller's id of a request that may be anything; empty: none.
   std::string (*request_id)(const net::HttpRequest& request);
   /// Fails on a request that no endpoint may get.
-  kernel::Result<CallFacts> (*read_call)(const net::HttpRequest& request);
+  kernel::Result<RequestMetadata> (*read_call)(const net::HttpRequest& request);
   /// The fields that an endpoint gets.
   net::HttpFields (*endpoint_fields)(const net::HttpRequest& request,
-                                     const SendFacts& facts);
-  AnswerFacts (*read_answer)(const net::HttpAnswerHead& head);
+                                     const ForwardMetadata& facts);
+  AnswerMetadata (*read_answer)(const net::HttpAnswerHead& head);
 
   // --- Callers that ask for addresses ---
 
   /// True for a request for addresses, and the caller's zone.
-  bool (*is_directory)(std::string_view target, std::string* zone);
+  bool (*is_directory_request)(std::string_view target, std::string* zone);
   std::string (*directory_body)(const std::vector<std::string>& addresses,
                                 milliseconds keep_for);
   /// True for a request whether this node is ready.
-  bool (*is_ready)(std::string_view target);
+  bool (*is_readiness_request)(std::string_view target);
 };
 
 }  // namespace egretladder::proxy
--- a/proxy/include/egretladder/proxy/proxy.h
+++ b/proxy/include/egretladder/proxy/proxy.h
@@ -63,7 +63,7 @@
 void Leave(Proxy& proxy);
 /// True when a leaving node may end: callers have their answers, or its time is
 /// up.
-bool MayEnd(const Proxy& proxy);
+bool CanShutDown(const Proxy& proxy);
 /// New seeds from changed settings.
 void SetSeeds(Proxy& proxy, const std::vector<std::string>& seeds);
 
@@ -79,11 +79,11 @@
   std::string metrics;  ///< Empty: not served.
   std::uint64_t rules_version = 0;
   std::size_t endpoints = 0;
-  std::size_t nodes = 1;    ///< There, this one included.
-  std::size_t calls = 0;    ///< In progress.
-  std::size_t waiting = 0;  ///< Of these, without an endpoint.
-  std::size_t cut = 0;      ///< Ended by the stop before their answers.
-  std::size_t untaken = 0;  ///< Answers that callers have not taken yet.
+  std::size_t nodes = 1;        ///< There, this one included.
+  std::size_t calls = 0;        ///< In progress.
+  std::size_t waiting = 0;      ///< Of these, without an endpoint.
+  std::size_t cut = 0;          ///< Ended by the stop before their answers.
+  std::size_t undelivered = 0;  ///< Answers that callers have not taken yet.
   bool ready_now = false;
 };
 ProxyView ViewOf(Proxy& proxy);
--- a/proxy/src/answers.cc
+++ b/proxy/src/answers.cc
@@ -59,7 +59,7 @@
 
 void AnswerDirectory(Proxy& proxy, const net::HttpCallPtr& caller) {
   std::string zone;
-  if (!proxy.dialect->is_directory(caller->request().target, &zone)) {
+  if (!proxy.dialect->is_directory_request(caller->request().target, &zone)) {
     AnswerError(caller, kNotFound, "unknown_page", "no such page", "no", {});
     return;
   }
@@ -76,7 +76,7 @@
 }
 
 void AnswerReady(Proxy& proxy, const net::HttpCallPtr& caller) {
-  if (!proxy.dialect->is_ready(caller->request().target)) {
+  if (!proxy.dialect->is_readiness_request(caller->request().target)) {
     AnswerError(caller, kNotFound, "unknown_page", "no such page", "no", {});
     return;
   }
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -117,7 +117,7 @@
   routing::AfterAttempt after;
   after.end = end;
   after.may_repeat = routing::MayRepeat(*call.route);
-  after.resumable = call.route->resumable && !call.last_event.empty();
+  after.resumable = call.route->resumable && !call.last_event_id.empty();
   after.answer_begun = call.caller->begun();
   after.attempts = call.route->attempts;
   after.may_have_run = call.may_have_run;
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -60,7 +60,7 @@
 net::HeadVerdict OnHead(Proxy& proxy, const CallPtr& call,
                         const net::HttpAnswerHead& head) {
   Attempt& attempt = *call->attempt;
-  const AnswerFacts facts = proxy.dialect->read_answer(head);
+  const AnswerMetadata facts = proxy.dialect->read_answer(head);
   if (!facts.id.empty() && facts.id != call->facts.id) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "foreign-answer",
                      {{"req", call->facts.id},
@@ -72,8 +72,8 @@
   if (head.status != kMisdirected) NoteLimit(proxy, *call, facts);
   attempt.head = head;
   attempt.facts = facts;
-  attempt.events = IsSuccess(head.status) && facts.is_events && facts.sealed &&
-                   !facts.encoded && !facts.not_run;
+  attempt.events = IsSuccess(head.status) && facts.is_event_stream &&
+                   facts.sealed && !facts.encoded && !facts.not_run;
   return net::HeadVerdict::kTake;
 }
 
@@ -175,7 +175,7 @@
   NotePace(proxy, *call, attempt.splitter.events - before);
   NotePause(*call, NowOf(proxy));
   if (!attempt.splitter.last_id.empty()) {
-    call->last_event = attempt.splitter.last_id;
+    call->last_event_id = attempt.splitter.last_id;
   }
   if (!call->caller->begun()) {
     call->caller->Begin(attempt.head.status, attempt.head.reason,
@@ -247,18 +247,18 @@
                     {"tier", call.demand.tier},
                     {"route", call.route->name},
                     {"rules", call.table->version},
-                    {"after_event", call.last_event}});
+                    {"after_event", call.last_event_id}});
 }
 
-SendFacts FactsFor(const Call& call, Time now) {
-  SendFacts facts;
+ForwardMetadata FactsFor(const Call& call, Time now) {
+  ForwardMetadata facts;
   facts.endpoint_id = call.attempt->endpoint->entry.id;
   if (call.account != nullptr) facts.account = call.account->name;
   facts.left = std::max(milliseconds(1), Between(now, call.deadline));
   if (call.service->generates) {
     facts.priority = std::min(call.demand.tier, kLowestPriority);
   }
-  facts.resume_after = call.last_event;
+  facts.resume_after = call.last_event_id;
   return facts;
 }
 
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -36,7 +36,7 @@
 
 CallPtr MakeCall(Proxy& proxy, const net::HttpCallPtr& caller,
                  const routing::Route& route,
-                 const routing::ClientAccount* account, CallFacts facts) {
+                 const routing::ClientAccount* account, RequestMetadata facts) {
   const Time now = NowOf(proxy);
   auto call = std::make_shared<Call>();
   call->number = ++proxy.last_number;
@@ -140,7 +140,7 @@
 struct Routed {
   const routing::Route* route = nullptr;
   const routing::ClientAccount* account = nullptr;  // Null: none is needed.
-  CallFacts facts;
+  RequestMetadata facts;
 };
 
 // Nothing when the request may not be routed; its caller has its answer then.
--- a/proxy/src/named_limits.cc
+++ b/proxy/src/named_limits.cc
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-void NoteLimit(Proxy& proxy, const Call& call, const AnswerFacts& facts) {
+void NoteLimit(Proxy& proxy, const Call& call, const AnswerMetadata& facts) {
   routing::Endpoint& endpoint = *call.attempt->endpoint;
-  if (facts.limit_unclear) {
+  if (facts.is_limit_invalid) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "limit-unclear",
                      {{"req", call.facts.id}, {"endpoint", endpoint.entry.id}});
     return;
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -176,7 +176,7 @@
   view.calls = proxy.calls.size();
   view.waiting = proxy.waiting.size();
   view.cut = proxy.cut;
-  view.untaken = UntakenOf(proxy);
+  view.undelivered = UntakenOf(proxy);
   view.ready_now = IsReady(proxy);
   return view;
 }
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -54,7 +54,7 @@
   Time paced{};         ///< Begin of the present sample of its pace.
   std::uint64_t paced_events = 0;  ///< Events in that sample so far.
   net::HttpAnswerHead head;
-  AnswerFacts facts;
+  AnswerMetadata facts;
   std::string body;  ///< Of an answer that is held whole.
   net::EventSplitter splitter;
 };
@@ -63,7 +63,7 @@
 struct Call {
   std::uint64_t number = 0;
   net::HttpCallPtr caller;
-  CallFacts facts;
+  RequestMetadata facts;
   routing::RouteTablePtr table;  ///< In force when it arrived.
   const routing::Route* route = nullptr;
   const routing::ClientAccount* account = nullptr;  ///< Null: none.
@@ -78,7 +78,7 @@
   std::uint32_t not_sent = 0;  ///< Attempts without a connection.
   std::uint32_t arrivals = 0;  ///< Sends that reached an endpoint.
   std::unique_ptr<Attempt> attempt;
-  std::string last_event;  ///< That the caller got from this node.
+  std::string last_event_id;  ///< That the caller got from this node.
   std::uint64_t events = 0;
   Time first_event_at{};
   Time last_event_at{};
@@ -264,7 +264,7 @@
 // named_limits.cc
 /// Takes what an answer says of its endpoint's limit. A success without one, or
 /// a failure of the endpoint's own, says that there is none any more.
-void NoteLimit(Proxy& proxy, const Call& call, const AnswerFacts& facts);
+void NoteLimit(Proxy& proxy, const Call& call, const AnswerMetadata& facts);
 
 // answers.cc
 /// A page of the node itself: addresses, readiness, metrics.
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -80,8 +80,8 @@
 // A process that ended then would cut answers that endpoints ran to their end:
 // callers see a stream without its last chunk.
 std::size_t UntakenOf(const Proxy& proxy) {
-  return proxy.callers->untaken() + proxy.directory->untaken() +
-         proxy.ready->untaken();
+  return proxy.callers->undelivered() + proxy.directory->undelivered() +
+         proxy.ready->undelivered();
 }
 
 milliseconds StoppingFor(const Proxy& proxy) {
@@ -140,7 +140,7 @@
 // What was sent before the node stopped listening may not be read yet, and a
 // process that was late may have cut nothing so far: its callers would see a
 // connection that closes.
-bool MayEnd(const Proxy& proxy) {
+bool CanShutDown(const Proxy& proxy) {
   if (!proxy.leaving) return false;
   const Time now = NowOf(proxy);
   const StopPhase phase = PhaseNow(proxy);
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -357,8 +357,8 @@
   return std::string(net::ValueOf(request.fields, "X-Id"));
 }
 
-kernel::Result<CallFacts> ReadCall(const net::HttpRequest& request) {
-  CallFacts facts;
+kernel::Result<RequestMetadata> ReadCall(const net::HttpRequest& request) {
+  RequestMetadata facts;
   facts.id = RequestId(request);
   facts.key = net::ValueOf(request.fields, "X-Key");
   facts.deadline = milliseconds(std::atoi(
@@ -367,18 +367,18 @@
 }
 
 net::HttpFields EndpointFields(const net::HttpRequest& request,
-                               const SendFacts& facts) {
+                               const ForwardMetadata& facts) {
   return {{"Host", "h"},
           {"X-Id", RequestId(request)},
           {"X-After", facts.resume_after}};
 }
 
-AnswerFacts ReadAnswer(const net::HttpAnswerHead& head) {
-  AnswerFacts facts;
+AnswerMetadata ReadAnswer(const net::HttpAnswerHead& head) {
+  AnswerMetadata facts;
   facts.id = net::ValueOf(head.fields, "X-Id");
   facts.not_run = net::CountOf(head.fields, "X-Not-Run") > 0;
   facts.sealed = net::CountOf(head.fields, "X-Seal") > 0;
-  facts.is_events =
+  facts.is_event_stream =
       net::ValueOf(head.fields, "Content-Type") == "text/event-stream";
   return facts;
 }
@@ -411,9 +411,9 @@
     .read_call = ReadCall,
     .endpoint_fields = EndpointFields,
     .read_answer = ReadAnswer,
-    .is_directory = IsDirectory,
+    .is_directory_request = IsDirectory,
     .directory_body = DirectoryBody,
-    .is_ready = IsReadyPage,
+    .is_readiness_request = IsReadyPage,
 };
 const kernel::PluginRegistrar<Dialect> kRegistrar("plain", kPlain);
 
--- a/proxy/tests/stop_begin_test.cc
+++ b/proxy/tests/stop_begin_test.cc
@@ -13,7 +13,7 @@
   // Callers that kept the node's address have let it go by then.
   void UntilMayEnd(const ep::Proxy& proxy) {
     world.MoveClock(3300ms);
-    world.Until([&proxy] { return ep::MayEnd(proxy); });
+    world.Until([&proxy] { return ep::CanShutDown(proxy); });
   }
 };
 
@@ -70,7 +70,7 @@
     begun.Close();
     late.Close();
     outage.MoveClock(3300ms);
-    outage.Until([&proxy] { return ep::MayEnd(proxy); });
+    outage.Until([&proxy] { return ep::CanShutDown(proxy); });
   }
 }
 
@@ -84,7 +84,7 @@
   ep::Leave(proxy);
   world.Turn(20ms);
   ep::Leave(proxy);
-  CHECK_FALSE(ep::MayEnd(proxy));
+  CHECK_FALSE(ep::CanShutDown(proxy));
   endpoint.seen()[0].Answer(200, "done");
   world.Until([&caller] { return !et::Told(caller).empty(); });
   STRCMP_EQUAL("200", et::Told(caller).c_str());
@@ -107,5 +107,5 @@
   ep::Leave(proxy);
   world.MoveClock(world.OptionsOf("n1").grace / 2 - 100ms);
   world.Turn(100ms);
-  CHECK(ep::MayEnd(proxy));
+  CHECK(ep::CanShutDown(proxy));
 }
--- a/proxy/tests/stop_end_test.cc
+++ b/proxy/tests/stop_end_test.cc
@@ -46,7 +46,7 @@
 
   // As the program does at one of its looks.
   void EndIfItMay(ep::Proxy & proxy) {
-    if (ep::MayEnd(proxy)) world.Kill(proxy);
+    if (ep::CanShutDown(proxy)) world.Kill(proxy);
   }
 };
 
@@ -62,7 +62,7 @@
   ep::Leave(proxy);
   world.Turn(20ms);
   world.MoveClock(world.OptionsOf("n1").grace - 180ms);
-  world.Until([&proxy] { return ep::MayEnd(proxy); });
+  world.Until([&proxy] { return ep::CanShutDown(proxy); });
   world.Kill(proxy);
   world.Until(
       [&caller] { return !et::Told(caller).empty() || caller.ended(); });
@@ -169,13 +169,13 @@
   world.Until([&proxy] { return ep::ViewOf(proxy).calls == 1; });
   world.Until([&proxy] {
     const ep::ProxyView view = ep::ViewOf(proxy);
-    return view.calls == 0 && view.untaken == 0;
+    return view.calls == 0 && view.undelivered == 0;
   });
   ep::Leave(proxy);
   world.MoveClock(kNoMoreTaken);
   world.Turn(150ms);
   CHECK(caller.waiting() < body.size());
-  CHECK_FALSE(ep::MayEnd(proxy));
+  CHECK_FALSE(ep::CanShutDown(proxy));
 }
 
 // The process is paused for two seconds when its signal comes. The platform
