--- a/proxy/include/egretladder/proxy/dialect.h
+++ b/proxy/include/egretladder/proxy/dialect.h
@@ -74,7 +74,7 @@
   kernel::Result<routing::Changes> (*read_changes)(routing::Feed feed,
                                                    const std::string& body);
   /// True for the item that holds the routes.
-  bool (*is_rules)(std::string_view key);
+  bool (*is_rules_key)(std::string_view key);
   /// The zone that an item takes out; empty: none.
   std::string (*zone_out)(std::string_view key);
   /// Reads the routes. Fails as a whole on anything unclear.
--- a/proxy/src/knowledge.cc
+++ b/proxy/src/knowledge.cc
@@ -121,7 +121,7 @@
   }
   const bool lapses = troubled || IsMassRemoval(proxy, news);
   for (const routing::Item& item : news) {
-    if (proxy.dialect->is_rules(item.key)) {
+    if (proxy.dialect->is_rules_key(item.key)) {
       TakeRules(proxy, item, source);
       continue;
     }
