--- a/proxy/include/egretladder/proxy/dialect.h
+++ b/proxy/include/egretladder/proxy/dialect.h
@@ -23,7 +23,7 @@
 /// One page of a list of the store.
 struct StorePage {
   std::vector<routing::Item> items;
-  bool more = false;  ///< Another page begins after the last key.
+  bool has_more = false;  ///< Another page begins after the last key.
   std::uint64_t revision = 0;
 };
 
@@ -39,9 +39,9 @@
 
 /// What the system itself says to an endpoint about a request.
 struct ForwardMetadata {
-  std::string endpoint_id;  ///< Another process must not run it.
-  std::string account;      ///< Empty: none.
-  milliseconds left{};      ///< Until the caller stops waiting.
+  std::string endpoint_id;   ///< Another process must not run it.
+  std::string account;       ///< Empty: none.
+  milliseconds time_left{};  ///< Until the caller stops waiting.
   std::optional<std::uint8_t> priority;
   std::string resume_after;  ///< Last event that the caller got.
 };
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -113,8 +113,8 @@
 // twice, with attempts, time and retries left.
 void OnImpatient(Proxy& proxy, const CallPtr& call) {
   if (call->attempt == nullptr) return;
-  const bool more = call->may_have_run + 1 < call->route->attempts;
-  if (!more || !TakeRetry(proxy, *call)) {
+  const bool has_more = call->may_have_run + 1 < call->route->attempts;
+  if (!has_more || !TakeRetry(proxy, *call)) {
     return;
   }
   net::Cancel(call->attempt->exchange);
@@ -254,7 +254,7 @@
   ForwardMetadata facts;
   facts.endpoint_id = call.attempt->endpoint->entry.id;
   if (call.account != nullptr) facts.account = call.account->name;
-  facts.left = std::max(milliseconds(1), Between(now, call.deadline));
+  facts.time_left = std::max(milliseconds(1), Between(now, call.deadline));
   if (call.service->generates) {
     facts.priority = std::min(call.demand.tier, kLowestPriority);
   }
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -85,10 +85,10 @@
     reader.list.revision = page.value().revision;
   }
   auto& items = page.value().items;
-  const bool more = page.value().more && !items.empty();
-  if (more) reader.after = items.back().key;
+  const bool has_more = page.value().has_more && !items.empty();
+  if (has_more) reader.after = items.back().key;
   std::move(items.begin(), items.end(), std::back_inserter(reader.list.items));
-  if (more) {
+  if (has_more) {
     Read(proxy, reader);
     return;
   }
