--- a/proxy/include/egretladder/proxy/proxy.h
+++ b/proxy/include/egretladder/proxy/proxy.h
@@ -31,16 +31,16 @@
   std::string store;               ///< `IP:port`.
   std::vector<std::string> seeds;  ///< Peer addresses; may be stale.
   /// The whole fleet starts for the first time, without callers so far.
-  bool new_fleet = false;
+  bool is_new_fleet = false;
   routing::RetryRule retries;
   /// Mechanisms of placing that are left out, to measure their worth.
-  routing::MechanismsOff placing_without;
+  routing::MechanismsOff disabled_mechanisms;
   std::size_t memory_bytes = std::size_t{256} << 20U;
   std::size_t descriptors = 4096;
   /// From SIGTERM until the process must be gone.
   std::chrono::milliseconds grace{8000};
   /// How long callers are told to keep the list of addresses.
-  std::chrono::milliseconds directory_keep{1000};
+  std::chrono::milliseconds directory_ttl{1000};
 };
 
 struct Proxy;
@@ -57,7 +57,7 @@
                                     const ProxyOptions& options);
 
 /// The stop that these settings ask for.
-policy::StopPlan StopPlanOf(const ProxyOptions& options);
+policy::StopPlan MakeStopPlan(const ProxyOptions& options);
 /// Begins a graceful stop: out of the directory at once, calls go to their end.
 /// Later calls change nothing.
 void Leave(Proxy& proxy);
--- a/proxy/src/answers.cc
+++ b/proxy/src/answers.cc
@@ -13,7 +13,7 @@
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
 
-std::string SecondsText(milliseconds time) {
+std::string FormatSeconds(milliseconds time) {
   std::array<char, 32> text{};
   const int size = std::snprintf(text.data(), text.size(), "%.3f",
                                  std::chrono::duration<double>(time).count());
@@ -51,7 +51,7 @@
                  milliseconds retry_after) {
   net::HttpFields fields = {{"Content-Type", "application/json"}};
   if (retry_after.count() > 0) {
-    fields.push_back({"Retry-After", SecondsText(retry_after)});
+    fields.push_back({"Retry-After", FormatSeconds(retry_after)});
   }
   caller->Answer(status, net::ReasonOf(status), fields,
                  ErrorBody(code, message, ran));
@@ -67,12 +67,12 @@
       routing::AddressesFor(proxy.members, zone, proxy.random, NowOf(proxy));
   if (addresses.empty()) {
     AnswerError(caller, kUnavailable, "no_node", "no node takes callers", "no",
-                kLeavingRetry);
+                kLeavingRetryDelay);
     return;
   }
   AnswerText(
       caller, kOk, "application/json",
-      proxy.dialect->directory_body(addresses, proxy.options.directory_keep));
+      proxy.dialect->directory_body(addresses, proxy.options.directory_ttl));
 }
 
 void AnswerReady(Proxy& proxy, const net::HttpCallPtr& caller) {
@@ -86,7 +86,7 @@
 }
 
 void AnswerMetrics(Proxy& proxy, const net::HttpCallPtr& caller) {
-  ShowGauges(proxy);
+  UpdateGauges(proxy);
   AnswerText(caller, kOk, "text/plain; version=0.0.4",
              kernel::PrometheusText(proxy.metrics));
 }
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -18,13 +18,13 @@
 void PassOn(Proxy& proxy, const CallPtr& call, const Attempt& attempt) {
   call->caller->OnGone(nullptr);
   call->caller->Answer(attempt.head.status, attempt.head.reason,
-                       FieldsToPass(attempt.head.fields), attempt.body);
-  call->ended_well = IsSuccess(attempt.head.status);
-  EndCall(proxy, call, call->ended_well ? "answered" : "endpoint-failure");
+                       FieldsToForward(attempt.head.fields), attempt.body);
+  call->succeeded = IsSuccess(attempt.head.status);
+  EndCall(proxy, call, call->succeeded ? "answered" : "endpoint-failure");
 }
 
 // What the end says of the endpoint.
-void NoteEnd(Proxy& proxy, const Call& call, AttemptEnd end) {
+void RecordEndpointResult(Proxy& proxy, const Call& call, AttemptEnd end) {
   routing::Endpoint& endpoint = *call.attempt->endpoint;
   const Time now = NowOf(proxy);
   switch (end) {
@@ -48,50 +48,51 @@
       routing::OnFailed(endpoint, now);
       break;
     case AttemptEnd::kSucceeded:
-      routing::OnAnswered(endpoint, Between(call.attempt->sent, now), now);
+      routing::OnAnswered(endpoint, Elapsed(call.attempt->sent_at, now), now);
       break;
   }
 }
 
 // What the end says of the request: one that crashes endpoints shows by breaks
 // at one after the other.
-void NoteSuspect(Proxy& proxy, Call& call, AttemptEnd end) {
+void RecordSuspect(Proxy& proxy, Call& call, AttemptEnd end) {
   const Attempt& attempt = *call.attempt;
   const Time now = NowOf(proxy);
   if (end == AttemptEnd::kBroken) {
     routing::OnBroke(
-        proxy.suspects, FingerprintOf(call),
-        {kernel::HashOf(attempt.endpoint->entry.id), attempt.sent, now});
+        proxy.suspects, GetFingerprint(call),
+        {kernel::HashOf(attempt.endpoint->entry.id), attempt.sent_at, now});
     return;
   }
-  const bool ran = end == AttemptEnd::kSucceeded || end == AttemptEnd::kFailed;
-  if (ran && !proxy.suspects.by_request.empty()) {
-    routing::OnRan(proxy.suspects, FingerprintOf(call), now);
+  const bool has_run =
+      end == AttemptEnd::kSucceeded || end == AttemptEnd::kFailed;
+  if (has_run && !proxy.suspects.by_request.empty()) {
+    routing::OnRan(proxy.suspects, GetFingerprint(call), now);
   }
 }
 
-void Release(const CallPtr& call, const Attempt& attempt) {
+void ReleaseEndpoint(const CallPtr& call, const Attempt& attempt) {
   routing::OnStarted(*attempt.endpoint, call->demand, attempt.number,
                      attempt.placement);
   routing::OnDone(*attempt.endpoint);
 }
 
-void Follow(Proxy& proxy, const CallPtr& call, NextStep step,
-            std::unique_ptr<Attempt> attempt) {
+void ExecuteNextStep(Proxy& proxy, const CallPtr& call, NextStep step,
+                     std::unique_ptr<Attempt> attempt) {
   switch (step) {
     case NextStep::kSendAgain:
     case NextStep::kResume:
       Dispatch(proxy, call);
       return;
     case NextStep::kPassOn:
-      if (attempt->events) {
+      if (attempt->is_event_stream) {
         call->caller->OnGone(nullptr);
         call->caller->End();
-        call->ended_well = true;
+        call->succeeded = true;
         routing::OnStreamEnded(proxy.endpoints.paces[call->service->name],
                                call->route->name,
                                static_cast<double>(call->events),
-                               Between(call->first_event_at, NowOf(proxy)));
+                               Elapsed(call->first_event_at, NowOf(proxy)));
         EndCall(proxy, call, "answered");
       } else {
         PassOn(proxy, call, *attempt);
@@ -113,47 +114,49 @@
 
 // What follows an attempt that ended, with room in the retry share taken where
 // it is sent again.
-NextStep NextFor(Proxy& proxy, const Call& call, AttemptEnd end) {
-  routing::AfterAttempt after;
-  after.end = end;
-  after.may_repeat = routing::MayRepeat(*call.route);
-  after.resumable = call.route->resumable && !call.last_event_id.empty();
-  after.answer_begun = call.caller->begun();
-  after.attempts = call.route->attempts;
-  after.may_have_run = call.may_have_run;
-  after.not_run = call.not_run;
-  after.not_sent = call.not_sent;
-  after.time_left = NowOf(proxy) < call.deadline;
-  const NextStep step = routing::DecideNext(after);
-  const bool again = step == NextStep::kSendAgain || step == NextStep::kResume;
+NextStep ChooseNextStep(Proxy& proxy, const Call& call, AttemptEnd end) {
+  routing::AfterAttempt input;
+  input.end = end;
+  input.may_repeat = routing::MayRepeat(*call.route);
+  input.resumable = call.route->resumable && !call.last_event_id.empty();
+  input.answer_begun = call.caller->begun();
+  input.attempts = call.route->attempts;
+  input.may_have_run = call.may_have_run;
+  input.not_run = call.not_run;
+  input.not_sent = call.not_sent;
+  input.time_left = NowOf(proxy) < call.deadline;
+  const NextStep step = routing::DecideNext(input);
+  const bool is_retry =
+      step == NextStep::kSendAgain || step == NextStep::kResume;
   // Impatience took its retry before it gave the attempt up.
-  if (!again || end == AttemptEnd::kSilent || call.arrivals == 0) return step;
+  if (!is_retry || end == AttemptEnd::kSilent || call.delivered_attempts == 0)
+    return step;
   if (TakeRetry(proxy, call)) {
     return step;
   }
-  after.time_left = false;
-  return routing::DecideNext(after);
+  input.time_left = false;
+  return routing::DecideNext(input);
 }
 
-void CountEnd(Call& call, AttemptEnd end,
-              const routing::EndpointPtr& endpoint) {
+void CountAttempt(Call& call, AttemptEnd end,
+                  const routing::EndpointPtr& endpoint) {
   if (end == AttemptEnd::kNotSent) {
     ++call.not_sent;
     return;
   }
-  ++call.arrivals;
+  ++call.delivered_attempts;
   if (routing::IsNotRun(end)) {
     // It may come back there once the endpoint's own pause is over.
     ++call.not_run;
   } else {
     ++call.may_have_run;
-    call.tried.push_back(endpoint);
+    call.tried_endpoints.push_back(endpoint);
   }
 }
 
 }  // namespace
 
-net::HttpFields FieldsToPass(const net::HttpFields& fields) {
+net::HttpFields FieldsToForward(const net::HttpFields& fields) {
   net::HttpFields passed;
   for (const net::HttpField& field : fields) {
     if (!net::IsOfOneConnection(field.name)) passed.push_back(field);
@@ -164,40 +167,41 @@
 bool TakeRetry(Proxy& proxy, const Call& call) {
   const Time now = NowOf(proxy);
   return routing::TakeRetry(proxy.retry_shares[call.service->name],
-                            proxy.options.retries, RetryFleetOf(proxy), now);
+                            proxy.options.retries, MakeRetryFleet(proxy), now);
 }
 
-void DropAttempt(Proxy& /*proxy*/, const CallPtr& call) {
+void CancelAttempt(Proxy& /*proxy*/, const CallPtr& call) {
   if (call->attempt == nullptr) return;
   const auto attempt = std::move(call->attempt);
   net::Cancel(attempt->exchange);
-  Release(call, *attempt);
+  ReleaseEndpoint(call, *attempt);
 }
 
 void EndAttempt(Proxy& proxy, const CallPtr& call, AttemptEnd end,
                 const std::string& detail) {
   if (call->attempt == nullptr) return;
-  call->patience = {};
-  NoteEnd(proxy, *call, end);
-  NoteSuspect(proxy, *call, end);
+  call->silence_timer = {};
+  RecordEndpointResult(proxy, *call, end);
+  RecordSuspect(proxy, *call, end);
   auto attempt = std::move(call->attempt);
-  Release(call, *attempt);
-  CountEnd(*call, end, attempt->endpoint);
-  const NextStep step = NextFor(proxy, *call, end);
-  Count(proxy, "egretladder_attempts_total", "Attempts ended, by how.",
-        std::string("end=\"") + routing::NameOf(end) + "\"");
+  ReleaseEndpoint(call, *attempt);
+  CountAttempt(*call, end, attempt->endpoint);
+  const NextStep step = ChooseNextStep(proxy, *call, end);
+  IncrementCounter(proxy, "egretladder_attempts_total",
+                   "Attempts ended, by how.",
+                   std::string("end=\"") + routing::NameOf(end) + "\"");
   if (end != AttemptEnd::kSucceeded) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "attempt-ended",
-                     {{"req", call->facts.id},
+                     {{"req", call->metadata.id},
                       {"endpoint", attempt->endpoint->entry.id},
                       {"end", routing::NameOf(end)},
                       {"status", attempt->head.status},
                       {"detail", detail},
-                      {"ms", Between(attempt->sent, NowOf(proxy))},
+                      {"ms", Elapsed(attempt->sent_at, NowOf(proxy))},
                       {"phase", routing::NameOf(attempt->endpoint->phase)},
                       {"next", routing::NameOf(step)}});
   }
-  Follow(proxy, call, step, std::move(attempt));
+  ExecuteNextStep(proxy, call, step, std::move(attempt));
 }
 
 }  // namespace egretladder::proxy
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -13,20 +13,20 @@
 
 constexpr int kUnavailable = 503;
 constexpr int kMisdirected = 421;
-constexpr int kServerErrors = 500;
+constexpr int kMinServerError = 500;
 // Endpoints tell ten steps apart.
 constexpr std::uint8_t kLowestPriority = 9;
 
 // Statuses by which callers are told that nothing ran. From an endpoint they
 // promise that only beside its own word for it.
-bool PromisesNotRun(int status) {
-  constexpr std::array<int, 4> kPromises = {408, kMisdirected, 429,
-                                            kUnavailable};
-  return std::find(kPromises.begin(), kPromises.end(), status) !=
-         kPromises.end();
+bool ImpliesNotRun(int status) {
+  constexpr std::array<int, 4> kNotRunStatuses = {408, kMisdirected, 429,
+                                                  kUnavailable};
+  return std::find(kNotRunStatuses.begin(), kNotRunStatuses.end(), status) !=
+         kNotRunStatuses.end();
 }
 
-void NoteStarted(Proxy& proxy, const CallPtr& call) {
+void MarkAttemptStarted(Proxy& proxy, const CallPtr& call) {
   Attempt& attempt = *call->attempt;
   if (attempt.started) return;
   attempt.started = true;
@@ -34,172 +34,178 @@
   routing::OnStarted(*attempt.endpoint, call->demand, attempt.number,
                      attempt.placement);
   routing::OnFirstByte(
-      *attempt.endpoint, Between(attempt.sent, now),
+      *attempt.endpoint, Elapsed(attempt.sent_at, now),
       milliseconds(static_cast<std::int64_t>(attempt.placement.expected_ms)));
-  kernel::Observe(proxy.metrics, call->measures->first_event,
-                  now - call->arrived);
+  kernel::Observe(proxy.metrics, call->class_metrics->first_event,
+                  now - call->arrived_at);
 }
 
-AttemptEnd EndOfWhole(const Attempt& attempt) {
+AttemptEnd ClassifyWholeAnswer(const Attempt& attempt) {
   const int status = attempt.head.status;
-  if (attempt.facts.not_run) {
+  if (attempt.metadata.not_run) {
     return status == kMisdirected ? AttemptEnd::kWrongInstance
                                   : AttemptEnd::kFull;
   }
   if (IsSuccess(status)) {
-    return attempt.facts.sealed && !attempt.facts.encoded
+    return attempt.metadata.sealed && !attempt.metadata.encoded
                ? AttemptEnd::kSucceeded
                : AttemptEnd::kBadAnswer;
   }
-  if (PromisesNotRun(status) || attempt.facts.encoded) {
+  if (ImpliesNotRun(status) || attempt.metadata.encoded) {
     return AttemptEnd::kBadAnswer;
   }
-  return status >= kServerErrors ? AttemptEnd::kFailed : AttemptEnd::kSucceeded;
+  return status >= kMinServerError ? AttemptEnd::kFailed
+                                   : AttemptEnd::kSucceeded;
 }
 
 net::HeadVerdict OnHead(Proxy& proxy, const CallPtr& call,
                         const net::HttpAnswerHead& head) {
   Attempt& attempt = *call->attempt;
-  const AnswerMetadata facts = proxy.dialect->read_answer(head);
-  if (!facts.id.empty() && facts.id != call->facts.id) {
+  const AnswerMetadata metadata = proxy.dialect->read_answer(head);
+  if (!metadata.id.empty() && metadata.id != call->metadata.id) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "foreign-answer",
-                     {{"req", call->facts.id},
+                     {{"req", call->metadata.id},
                       {"endpoint", attempt.endpoint->entry.id},
-                      {"answers", facts.id}});
+                      {"answers", metadata.id}});
     return net::HeadVerdict::kSkip;
   }
   routing::OnHeard(*attempt.endpoint, NowOf(proxy));
-  if (head.status != kMisdirected) NoteLimit(proxy, *call, facts);
+  if (head.status != kMisdirected) UpdateEndpointLimit(proxy, *call, metadata);
   attempt.head = head;
-  attempt.facts = facts;
-  attempt.events = IsSuccess(head.status) && facts.is_event_stream &&
-                   facts.sealed && !facts.encoded && !facts.not_run;
+  attempt.metadata = metadata;
+  attempt.is_event_stream = IsSuccess(head.status) &&
+                            metadata.is_event_stream && metadata.sealed &&
+                            !metadata.encoded && !metadata.not_run;
   return net::HeadVerdict::kTake;
 }
 
 // One sample of the engine's pace each few events.
-void NotePace(Proxy& proxy, const Call& call, std::uint64_t events) {
+void RecordPace(Proxy& proxy, const Call& call, std::uint64_t events) {
   Attempt& attempt = *call.attempt;
   const Time now = NowOf(proxy);
-  if (attempt.paced == Time{}) {
-    attempt.paced = now;
+  if (attempt.pace_sample_start == Time{}) {
+    attempt.pace_sample_start = now;
     return;
   }
-  attempt.paced_events += events;
-  if (attempt.paced_events < routing::kPaceEvery) return;
-  const std::chrono::duration<double, std::milli> took = now - attempt.paced;
+  attempt.pace_sample_events += events;
+  if (attempt.pace_sample_events < routing::kPaceEvery) return;
+  const std::chrono::duration<double, std::milli> elapsed =
+      now - attempt.pace_sample_start;
   routing::Endpoint& endpoint = *attempt.endpoint;
   routing::ServicePace& pace = proxy.endpoints.paces[call.service->name];
   routing::OnPause(endpoint.pace, pace,
                    endpoint.in_flight + endpoint.others_in_flight,
-                   took / static_cast<double>(attempt.paced_events));
+                   elapsed / static_cast<double>(attempt.pace_sample_events));
   routing::OnStreamRunning(pace, call.route->name,
                            static_cast<double>(call.events));
-  attempt.paced = now;
-  attempt.paced_events = 0;
+  attempt.pace_sample_start = now;
+  attempt.pace_sample_events = 0;
 }
 
-void NotePause(Call& call, Time now) {
+void RecordPause(Call& call, Time now) {
   if (call.first_event_at == Time{}) {
     call.first_event_at = now;
   } else {
     call.longest_pause =
-        std::max(call.longest_pause, Between(call.last_event_at, now));
+        std::max(call.longest_pause, Elapsed(call.last_event_at, now));
   }
   call.last_event_at = now;
 }
 
 // Whether the wait for this endpoint is worth ending: only work that may run
 // twice, with attempts, time and retries left.
-void OnImpatient(Proxy& proxy, const CallPtr& call) {
+void OnSilenceTimeout(Proxy& proxy, const CallPtr& call) {
   if (call->attempt == nullptr) return;
-  const bool has_more = call->may_have_run + 1 < call->route->attempts;
-  if (!has_more || !TakeRetry(proxy, *call)) {
+  const bool has_attempts_left = call->may_have_run + 1 < call->route->attempts;
+  if (!has_attempts_left || !TakeRetry(proxy, *call)) {
     return;
   }
   net::Cancel(call->attempt->exchange);
   EndAttempt(proxy, call, AttemptEnd::kSilent, "no event in time");
 }
 
-void SetPatience(Proxy& proxy, const CallPtr& call, milliseconds patience) {
-  call->patience = kernel::After(*proxy.loop, patience,
-                                 [&proxy, weak = std::weak_ptr<Call>(call)] {
-                                   if (const auto kept = weak.lock()) {
-                                     OnImpatient(proxy, kept);
-                                   }
-                                 });
+void StartSilenceTimer(Proxy& proxy, const CallPtr& call,
+                       milliseconds patience) {
+  call->silence_timer = kernel::After(
+      *proxy.loop, patience, [&proxy, weak_call = std::weak_ptr<Call>(call)] {
+        if (const auto locked = weak_call.lock()) {
+          OnSilenceTimeout(proxy, locked);
+        }
+      });
 }
 
-milliseconds PatienceFor(const Call& call,
-                         const routing::Placement& placement) {
-  const auto expected = milliseconds(
-      static_cast<std::int64_t>(placement.expected_ms * kPatienceRatio));
-  const bool cheap =
+milliseconds GetFirstEventTimeout(const Call& call,
+                                  const routing::Placement& placement) {
+  const auto expected = milliseconds(static_cast<std::int64_t>(
+      placement.expected_ms * kFirstEventTimeoutFactor));
+  const bool is_short_prompt =
       call.service->generates && !routing::IsLongPrompt(call.demand);
-  const auto least = cheap ? std::chrono::duration_cast<milliseconds>(
-                                 call.route->target * kPatiencePart)
-                           : call.route->target;
-  return std::max(least, expected);
+  const auto min_timeout =
+      is_short_prompt ? std::chrono::duration_cast<milliseconds>(
+                            call.route->target * kShortPromptTargetRatio)
+                      : call.route->target;
+  return std::max(min_timeout, expected);
 }
 
-milliseconds StallOf(const Call& call) {
-  const auto gap = std::chrono::duration_cast<milliseconds>(
-      call.route->gap_target * kStallRatio);
-  return std::max(gap, kStallLeast);
+milliseconds GetStallTimeout(const Call& call) {
+  const auto max_pause = std::chrono::duration_cast<milliseconds>(
+      call.route->gap_target * kStallTimeoutFactor);
+  return std::max(max_pause, kMinStallTimeout);
 }
 
 // A caller that reads slowly holds back its endpoint, not this node: events
 // that it hasn't taken would pile up here, and some hundred such callers cost
 // the node its memory. Read on once it has taken all; until then its endpoint
 // can't be called silent.
-void HoldBack(Proxy& proxy, const CallPtr& call) {
+void PauseReading(Proxy& proxy, const CallPtr& call) {
   net::SetReading(call->attempt->exchange, false);
-  call->patience = {};
-  call->caller->OnDrained([&proxy, weak = std::weak_ptr<Call>(call)] {
-    const auto kept = weak.lock();
-    if (kept == nullptr || kept->attempt == nullptr) return;
-    kept->caller->OnDrained(nullptr);
-    net::SetReading(kept->attempt->exchange, true);
-    if (routing::MayRepeat(*kept->route)) {
-      SetPatience(proxy, kept, StallOf(*kept));
+  call->silence_timer = {};
+  call->caller->OnDrained([&proxy, weak_call = std::weak_ptr<Call>(call)] {
+    const auto locked = weak_call.lock();
+    if (locked == nullptr || locked->attempt == nullptr) return;
+    locked->caller->OnDrained(nullptr);
+    net::SetReading(locked->attempt->exchange, true);
+    if (routing::MayRepeat(*locked->route)) {
+      StartSilenceTimer(proxy, locked, GetStallTimeout(*locked));
     }
   });
 }
 
-void PassEvents(Proxy& proxy, const CallPtr& call, std::string_view piece) {
+void ForwardEvents(Proxy& proxy, const CallPtr& call, std::string_view piece) {
   Attempt& attempt = *call->attempt;
-  const std::uint64_t before = attempt.splitter.events;
+  const std::uint64_t events_before = attempt.splitter.events;
   const std::string events = net::SplitEvents(attempt.splitter, piece);
   if (events.empty()) return;
-  call->events += attempt.splitter.events - before;
-  NotePace(proxy, *call, attempt.splitter.events - before);
-  NotePause(*call, NowOf(proxy));
+  call->events += attempt.splitter.events - events_before;
+  RecordPace(proxy, *call, attempt.splitter.events - events_before);
+  RecordPause(*call, NowOf(proxy));
   if (!attempt.splitter.last_id.empty()) {
     call->last_event_id = attempt.splitter.last_id;
   }
   if (!call->caller->begun()) {
     call->caller->Begin(attempt.head.status, attempt.head.reason,
-                        FieldsToPass(attempt.head.fields));
+                        FieldsToForward(attempt.head.fields));
   }
   call->caller->Send(events);
-  if (call->caller->Unsent() > kCallerBacklog) HoldBack(proxy, call);
+  if (call->caller->Unsent() > kMaxCallerBacklogBytes)
+    PauseReading(proxy, call);
 }
 
 void OnBody(Proxy& proxy, const CallPtr& call, std::string_view piece) {
   Attempt& attempt = *call->attempt;
   routing::OnHeard(*attempt.endpoint, NowOf(proxy));
-  if (attempt.events) {
-    NoteStarted(proxy, call);
-    PassEvents(proxy, call, piece);
-    const bool held_back = call->caller->Unsent() > kCallerBacklog;
+  if (attempt.is_event_stream) {
+    MarkAttemptStarted(proxy, call);
+    ForwardEvents(proxy, call, piece);
+    const bool is_backlogged = call->caller->Unsent() > kMaxCallerBacklogBytes;
     if (call->attempt != nullptr && routing::MayRepeat(*call->route) &&
-        !held_back) {
-      SetPatience(proxy, call, StallOf(*call));
+        !is_backlogged) {
+      StartSilenceTimer(proxy, call, GetStallTimeout(*call));
     }
     return;
   }
   attempt.body.append(piece);
-  if (attempt.body.size() > kWholeAnswerMost) {
+  if (attempt.body.size() > kMaxBufferedAnswerBytes) {
     net::Cancel(attempt.exchange);
     EndAttempt(proxy, call, AttemptEnd::kBadAnswer, "the answer is too large");
   }
@@ -207,17 +213,18 @@
 
 void OnEnd(Proxy& proxy, const CallPtr& call) {
   Attempt& attempt = *call->attempt;
-  NoteStarted(proxy, call);
-  if (!attempt.events) {
-    EndAttempt(proxy, call, EndOfWhole(attempt), "");
+  MarkAttemptStarted(proxy, call);
+  if (!attempt.is_event_stream) {
+    EndAttempt(proxy, call, ClassifyWholeAnswer(attempt), "");
     return;
   }
-  const bool whole = attempt.splitter.rest.empty() && call->events > 0;
-  EndAttempt(proxy, call, whole ? AttemptEnd::kSucceeded : AttemptEnd::kBroken,
-             whole ? "" : "the stream ended inside an event");
+  const bool is_complete = attempt.splitter.rest.empty() && call->events > 0;
+  EndAttempt(proxy, call,
+             is_complete ? AttemptEnd::kSucceeded : AttemptEnd::kBroken,
+             is_complete ? "" : "the stream ended inside an event");
 }
 
-AttemptEnd EndOfFault(net::ExchangeFault fault) {
+AttemptEnd ClassifyExchangeError(net::ExchangeFault fault) {
   switch (fault) {
     case net::ExchangeFault::kNotConnected:
       return AttemptEnd::kNotSent;
@@ -233,14 +240,14 @@
   const routing::Placement& placement = call.attempt->placement;
   const routing::Endpoint& endpoint = *placement.endpoint;
   kernel::LogEvent(LogPart::kRoute, LogLevel::kInfo, "sent",
-                   {{"req", call.facts.id},
+                   {{"req", call.metadata.id},
                     {"endpoint", endpoint.entry.id},
                     {"why", routing::NameOf(placement.reason)},
                     {"expected_ms", placement.expected_ms},
                     {"cost", routing::Describe(placement.costs)},
                     {"tight_part", proxy.endpoints.tight_part},
-                    {"waited_ms", Between(call.arrived, now)},
-                    {"left_ms", Between(now, call.deadline)},
+                    {"waited_ms", Elapsed(call.arrived_at, now)},
+                    {"left_ms", Elapsed(now, call.deadline)},
                     {"in_flight", endpoint.in_flight},
                     {"others", endpoint.others_in_flight},
                     {"phase", routing::NameOf(endpoint.phase)},
@@ -250,45 +257,46 @@
                     {"after_event", call.last_event_id}});
 }
 
-ForwardMetadata FactsFor(const Call& call, Time now) {
-  ForwardMetadata facts;
-  facts.endpoint_id = call.attempt->endpoint->entry.id;
-  if (call.account != nullptr) facts.account = call.account->name;
-  facts.time_left = std::max(milliseconds(1), Between(now, call.deadline));
+ForwardMetadata MakeForwardMetadata(const Call& call, Time now) {
+  ForwardMetadata metadata;
+  metadata.endpoint_id = call.attempt->endpoint->entry.id;
+  if (call.account != nullptr) metadata.account = call.account->name;
+  metadata.time_left = std::max(milliseconds(1), Elapsed(now, call.deadline));
   if (call.service->generates) {
-    facts.priority = std::min(call.demand.tier, kLowestPriority);
+    metadata.priority = std::min(call.demand.tier, kLowestPriority);
   }
-  facts.resume_after = call.last_event_id;
-  return facts;
+  metadata.resume_after = call.last_event_id;
+  return metadata;
 }
 
-net::Reuse ReuseFor(const Call& call, Time now) {
+net::Reuse GetConnectionReuse(const Call& call, Time now) {
   if (routing::MayRepeat(*call.route)) return net::Reuse::kAny;
   return routing::IsHeardLately(*call.attempt->endpoint, now)
              ? net::Reuse::kYoung
              : net::Reuse::kNone;
 }
 
-net::ExchangeRequest ExchangeFor(const Proxy& proxy, const Call& call,
-                                 Time now) {
+net::ExchangeRequest MakeExchangeRequest(const Proxy& proxy, const Call& call,
+                                         Time now) {
   const net::HttpRequest& request = call.caller->request();
-  const bool bodyless = request.body.empty() &&
-                        net::CountOf(request.fields, "Content-Length") == 0 &&
-                        net::CountOf(request.fields, "Transfer-Encoding") == 0;
+  const bool has_no_body =
+      request.body.empty() &&
+      net::CountOf(request.fields, "Content-Length") == 0 &&
+      net::CountOf(request.fields, "Transfer-Encoding") == 0;
   net::ExchangeRequest exchange;
   exchange.address = call.attempt->endpoint->entry.address;
   exchange.head = net::RequestText(
       request.method, request.target,
-      proxy.dialect->endpoint_fields(request, FactsFor(call, now)),
-      bodyless ? net::BodyFraming::kNone : net::BodyFraming::kLength,
+      proxy.dialect->endpoint_fields(request, MakeForwardMetadata(call, now)),
+      has_no_body ? net::BodyFraming::kNone : net::BodyFraming::kLength,
       request.body.size());
   exchange.body = request.body;
   exchange.is_head = request.method == "HEAD";
-  exchange.reuse = ReuseFor(call, now);
+  exchange.reuse = GetConnectionReuse(call, now);
   return exchange;
 }
 
-net::ExchangeHandlers HandlersFor(Proxy& proxy, const CallPtr& call) {
+net::ExchangeHandlers MakeExchangeHandlers(Proxy& proxy, const CallPtr& call) {
   net::ExchangeHandlers handlers;
   handlers.may_send = [call] {
     call->attempt->request_sent = true;
@@ -303,7 +311,7 @@
   handlers.on_end = [&proxy, call] { OnEnd(proxy, call); };
   handlers.on_fault = [&proxy, call](net::ExchangeFault fault,
                                      const std::string& detail) {
-    EndAttempt(proxy, call, EndOfFault(fault), detail);
+    EndAttempt(proxy, call, ClassifyExchangeError(fault), detail);
   };
   return handlers;
 }
@@ -318,16 +326,17 @@
   attempt.number = ++proxy.last_number;
   attempt.endpoint = placement.endpoint;
   attempt.placement = placement;
-  attempt.sent = now;
-  routing::OnPlaced(proxy.sides, call->demand, placement, now);
+  attempt.sent_at = now;
+  routing::OnPlaced(proxy.side_meter, call->demand, placement, now);
   routing::OnSent(*placement.endpoint, call->demand, attempt.number, placement,
                   now);
-  kernel::Observe(proxy.metrics, call->measures->waited, now - call->arrived);
+  kernel::Observe(proxy.metrics, call->class_metrics->waited,
+                  now - call->arrived_at);
   LogSent(proxy, *call, now);
-  attempt.exchange = proxy.client->Start(ExchangeFor(proxy, *call, now),
-                                         HandlersFor(proxy, call));
+  attempt.exchange = proxy.client->Start(MakeExchangeRequest(proxy, *call, now),
+                                         MakeExchangeHandlers(proxy, call));
   if (routing::MayRepeat(*call->route)) {
-    SetPatience(proxy, call, PatienceFor(*call, placement));
+    StartSilenceTimer(proxy, call, GetFirstEventTimeout(*call, placement));
   }
 }
 
--- a/proxy/src/attempts_p.h
+++ b/proxy/src/attempts_p.h
@@ -8,7 +8,7 @@
 inline bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
 /// The endpoint's fields that its caller gets.
-net::HttpFields FieldsToPass(const net::HttpFields& fields);
+net::HttpFields FieldsToForward(const net::HttpFields& fields);
 
 /// True when the call's service may get one more repeat; counts it then.
 bool TakeRetry(Proxy& proxy, const Call& call);
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -16,27 +16,29 @@
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-constexpr milliseconds kNotReadyRetry{300};
+constexpr milliseconds kOverloadRetryDelay{300};
 
 // A request that ends before it is a call.
 void Reject(Proxy& proxy, const net::HttpCallPtr& caller, int status,
-            const char* code, const std::string& why, milliseconds retry) {
-  Count(proxy, "egretladder_rejected_total",
-        "Requests ended before they were routed.",
-        std::string("code=\"") + code + "\"");
+            const char* code, const std::string& reason,
+            milliseconds retry_after) {
+  IncrementCounter(proxy, "egretladder_rejected_total",
+                   "Requests ended before they were routed.",
+                   std::string("code=\"") + code + "\"");
   kernel::LogEvent(LogPart::kRoute, LogLevel::kWarning, "rejected",
                    {{"req", proxy.dialect->request_id(caller->request())},
                     {"status", status},
                     {"code", code},
-                    {"why", why},
+                    {"why", reason},
                     {"target", caller->request().target},
                     {"rules", proxy.rules ? proxy.rules->version : 0}});
-  AnswerError(caller, status, code, why, "no", retry);
+  AnswerError(caller, status, code, reason, "no", retry_after);
 }
 
 CallPtr MakeCall(Proxy& proxy, const net::HttpCallPtr& caller,
                  const routing::Route& route,
-                 const routing::ClientAccount* account, RequestMetadata facts) {
+                 const routing::ClientAccount* account,
+                 RequestMetadata metadata) {
   const Time now = NowOf(proxy);
   auto call = std::make_shared<Call>();
   call->number = ++proxy.last_number;
@@ -44,19 +46,19 @@
   call->table = proxy.rules;
   call->route = &route;
   call->account = account;
-  call->arrived = now;
-  call->measures = MeasuresFor(proxy, route.name);
-  const auto allowed = std::min(facts.deadline.value_or(route.timeout),
+  call->arrived_at = now;
+  call->class_metrics = GetClassMetrics(proxy, route.name);
+  const auto timeout = std::min(metadata.deadline.value_or(route.timeout),
                                 std::max(route.timeout, milliseconds(1)));
-  call->deadline = now + allowed;
+  call->deadline = now + timeout;
   const auto target =
       routing::DrawTarget(route, kernel::Fraction(proxy.random));
   call->service = &proxy.rules->services[target.idx];
   call->demand.service = call->service;
   call->demand.tier = routing::RankOf(*proxy.rules, route, account);
   if (call->service->generates) {
-    call->demand.parts = facts.parts;
-    call->demand.prompt_tokens = std::max(facts.prompt_tokens, 1U);
+    call->demand.parts = metadata.parts;
+    call->demand.prompt_tokens = std::max(metadata.prompt_tokens, 1U);
     if (route.kind == routing::RouteKind::kStream) {
       const routing::ServicePace& pace =
           routing::PaceOf(proxy.endpoints, call->service->name);
@@ -67,18 +69,18 @@
     call->demand.tight =
         route.gap_target.count() > 0 && route.gap_target <= routing::kTightGap;
   }
-  call->facts = std::move(facts);
+  call->metadata = std::move(metadata);
   call->body_bytes = caller->request().body.size();
   return call;
 }
 
 void OnTimeout(Proxy& proxy, const CallPtr& call) {
-  GiveUp(proxy, call, kGatewayTimeout,
-         call->caller->begun() ? "cut-at-deadline" : "timeout", {});
+  AbortCall(proxy, call, kGatewayTimeout,
+            call->caller->begun() ? "cut-at-deadline" : "timeout", {});
 }
 
 void OnCallerGone(Proxy& proxy, const CallPtr& call) {
-  DropAttempt(proxy, call);
+  CancelAttempt(proxy, call);
   EndCall(proxy, call, "caller-gone");
 }
 
@@ -88,83 +90,83 @@
     // The least urgent that came last makes room, which may be this one.
     const auto last = std::prev(proxy.waiting.end());
     if (last->first.first <= call->demand.tier) {
-      GiveUp(proxy, call, kBadGateway, "overloaded", kNotReadyRetry);
+      AbortCall(proxy, call, kBadGateway, "overloaded", kOverloadRetryDelay);
       return;
     }
-    const CallPtr shed = last->second;
-    GiveUp(proxy, shed, kBadGateway, "overloaded", kNotReadyRetry);
+    const CallPtr shed_call = last->second;
+    AbortCall(proxy, shed_call, kBadGateway, "overloaded", kOverloadRetryDelay);
   }
   call->waiting = true;
   proxy.waiting.emplace(std::pair(call->demand.tier, call->number), call);
-  if (!proxy.waiting_timed) {
-    proxy.waiting_timed = true;
-    proxy.waiting_timer = kernel::Every(*proxy.loop, kWaitingPeriod,
+  if (!proxy.waiting_timer_armed) {
+    proxy.waiting_timer_armed = true;
+    proxy.waiting_timer = kernel::Every(*proxy.loop, kQueuePollInterval,
                                         [&proxy] { DispatchWaiting(proxy); });
   }
 }
 
-void StopWaiting(Proxy& proxy, const CallPtr& call) {
+void DequeueCall(Proxy& proxy, const CallPtr& call) {
   if (!call->waiting) return;
   call->waiting = false;
   proxy.waiting.erase(std::pair(call->demand.tier, call->number));
 }
 
 bool HasRoomForBody(const Proxy& proxy, std::size_t bytes) {
-  const double most =
-      kBodiesPart * static_cast<double>(proxy.options.memory_bytes);
-  return static_cast<double>(proxy.body_bytes + bytes) <= most;
+  const double max_bytes =
+      kBodyMemoryRatio * static_cast<double>(proxy.options.memory_bytes);
+  return static_cast<double>(proxy.body_bytes + bytes) <= max_bytes;
 }
 
 // Whether this node takes requests now; else the caller has its answer.
-bool IsTaking(Proxy& proxy, const net::HttpCallPtr& caller) {
-  if (!TakesNewRequests(proxy)) {
+bool AcceptRequest(Proxy& proxy, const net::HttpCallPtr& caller) {
+  if (!CanAcceptRequests(proxy)) {
     Reject(proxy, caller, kUnavailable, "leaving", "this node is leaving",
-           kLeavingRetry);
+           kLeavingRetryDelay);
     return false;
   }
   if (proxy.rules == nullptr) {
     Reject(proxy, caller, kUnavailable, "not_ready", "no rules are known yet",
            routing::ComeBackWhenReady(
-               Between(proxy.members.started, NowOf(proxy)), proxy.random));
+               Elapsed(proxy.members.started, NowOf(proxy)), proxy.random));
     return false;
   }
   if (!HasRoomForBody(proxy, caller->request().body.size())) {
     Reject(proxy, caller, kUnavailable, "overloaded", "no room for the body",
-           kNotReadyRetry);
+           kOverloadRetryDelay);
     return false;
   }
   return true;
 }
 
 // What the rules in force make of a request.
-struct Routed {
+struct RoutedRequest {
   const routing::Route* route = nullptr;
   const routing::ClientAccount* account = nullptr;  // Null: none is needed.
-  RequestMetadata facts;
+  RequestMetadata metadata;
 };
 
 // Nothing when the request may not be routed; its caller has its answer then.
-std::optional<Routed> RouteRequest(Proxy& proxy,
-                                   const net::HttpCallPtr& caller) {
+std::optional<RoutedRequest> RouteRequest(Proxy& proxy,
+                                          const net::HttpCallPtr& caller) {
   const routing::RouteTable& rules = *proxy.rules;
   const net::HttpRequest& request = caller->request();
-  Routed routed;
+  RoutedRequest routed;
   routed.route = routing::FindRoute(rules, net::ValueOf(request.fields, "Host"),
                                     request.target);
   if (routed.route == nullptr) {
     Reject(proxy, caller, kNotFound, "unknown_route", "no route matches", {});
     return std::nullopt;
   }
-  auto facts = proxy.dialect->read_call(request);
-  if (!facts) {
+  auto metadata = proxy.dialect->read_call(request);
+  if (!metadata) {
     Reject(proxy, caller, kBadRequest, "bad_request",
-           kernel::Describe(facts.error()), {});
+           kernel::Describe(metadata.error()), {});
     return std::nullopt;
   }
-  routed.facts = std::move(facts).value();
+  routed.metadata = std::move(metadata).value();
   if (!rules.has_accounts) return routed;
-  if (!routed.facts.key.empty()) {
-    routed.account = routing::FindAccount(rules, routed.facts.key);
+  if (!routed.metadata.key.empty()) {
+    routed.account = routing::FindAccount(rules, routed.metadata.key);
   }
   if (routed.account == nullptr && !routed.route->is_public) {
     Reject(proxy, caller, kUnauthorized, "unknown_key",
@@ -175,7 +177,7 @@
 }
 
 // Ends a call that gets no endpoint any more.
-void RefuseOrBreak(Proxy& proxy, const CallPtr& call, const char* code,
+void RefuseOrAbort(Proxy& proxy, const CallPtr& call, const char* code,
                    milliseconds retry_after) {
   if (call->caller->begun()) {
     call->caller->Break();
@@ -189,99 +191,102 @@
 // How much longer the request gets no endpoint, since it crashes them.
 milliseconds HeldFor(const Proxy& proxy, Call& call, Time now) {
   if (proxy.suspects.by_request.empty()) return {};
-  return routing::HeldFor(proxy.suspects, FingerprintOf(call), now);
+  return routing::HeldFor(proxy.suspects, GetFingerprint(call), now);
 }
 
-void RefuseSuspect(Proxy& proxy, const CallPtr& call, milliseconds held) {
+void RefuseSuspect(Proxy& proxy, const CallPtr& call, milliseconds hold_time) {
   kernel::LogEvent(LogPart::kRoute, LogLevel::kWarning, "not-sent",
-                   {{"req", call->facts.id},
+                   {{"req", call->metadata.id},
                     {"verdict", "crashes-endpoints"},
-                    {"held_ms", held},
+                    {"held_ms", hold_time},
                     {"service", call->service->name}});
-  RefuseOrBreak(proxy, call, "crashes_endpoints", held);
+  RefuseOrAbort(proxy, call, "crashes_endpoints", hold_time);
 }
 
 }  // namespace
 
-std::uint64_t FingerprintOf(Call& call) {
+std::uint64_t GetFingerprint(Call& call) {
   if (call.fingerprint == 0) {
     const net::HttpRequest& request = call.caller->request();
-    const std::uint64_t asker =
+    const std::uint64_t account_hash =
         call.account != nullptr ? kernel::HashOf(call.account->name) : 0;
-    const std::uint64_t target = kernel::HashOf(request.target, asker);
-    call.fingerprint = kernel::HashOf(request.body, target);
+    const std::uint64_t target_hash =
+        kernel::HashOf(request.target, account_hash);
+    call.fingerprint = kernel::HashOf(request.body, target_hash);
   }
   return call.fingerprint;
 }
 
 void OnRequest(Proxy& proxy, const net::HttpCallPtr& caller) {
-  if (!IsTaking(proxy, caller)) return;
+  if (!AcceptRequest(proxy, caller)) return;
   auto routed = RouteRequest(proxy, caller);
   if (!routed) return;
   const CallPtr call = MakeCall(proxy, caller, *routed->route, routed->account,
-                                std::move(routed->facts));
+                                std::move(routed->metadata));
   proxy.body_bytes += call->body_bytes;
   proxy.calls.emplace(call->number, call);
   routing::OnRequest(proxy.retry_shares[call->service->name],
-                     proxy.options.retries, call->arrived);
+                     proxy.options.retries, call->arrived_at);
   caller->OnGone([&proxy, call] { OnCallerGone(proxy, call); });
-  call->timeout = kernel::After(
+  call->deadline_timer = kernel::After(
       *proxy.loop,
-      std::chrono::ceil<milliseconds>(call->deadline - call->arrived) +
+      std::chrono::ceil<milliseconds>(call->deadline - call->arrived_at) +
           kDeadlineMargin,
-      [&proxy, weak = std::weak_ptr<Call>(call)] {
-        if (const auto kept = weak.lock()) OnTimeout(proxy, kept);
+      [&proxy, weak_call = std::weak_ptr<Call>(call)] {
+        if (const auto locked = weak_call.lock()) OnTimeout(proxy, locked);
       });
   Dispatch(proxy, call);
 }
 
 void Dispatch(Proxy& proxy, const CallPtr& call) {
   const Time now = NowOf(proxy);
-  if (const auto held = HeldFor(proxy, *call, now); held.count() > 0) {
-    RefuseSuspect(proxy, call, held);
+  if (const auto hold_time = HeldFor(proxy, *call, now);
+      hold_time.count() > 0) {
+    RefuseSuspect(proxy, call, hold_time);
     return;
   }
   const routing::FleetPart fleet = routing::PartOf(proxy.members, now);
-  const routing::Placement placement = routing::Place(
-      proxy.endpoints, call->demand, call->tried, fleet, proxy.random, now);
-  routing::AdmitAsk ask;
+  const routing::Placement placement =
+      routing::Place(proxy.endpoints, call->demand, call->tried_endpoints,
+                     fleet, proxy.random, now);
+  routing::AdmitAsk input;
   if (!call->waiting) call->waits_since = now;
-  ask.waits_since = call->waits_since;
-  ask.deadline = call->deadline;
-  ask.target = call->route->target;
-  ask.came_before = call->arrivals > 0;
+  input.waits_since = call->waits_since;
+  input.deadline = call->deadline;
+  input.target = call->route->target;
+  input.came_before = call->delivered_attempts > 0;
   const routing::AdmitVerdict verdict =
-      routing::DecideSend(ask, placement, now);
+      routing::DecideSend(input, placement, now);
   // A stopping node refuses what it can't finish before it waits for a free
   // endpoint: its caller's time is for another node.
-  const bool goes_on =
+  const bool may_proceed =
       verdict == routing::AdmitVerdict::kSend ||
       (verdict == routing::AdmitVerdict::kWait && !call->waiting);
-  if (goes_on && call->may_have_run == 0 &&
+  if (may_proceed && call->may_have_run == 0 &&
       !CanStillFinish(proxy, *call, placement)) {
-    RefuseCall(proxy, call, kUnavailable, "leaving", kLeavingRetry);
+    RefuseCall(proxy, call, kUnavailable, "leaving", kLeavingRetryDelay);
     return;
   }
   if (verdict == routing::AdmitVerdict::kWait) {
     Wait(proxy, call);
     return;
   }
-  StopWaiting(proxy, call);
+  DequeueCall(proxy, call);
   if (verdict == routing::AdmitVerdict::kSend) {
     StartAttempt(proxy, call, placement);
     return;
   }
   kernel::LogEvent(LogPart::kRoute, LogLevel::kWarning, "not-sent",
-                   {{"req", call->facts.id},
+                   {{"req", call->metadata.id},
                     {"verdict", routing::NameOf(verdict)},
                     {"place", routing::NameOf(placement.reason)},
                     {"expected_ms", placement.expected_ms},
-                    {"left_ms", Between(now, call->deadline)},
-                    {"waited_ms", Between(call->waits_since, now)},
+                    {"left_ms", Elapsed(now, call->deadline)},
+                    {"waited_ms", Elapsed(call->waits_since, now)},
                     {"service", call->service->name},
                     {"tier", call->demand.tier},
                     {"nodes", fleet.nodes}});
-  RefuseOrBreak(
+  RefuseOrAbort(
       proxy, call, routing::NameOf(verdict),
       routing::ComeBackAfter(placement, call->route->target, proxy.random));
 }
@@ -290,31 +295,33 @@
   // A copy: a dispatch may end other calls that wait.
   std::vector<CallPtr> waiting;
   waiting.reserve(proxy.waiting.size());
-  for (const auto& [place, call] : proxy.waiting) waiting.push_back(call);
+  for (const auto& [key, call] : proxy.waiting) waiting.push_back(call);
   for (const CallPtr& call : waiting) {
     if (call->waiting) Dispatch(proxy, call);
   }
   if (proxy.waiting.empty()) {
-    proxy.waiting_timed = false;
+    proxy.waiting_timer_armed = false;
     proxy.waiting_timer = {};
   }
 }
 
 void RefuseCall(Proxy& proxy, const CallPtr& call, int status, const char* code,
                 milliseconds retry_after) {
-  StopWaiting(proxy, call);
-  call->refused_with = status;
-  const bool ran = status == kBadGateway || status == kGatewayTimeout;
-  AnswerError(call->caller, status, code,
-              ran ? "the request may have run" : "the request has not run",
-              ran ? "unknown" : "no", ran ? milliseconds{} : retry_after);
+  DequeueCall(proxy, call);
+  call->refusal_status = status;
+  const bool may_have_run = status == kBadGateway || status == kGatewayTimeout;
+  AnswerError(
+      call->caller, status, code,
+      may_have_run ? "the request may have run" : "the request has not run",
+      may_have_run ? "unknown" : "no",
+      may_have_run ? milliseconds{} : retry_after);
   EndCall(proxy, call, code);
 }
 
-void GiveUp(Proxy& proxy, const CallPtr& call, int status_if_sent,
-            const char* code, milliseconds retry_after) {
+void AbortCall(Proxy& proxy, const CallPtr& call, int status_if_sent,
+               const char* code, milliseconds retry_after) {
   const bool sent = WasSent(*call);
-  DropAttempt(proxy, call);
+  CancelAttempt(proxy, call);
   if (call->caller->begun()) {
     call->caller->Break();
     EndCall(proxy, call, code);
@@ -325,30 +332,30 @@
 }
 
 void EndCall(Proxy& proxy, const CallPtr& call, const char* outcome) {
-  StopWaiting(proxy, call);
+  DequeueCall(proxy, call);
   if (proxy.calls.erase(call->number) == 0) return;
-  call->timeout = {};
-  call->patience = {};
+  call->deadline_timer = {};
+  call->silence_timer = {};
   call->caller->OnGone(nullptr);
   proxy.body_bytes -= call->body_bytes;
   const Time now = NowOf(proxy);
-  kernel::Observe(proxy.metrics, call->measures->whole_answer,
-                  now - call->arrived);
+  kernel::Observe(proxy.metrics, call->class_metrics->whole_answer,
+                  now - call->arrived_at);
   if (call->events > 1) {
-    kernel::Observe(proxy.metrics, call->measures->longest_pause,
+    kernel::Observe(proxy.metrics, call->class_metrics->longest_pause,
                     call->longest_pause);
   }
   CountCall(proxy, *call, outcome);
   kernel::LogEvent(
-      LogPart::kRoute, call->ended_well ? LogLevel::kInfo : LogLevel::kWarning,
+      LogPart::kRoute, call->succeeded ? LogLevel::kInfo : LogLevel::kWarning,
       "ended",
-      {{"req", call->facts.id},
+      {{"req", call->metadata.id},
        {"outcome", outcome},
        {"route", call->route->name},
        {"account", call->account ? call->account->name : "-"},
-       {"ms", Between(call->arrived, now)},
+       {"ms", Elapsed(call->arrived_at, now)},
        {"first_ms", call->events > 0
-                        ? Between(call->arrived, call->first_event_at)
+                        ? Elapsed(call->arrived_at, call->first_event_at)
                         : milliseconds{}},
        {"pause_ms", call->longest_pause},
        {"may_have_run", call->may_have_run},
--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -11,49 +11,50 @@
 using routing::Feed;
 
 // What waits to be sent to peers that asked.
-std::size_t UnsentOf(const PeerNet& net) {
-  return std::accumulate(net.in.begin(), net.in.end(), std::size_t{0},
-                         [](std::size_t sum, const auto& peer) {
+std::size_t UnsentOf(const PeerNetwork& network) {
+  return std::accumulate(network.incoming.begin(), network.incoming.end(),
+                         std::size_t{0}, [](std::size_t sum, const auto& peer) {
                            return sum + peer->stream.WaitingOutput();
                          });
 }
 
-kernel::Result<const PackedChanges*> ContentAfter(Proxy& proxy, Feed feed,
-                                                  std::uint64_t after) {
-  KeptContent& kept = proxy.peers->content[static_cast<std::size_t>(feed)];
+kernel::Result<const PackedChanges*> GetPackedChanges(Proxy& proxy, Feed feed,
+                                                      std::uint64_t after) {
+  CachedChanges& cached =
+      proxy.peers->cached_changes[static_cast<std::size_t>(feed)];
   const std::uint64_t revision = routing::StateOf(proxy.catalog, feed).revision;
   const bool troubled = IsStoreTroubled(proxy);
-  if (kept.after == after && kept.revision == revision &&
-      kept.store_troubled == troubled) {
-    return &kept.packed;
+  if (cached.after == after && cached.revision == revision &&
+      cached.store_troubled == troubled) {
+    return &cached.packed;
   }
   BOOST_OUTCOME_TRY(packed, PackChanges(proxy, feed, after));
-  kept = {after, revision, troubled, std::move(packed)};
-  return &kept.packed;
+  cached = {after, revision, troubled, std::move(packed)};
+  return &cached.packed;
 }
 
 void CountFetch(Proxy& proxy, const char* outcome) {
-  Count(proxy, "egretladder_peer_fetches_total",
-        "Changes asked of peers, by outcome.",
-        std::string("outcome=\"") + outcome + "\"");
+  IncrementCounter(proxy, "egretladder_peer_fetches_total",
+                   "Changes asked of peers, by outcome.",
+                   std::string("outcome=\"") + outcome + "\"");
 }
 
 // A small change is logged when it is taken.
-void LogTransfer(const Proxy& proxy, Feed feed, const std::string& from,
-                 const PackedChanges& packed, std::uint64_t revision,
-                 Time asked) {
+void LogFetched(const Proxy& proxy, Feed feed, const std::string& from,
+                const PackedChanges& packed, std::uint64_t revision,
+                Time asked) {
   if (packed.bytes.size() <= routing::kSmallChanges) return;
   kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "fetched",
                    {{"feed", routing::NameOf(feed)},
                     {"from", from},
                     {"bytes", packed.bytes.size()},
-                    {"unpacked", packed.unpacked},
+                    {"unpacked", packed.unpacked_bytes},
                     {"rev", revision},
-                    {"ms", Between(asked, NowOf(proxy))}});
+                    {"ms", Elapsed(asked, NowOf(proxy))}});
 }
 
-void OnContent(Proxy& proxy, Feed feed, const std::string& from,
-               const PackedChanges& packed, Time asked) {
+void OnChangesReceived(Proxy& proxy, Feed feed, const std::string& from,
+                       const PackedChanges& packed, Time asked) {
   auto received = UnpackChanges(packed, feed);
   routing::FeedPull& pull = routing::PullOf(proxy.peers->pulls, feed);
   if (!received) {
@@ -67,16 +68,16 @@
   }
   CountFetch(proxy, "taken");
   routing::OnPulled(pull, from);
-  LogTransfer(proxy, feed, from, packed, received.value().changes.revision,
-              asked);
-  TakeChanges(proxy, received.value().changes, Source::kPeer,
-              received.value().store_troubled);
+  LogFetched(proxy, feed, from, packed, received.value().changes.revision,
+             asked);
+  ApplyChanges(proxy, received.value().changes, ChangeSource::kPeer,
+               received.value().store_troubled);
 }
 
-void OnFetched(Proxy& proxy, Feed feed, const std::string& from, bool near,
-               Time asked,
-               capnp::Response<exchange::Peer::FetchResults>&& answer) {
-  CountBytes(proxy, "in", MessageKind::kContent, near,
+void OnFetchReply(Proxy& proxy, Feed feed, const std::string& from,
+                  bool same_zone, Time asked,
+                  capnp::Response<exchange::Peer::FetchResults>&& answer) {
+  CountBytes(proxy, "in", MessageKind::kContent, same_zone,
              answer.totalSize().wordCount);
   if (answer.getBusy()) {
     CountFetch(proxy, "busy");
@@ -88,49 +89,49 @@
   const PackedChanges packed{
       std::string(reinterpret_cast<const char*>(bytes.begin()), bytes.size()),
       answer.getPacked().getUnpacked()};
-  OnContent(proxy, feed, from, packed, asked);
+  OnChangesReceived(proxy, feed, from, packed, asked);
 }
 
-void Fetch(Proxy& proxy, Feed feed, const std::string& from) {
-  PeerOut* peer = PeerAt(*proxy.peers, from);
+void FetchFeed(Proxy& proxy, Feed feed, const std::string& from) {
+  PeerConnection* peer = GetOrConnectPeer(*proxy.peers, from);
   const Time now = NowOf(proxy);
   routing::FeedPull& pull = routing::PullOf(proxy.peers->pulls, feed);
   if (peer == nullptr) {
     routing::OnPullFailed(pull, from, routing::kPullSilentPause, now);
     return;
   }
-  auto request = peer->peer.fetchRequest();
+  auto request = peer->client.fetchRequest();
   request.setFeed(static_cast<std::uint8_t>(feed));
   request.setAfter(routing::StateOf(proxy.catalog, feed).revision);
-  OnAsk(*peer, now);
+  OnRequestSent(*peer, now);
   peer->tasks.add(
       request.send().then([&proxy, peer, feed, from, now](auto&& answer) {
-        OnAnswer(*peer, NowOf(proxy));
-        OnFetched(proxy, feed, from, peer->near, now,
-                  std::forward<decltype(answer)>(answer));
-        NewsSoon(proxy, 0);
+        OnReplyReceived(*peer, NowOf(proxy));
+        OnFetchReply(proxy, feed, from, peer->same_zone, now,
+                     std::forward<decltype(answer)>(answer));
+        ScheduleFetchAndAnnounce(proxy, 0);
       }));
 }
 
 // A node that has just started hears of everything from peers while the store
 // is about to answer the same.
-bool WaitsForStore(const Proxy& proxy, Feed feed) {
+bool ShouldWaitForStore(const Proxy& proxy, Feed feed) {
   return proxy.reads_store && !IsStoreTroubled(proxy) &&
          routing::StateOf(proxy.catalog, feed).revision == 0 &&
-         NowOf(proxy) - proxy.store_from < kStoreFirst;
+         NowOf(proxy) - proxy.initial_read_at < kInitialPeerFetchDelay;
 }
 
 }  // namespace
 
-void ServeContent(Proxy& proxy, bool near, std::uint8_t feed_number,
-                  std::uint64_t after,
-                  exchange::Peer::FetchResults::Builder results) {
+void AnswerFetch(Proxy& proxy, bool same_zone, std::uint8_t feed_number,
+                 std::uint64_t after,
+                 exchange::Peer::FetchResults::Builder results) {
   if (feed_number >= routing::kFeeds) {  // Of a newer node.
     results.setBusy(true);
     return;
   }
   const auto feed = static_cast<Feed>(feed_number);
-  auto content = ContentAfter(proxy, feed, after);
+  auto content = GetPackedChanges(proxy, feed, after);
   if (!content) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kError, "fetch-unserved",
                      {{"feed", routing::NameOf(feed)},
@@ -147,35 +148,36 @@
   answer.setBytes(
       kj::arrayPtr(reinterpret_cast<const kj::byte*>(packed.bytes.data()),
                    packed.bytes.size()));
-  answer.setUnpacked(packed.unpacked);
-  CountBytes(proxy, "out", MessageKind::kContent, near,
+  answer.setUnpacked(packed.unpacked_bytes);
+  CountBytes(proxy, "out", MessageKind::kContent, same_zone,
              results.totalSize().wordCount);
 }
 
-void HearProgress(Proxy& proxy, const std::string& peer, bool near,
-                  const Progress& progress) {
+void OnPeerProgress(Proxy& proxy, const std::string& peer, bool same_zone,
+                    const Progress& progress) {
   if (peer.empty()) return;
-  bool lacks = false;
+  bool has_missing_changes = false;
   for (std::size_t i = 0; i < progress.size(); ++i) {
     const auto feed = static_cast<Feed>(i);
-    const std::uint64_t own = routing::StateOf(proxy.catalog, feed).revision;
-    if (own == 0 && progress[i].known == 0) OnPeerKnowsNothing(proxy);
+    const std::uint64_t own_revision =
+        routing::StateOf(proxy.catalog, feed).revision;
+    if (own_revision == 0 && progress[i].known == 0) OnPeerWithoutData(proxy);
     if (!routing::TakeProgress(proxy.catalog, feed, progress[i])) continue;
-    routing::OnOffer(proxy.peers->pulls.feeds[i], peer, near,
+    routing::OnOffer(proxy.peers->pulls.feeds[i], peer, same_zone,
                      progress[i].known);
-    lacks = true;
+    has_missing_changes = true;
   }
-  if (lacks) NewsSoon(proxy, 0);
+  if (has_missing_changes) ScheduleFetchAndAnnounce(proxy, 0);
 }
 
-void FetchNews(Proxy& proxy) {
+void FetchMissingChanges(Proxy& proxy) {
   for (std::size_t i = 0; i < routing::kFeeds; ++i) {
     const auto feed = static_cast<Feed>(i);
-    if (WaitsForStore(proxy, feed)) continue;
+    if (ShouldWaitForStore(proxy, feed)) continue;
     const std::string peer = routing::NextPull(
         proxy.peers->pulls.feeds[i],
         routing::StateOf(proxy.catalog, feed).revision, NowOf(proxy));
-    if (!peer.empty()) Fetch(proxy, feed, peer);
+    if (!peer.empty()) FetchFeed(proxy, feed, peer);
   }
 }
 
--- a/proxy/src/knowledge.cc
+++ b/proxy/src/knowledge.cc
@@ -10,24 +10,24 @@
 using kernel::LogPart;
 using routing::Feed;
 
-const char* NameOf(Source source) {
+const char* NameOf(ChangeSource source) {
   switch (source) {
-    case Source::kList:
+    case ChangeSource::kList:
       return "list";
-    case Source::kWatch:
+    case ChangeSource::kWatch:
       return "watch";
-    case Source::kPeer:
+    case ChangeSource::kPeer:
       break;
   }
   return "peer";
 }
 
 // What a peer has of a whole feed is as good as a list of one's own.
-void OnWholeFromPeer(StoreReader& reader) {
-  if (!reader.reading) reader.listed = true;
+void OnFullListFromPeer(StoreReader& reader) {
+  if (!reader.reading) reader.has_full_list = true;
 }
 
-void TakeRules(Proxy& proxy, const routing::Item& item, Source source) {
+void ApplyRules(Proxy& proxy, const routing::Item& item, ChangeSource source) {
   if (item.removed) return;  // The last good version stays in force.
   auto rules = proxy.dialect->read_rules(item.value);
   if (!rules) {
@@ -37,11 +37,11 @@
                       {"in_force", proxy.rules ? proxy.rules->version : 0}});
     return;
   }
-  const std::uint64_t before = proxy.rules ? proxy.rules->version : 0;
-  if (rules.value()->version <= before && proxy.rules != nullptr) {
+  const std::uint64_t previous_version = proxy.rules ? proxy.rules->version : 0;
+  if (rules.value()->version <= previous_version && proxy.rules != nullptr) {
     kernel::LogEvent(LogPart::kRules, LogLevel::kWarning, "rules-older",
                      {{"version", rules.value()->version},
-                      {"in_force", before},
+                      {"in_force", previous_version},
                       {"source", NameOf(source)}});
     return;
   }
@@ -52,20 +52,20 @@
                  proxy.rules->limits.body_bytes};
   limits.head_time = proxy.rules->limits.head_time;
   limits.idle_time = proxy.rules->limits.idle_time;
-  limits.connections = proxy.options.descriptors > 2 * kDescriptorsKept
-                           ? proxy.options.descriptors - kDescriptorsKept
+  limits.connections = proxy.options.descriptors > 2 * kReservedDescriptors
+                           ? proxy.options.descriptors - kReservedDescriptors
                            : proxy.options.descriptors / 2;
-  proxy.callers->SetLimits(limits);
+  proxy.caller_server->SetLimits(limits);
   kernel::LogEvent(LogPart::kRules, LogLevel::kInfo, "rules-in-force",
                    {{"version", proxy.rules->version},
-                    {"before", before},
+                    {"before", previous_version},
                     {"source", NameOf(source)},
                     {"rev", item.rev},
                     {"routes", proxy.rules->routes.size()}});
 }
 
-void LogEndpoint(const std::string& id, routing::EntryChange change,
-                 Source source, std::uint64_t rev) {
+void LogEndpointChange(const std::string& id, routing::EntryChange change,
+                       ChangeSource source, std::uint64_t rev) {
   if (change == routing::EntryChange::kNone) return;
   kernel::LogEvent(LogPart::kPlatform, LogLevel::kInfo, "endpoint",
                    {{"endpoint", id},
@@ -75,22 +75,25 @@
 }
 
 // Entries that all go at once are the store's fault rather than theirs.
-bool IsMassRemoval(const Proxy& proxy, const std::vector<routing::Item>& news) {
-  constexpr std::size_t kFew = 3;
-  constexpr std::size_t kPart = 3;
+bool IsMassRemoval(const Proxy& proxy,
+                   const std::vector<routing::Item>& changed_items) {
+  constexpr std::size_t kMinRemovals = 3;
+  constexpr std::size_t kMinRemovalDivisor = 3;
   const auto removed = static_cast<std::size_t>(
-      std::count_if(news.begin(), news.end(),
+      std::count_if(changed_items.begin(), changed_items.end(),
                     [](const routing::Item& item) { return item.removed; }));
-  return removed >= kFew && removed * kPart >= proxy.endpoints.by_id.size();
+  return removed >= kMinRemovals &&
+         removed * kMinRemovalDivisor >= proxy.endpoints.by_id.size();
 }
 
-void TakeEndpoint(Proxy& proxy, const routing::Item& item, Source source,
-                  bool trouble) {
+void ApplyEndpoint(Proxy& proxy, const routing::Item& item, ChangeSource source,
+                   bool may_be_outage) {
   const Time now = NowOf(proxy);
   const std::string id = proxy.dialect->endpoint_id(item.key);
   if (item.removed) {
-    LogEndpoint(id, routing::OnEntryRemoved(proxy.endpoints, id, trouble, now),
-                source, item.rev);
+    LogEndpointChange(
+        id, routing::OnEntryRemoved(proxy.endpoints, id, may_be_outage, now),
+        source, item.rev);
     return;
   }
   const auto entry = proxy.dialect->read_endpoint(item);
@@ -102,27 +105,27 @@
     routing::OnEntryRemoved(proxy.endpoints, id, false, now);
     return;
   }
-  LogEndpoint(id, routing::OnEntry(proxy.endpoints, entry.value(), now), source,
-              item.rev);
+  LogEndpointChange(id, routing::OnEntry(proxy.endpoints, entry.value(), now),
+                    source, item.rev);
 }
 
 }  // namespace
 
-void TakeChanges(Proxy& proxy, const routing::Changes& changes, Source source,
-                 bool troubled) {
+void ApplyChanges(Proxy& proxy, const routing::Changes& changes,
+                  ChangeSource source, bool troubled) {
   const Time now = NowOf(proxy);
-  const auto news = routing::Apply(proxy.catalog, changes, now);
-  if (source == Source::kPeer) {
+  const auto changed_items = routing::Apply(proxy.catalog, changes, now);
+  if (source == ChangeSource::kPeer) {
     StoreReader& reader = proxy.readers[static_cast<std::size_t>(changes.feed)];
-    if (changes.whole) OnWholeFromPeer(reader);
-    if (!news.empty() && reader.changed_since == Time{}) {
-      reader.changed_since = now;
+    if (changes.whole) OnFullListFromPeer(reader);
+    if (!changed_items.empty() && reader.missed_change_since == Time{}) {
+      reader.missed_change_since = now;
     }
   }
-  const bool lapses = troubled || IsMassRemoval(proxy, news);
-  for (const routing::Item& item : news) {
+  const bool may_be_outage = troubled || IsMassRemoval(proxy, changed_items);
+  for (const routing::Item& item : changed_items) {
     if (proxy.dialect->is_rules_key(item.key)) {
-      TakeRules(proxy, item, source);
+      ApplyRules(proxy, item, source);
       continue;
     }
     const std::string zone = proxy.dialect->zone_out(item.key);
@@ -136,14 +139,15 @@
       continue;
     }
     if (changes.feed == Feed::kEndpoints) {
-      TakeEndpoint(proxy, item, source, lapses);
+      ApplyEndpoint(proxy, item, source, may_be_outage);
     }
   }
-  if (news.empty()) return;
+  if (changed_items.empty()) return;
   // Other nodes hear of it now rather than in some rounds.
   if (!routing::IsSmallFleet(proxy.members)) {
-    NewsSoon(proxy, source == Source::kPeer ? routing::kToldOnward
-                                            : routing::kToldAtOnce);
+    ScheduleFetchAndAnnounce(proxy, source == ChangeSource::kPeer
+                                        ? routing::kToldOnward
+                                        : routing::kToldAtOnce);
   }
   if (!proxy.waiting.empty()) DispatchWaiting(proxy);
 }
--- a/proxy/src/measures.cc
+++ b/proxy/src/measures.cc
@@ -9,7 +9,7 @@
 
 constexpr int kUnavailable = 503;
 
-std::string Label(const char* name, std::string_view value) {
+std::string FormatLabel(const char* name, std::string_view value) {
   std::string label = std::string(name) + "=\"";
   // Names come from the configuration, which may hold any character.
   for (const char c : value) {
@@ -20,13 +20,13 @@
 }
 
 // What became of a call, for whoever counts; the reason says more.
-const char* OutcomeOf(const Call& call, std::string_view reason) {
-  if (call.ended_well) return "answered";
+const char* ClassifyOutcome(const Call& call, std::string_view reason) {
+  if (call.succeeded) return "answered";
   if (reason == "caller-gone") return "gone";
   if (call.caller->begun()) return "broken";
   if (reason == "endpoint-failure") return "failed";
   // Of the statuses of this node only 503 says that nothing ran.
-  return call.refused_with == kUnavailable ? "refused" : "unknown";
+  return call.refusal_status == kUnavailable ? "refused" : "unknown";
 }
 
 void SetGauge(Proxy& proxy, const char* name, const char* help, double value,
@@ -35,12 +35,12 @@
               kernel::AddGauge(proxy.metrics, name, help, labels), value);
 }
 
-double SecondsSince(Time then, Time now) {
-  return std::chrono::duration<double>(now - then).count();
+double SecondsSince(Time start, Time now) {
+  return std::chrono::duration<double>(now - start).count();
 }
 
-const char* StateOf(const Proxy& proxy, const routing::Endpoint& endpoint,
-                    Time now) {
+const char* DescribeState(const Proxy& proxy, const routing::Endpoint& endpoint,
+                          Time now) {
   if (endpoint.phase != routing::EndpointPhase::kServing) {
     return routing::NameOf(endpoint.phase);
   }
@@ -54,29 +54,30 @@
   return "serving";
 }
 
-void ShowEndpoints(Proxy& proxy, Time now) {
+void UpdateEndpointGauges(Proxy& proxy, Time now) {
   // States that nothing is in any more are shown as 0.
-  for (auto& [labels, count] : proxy.measures.endpoint_states) count = 0;
+  for (auto& [labels, count] : proxy.series.endpoint_states) count = 0;
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
-    const std::string labels = Label("service", endpoint->entry.service) + "," +
-                               Label("state", StateOf(proxy, *endpoint, now));
-    ++proxy.measures.endpoint_states[labels];
+    const std::string labels =
+        FormatLabel("service", endpoint->entry.service) + "," +
+        FormatLabel("state", DescribeState(proxy, *endpoint, now));
+    ++proxy.series.endpoint_states[labels];
   }
-  for (const auto& [labels, count] : proxy.measures.endpoint_states) {
+  for (const auto& [labels, count] : proxy.series.endpoint_states) {
     SetGauge(proxy, "egretladder_endpoints",
              "Endpoints known, by service and state.", count, labels);
   }
 }
 
-void ShowKnowledge(Proxy& proxy, Time now) {
+void UpdateStoreGauges(Proxy& proxy, Time now) {
   SetGauge(proxy, "egretladder_rules_version", "Version of the rules in force.",
            static_cast<double>(proxy.rules ? proxy.rules->version : 0));
   SetGauge(proxy, "egretladder_rules_in_force_seconds",
            "Since the rules came into force.",
            proxy.rules ? SecondsSince(proxy.rules_since, now) : 0);
   for (const auto feed : {routing::Feed::kRules, routing::Feed::kEndpoints}) {
-    const std::string label =
-        Label("feed", feed == routing::Feed::kRules ? "rules" : "endpoints");
+    const std::string label = FormatLabel(
+        "feed", feed == routing::Feed::kRules ? "rules" : "endpoints");
     SetGauge(
         proxy, "egretladder_store_revision",
         "Revision of the store up to which a feed is known.",
@@ -91,7 +92,7 @@
       static_cast<double>(routing::PartOf(proxy.members, now).names.size()));
 }
 
-void ShowLoad(Proxy& proxy, Time now) {
+void UpdateLoadGauges(Proxy& proxy, Time now) {
   SetGauge(proxy, "egretladder_calls", "Calls in progress.",
            static_cast<double>(proxy.calls.size()));
   SetGauge(proxy, "egretladder_waiting", "Calls that wait for an endpoint.",
@@ -104,73 +105,75 @@
   SetGauge(proxy, "egretladder_endpoint_connections_opened",
            "Connections to endpoints and the store opened since the start.",
            static_cast<double>(proxy.client->opened()));
-  const routing::RetryFleet fleet = RetryFleetOf(proxy);
+  const routing::RetryFleet fleet = MakeRetryFleet(proxy);
   for (const auto& [service, share] : proxy.retry_shares) {
     SetGauge(proxy, "egretladder_retries_left",
              "Repeats that this node may still make in the window.",
              routing::RetriesLeft(share, proxy.options.retries, fleet, now),
-             Label("service", service));
+             FormatLabel("service", service));
   }
 }
 
 }  // namespace
 
-void Count(Proxy& proxy, const char* name, const char* help,
-           const std::string& labels) {
+void IncrementCounter(Proxy& proxy, const char* name, const char* help,
+                      const std::string& labels) {
   kernel::Increment(proxy.metrics,
                     kernel::AddCounter(proxy.metrics, name, help, labels));
 }
 
-const ClassMeasures* MeasuresFor(Proxy& proxy, const std::string& cls) {
-  auto& classes = proxy.measures.classes;
+const ClassMetrics* GetClassMetrics(Proxy& proxy, const std::string& cls) {
+  auto& classes = proxy.series.classes;
   const bool known = classes.contains(cls);
   const std::string& name =
-      known || classes.size() < kClassesMeasured ? cls : kOtherClass;
-  const auto [at, is_new] = classes.try_emplace(name);
+      known || classes.size() < kMaxMeasuredClasses ? cls : kOtherClass;
+  const auto [it, is_new] = classes.try_emplace(name);
   if (is_new) {
-    const std::string label = Label("class", name);
-    at->second.waited =
+    const std::string label = FormatLabel("class", name);
+    it->second.waited =
         kernel::AddHistogram(proxy.metrics, "egretladder_waited_seconds",
                              "From a call's arrival to each send.", label);
-    at->second.first_event = kernel::AddHistogram(
+    it->second.first_event = kernel::AddHistogram(
         proxy.metrics, "egretladder_first_event_seconds",
         "From a call's arrival to its answer's first byte.", label);
-    at->second.whole_answer =
+    it->second.whole_answer =
         kernel::AddHistogram(proxy.metrics, "egretladder_call_seconds",
                              "From a call's arrival to its end.", label);
-    at->second.longest_pause = kernel::AddHistogram(
+    it->second.longest_pause = kernel::AddHistogram(
         proxy.metrics, "egretladder_longest_pause_seconds",
         "Longest time between two events of a stream.", label);
   }
-  return &at->second;
+  return &it->second;
 }
 
 void CountCall(Proxy& proxy, const Call& call, const char* reason) {
-  Measures& measures = proxy.measures;
+  MetricSeries& series = proxy.series;
   const std::string account = call.account ? call.account->name : "-";
-  std::string labels =
-      Label("class", call.route->name) + "," + Label("account", account) + "," +
-      Label("outcome", OutcomeOf(call, reason)) + "," + Label("reason", reason);
-  const bool known = measures.calls.contains(labels);
-  if (!known && measures.calls.size() >= kCallSeriesMost) {
-    labels = Label("class", kOtherClass) + "," + Label("account", "other") +
-             "," + Label("outcome", OutcomeOf(call, reason)) + "," +
-             Label("reason", reason);
+  std::string labels = FormatLabel("class", call.route->name) + "," +
+                       FormatLabel("account", account) + "," +
+                       FormatLabel("outcome", ClassifyOutcome(call, reason)) +
+                       "," + FormatLabel("reason", reason);
+  const bool known = series.calls.contains(labels);
+  if (!known && series.calls.size() >= kMaxCallSeries) {
+    labels = FormatLabel("class", kOtherClass) + "," +
+             FormatLabel("account", "other") + "," +
+             FormatLabel("outcome", ClassifyOutcome(call, reason)) + "," +
+             FormatLabel("reason", reason);
   }
-  const auto [at, is_new] = measures.calls.try_emplace(labels);
+  const auto [it, is_new] = series.calls.try_emplace(labels);
   if (is_new) {
-    at->second = kernel::AddCounter(
+    it->second = kernel::AddCounter(
         proxy.metrics, "egretladder_calls_total",
         "Calls ended, by class, account, outcome and reason.", labels);
   }
-  kernel::Increment(proxy.metrics, at->second);
+  kernel::Increment(proxy.metrics, it->second);
 }
 
-void ShowGauges(Proxy& proxy) {
+void UpdateGauges(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  ShowKnowledge(proxy, now);
-  ShowEndpoints(proxy, now);
-  ShowLoad(proxy, now);
+  UpdateStoreGauges(proxy, now);
+  UpdateEndpointGauges(proxy, now);
+  UpdateLoadGauges(proxy, now);
   SetGauge(proxy, "egretladder_tight_part",
            "Part of the engines that is for streams with short pauses.",
            proxy.endpoints.tight_part);
--- a/proxy/src/named_limits.cc
+++ b/proxy/src/named_limits.cc
@@ -9,55 +9,58 @@
 using kernel::LogLevel;
 using kernel::LogPart;
 
-void LogLimit(const routing::Endpoint& endpoint, double before,
+void LogLimit(const routing::Endpoint& endpoint, double previous_limit,
               const char* source) {
   kernel::LogEvent(LogPart::kEndpoint, LogLevel::kInfo, "endpoint-limit",
                    {{"endpoint", endpoint.entry.id},
                     {"per_second", endpoint.limit.per_second},
-                    {"before", before},
+                    {"before", previous_limit},
                     {"source", source}});
 }
 
 }  // namespace
 
-void NoteLimit(Proxy& proxy, const Call& call, const AnswerMetadata& facts) {
+void UpdateEndpointLimit(Proxy& proxy, const Call& call,
+                         const AnswerMetadata& metadata) {
   routing::Endpoint& endpoint = *call.attempt->endpoint;
-  if (facts.is_limit_invalid) {
-    kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "limit-unclear",
-                     {{"req", call.facts.id}, {"endpoint", endpoint.entry.id}});
+  if (metadata.is_limit_invalid) {
+    kernel::LogEvent(
+        LogPart::kEndpoint, LogLevel::kWarning, "limit-unclear",
+        {{"req", call.metadata.id}, {"endpoint", endpoint.entry.id}});
     return;
   }
-  if (!facts.limit && !facts.sealed) return;
-  const double before = endpoint.limit.per_second;
-  if (routing::OnLimit(proxy.endpoints, endpoint, facts.limit, NowOf(proxy))) {
-    LogLimit(endpoint, before, "answer");
+  if (!metadata.limit && !metadata.sealed) return;
+  const double previous_limit = endpoint.limit.per_second;
+  if (routing::OnLimit(proxy.endpoints, endpoint, metadata.limit,
+                       NowOf(proxy))) {
+    LogLimit(endpoint, previous_limit, "answer");
   }
 }
 
 void WriteLimits(Proxy& proxy, exchange::News::Builder news) {
   if (proxy.endpoints.limited.empty()) return;
-  const auto told =
+  const auto gossip =
       routing::LimitsToTell(proxy.endpoints, proxy.random, NowOf(proxy));
-  auto list = news.initLimits(static_cast<unsigned>(told.size()));
+  auto list = news.initLimits(static_cast<unsigned>(gossip.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
-    list[i].setEndpoint(told[i].endpoint);
-    list[i].setPerSecond(told[i].per_second);
+    list[i].setEndpoint(gossip[i].endpoint);
+    list[i].setPerSecond(gossip[i].per_second);
     list[i].setNamedAgoMs(static_cast<std::uint32_t>(
-        std::max<std::int64_t>(0, told[i].named_ago.count())));
+        std::max<std::int64_t>(0, gossip[i].named_ago.count())));
   }
 }
 
-void TakeLimits(Proxy& proxy, exchange::News::Reader news) {
-  for (const auto told : news.getLimits()) {
-    const std::string id = told.getEndpoint();
-    const auto at = proxy.endpoints.by_id.find(id);
-    if (at == proxy.endpoints.by_id.end()) continue;
-    const double before = at->second->limit.per_second;
+void ApplyLimits(Proxy& proxy, exchange::News::Reader news) {
+  for (const auto gossip : news.getLimits()) {
+    const std::string id = gossip.getEndpoint();
+    const auto it = proxy.endpoints.by_id.find(id);
+    if (it == proxy.endpoints.by_id.end()) continue;
+    const double previous_limit = it->second->limit.per_second;
     const bool changed = routing::HearLimit(
         proxy.endpoints,
-        {id, told.getPerSecond(), milliseconds(told.getNamedAgoMs())},
+        {id, gossip.getPerSecond(), milliseconds(gossip.getNamedAgoMs())},
         NowOf(proxy));
-    if (changed) LogLimit(*at->second, before, "peer");
+    if (changed) LogLimit(*it->second, previous_limit, "peer");
   }
 }
 
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -87,7 +87,8 @@
   auto loads = news.initLoads(static_cast<unsigned>(busy.size()));
   for (unsigned i = 0; i < loads.size(); ++i) {
     double tokens = 0;
-    for (const double some : busy[i]->waiting_tokens) tokens += some;
+    for (const double tokens_of_class : busy[i]->waiting_tokens)
+      tokens += tokens_of_class;
     loads[i].setEndpoint(busy[i]->entry.id);
     loads[i].setInFlight(busy[i]->in_flight);
     loads[i].setWaitingTokens(static_cast<std::uint32_t>(tokens));
@@ -101,20 +102,20 @@
     endpoint->others_tokens = 0;
   }
   std::erase_if(proxy.peer_loads, [now](const auto& entry) {
-    return now - entry.second.told > routing::kLoadKept;
+    return now - entry.second.received_at > routing::kLoadKept;
   });
-  for (const auto& [node, told] : proxy.peer_loads) {
-    for (const PeerLoads::Load& load : told.loads) {
-      const auto at = proxy.endpoints.by_id.find(load.endpoint);
-      if (at == proxy.endpoints.by_id.end()) continue;
-      at->second->others_in_flight += load.in_flight;
-      at->second->others_tokens += load.waiting_tokens;
+  for (const auto& [node, peer] : proxy.peer_loads) {
+    for (const PeerLoads::Load& load : peer.loads) {
+      const auto it = proxy.endpoints.by_id.find(load.endpoint);
+      if (it == proxy.endpoints.by_id.end()) continue;
+      it->second->others_in_flight += load.in_flight;
+      it->second->others_tokens += load.waiting_tokens;
     }
   }
 }
 
-void TakeLoads(Proxy& proxy, const std::string& node,
-               exchange::News::Reader news, Time now) {
+void ApplyLoads(Proxy& proxy, const std::string& node,
+                exchange::News::Reader news, Time now) {
   // In a large fleet nobody tells, and adding up goes over all endpoints.
   if (!routing::IsSmallFleet(proxy.members)) {
     if (proxy.peer_loads.empty()) return;
@@ -122,87 +123,87 @@
     SumLoads(proxy, now);
     return;
   }
-  PeerLoads& told = proxy.peer_loads[node];
-  told.told = now;
-  told.loads.clear();
+  PeerLoads& peer = proxy.peer_loads[node];
+  peer.received_at = now;
+  peer.loads.clear();
   for (const auto load : news.getLoads()) {
-    told.loads.push_back(
+    peer.loads.push_back(
         {load.getEndpoint(), load.getInFlight(), load.getWaitingTokens()});
   }
   SumLoads(proxy, now);
 }
 
-std::uint32_t MillisOf(milliseconds age) {
+std::uint32_t ToMillis(milliseconds age) {
   return static_cast<std::uint32_t>(std::max<std::int64_t>(0, age.count()));
 }
 
 void WriteSuspects(const Proxy& proxy, exchange::News::Builder news, Time now) {
   if (proxy.suspects.by_request.empty()) return;
-  const auto told = routing::SuspectsToTell(proxy.suspects, now);
-  auto list = news.initSuspects(static_cast<unsigned>(told.size()));
+  const auto gossip = routing::SuspectsToTell(proxy.suspects, now);
+  auto list = news.initSuspects(static_cast<unsigned>(gossip.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
-    list[i].setRequest(told[i].request);
-    list[i].setClearedAgoMs(MillisOf(told[i].cleared_ago));
+    list[i].setRequest(gossip[i].request);
+    list[i].setClearedAgoMs(ToMillis(gossip[i].cleared_ago));
     auto breaks =
-        list[i].initBreaks(static_cast<unsigned>(told[i].breaks.size()));
+        list[i].initBreaks(static_cast<unsigned>(gossip[i].breaks.size()));
     for (unsigned j = 0; j < breaks.size(); ++j) {
-      breaks[j].setEndpoint(told[i].breaks[j].endpoint);
-      breaks[j].setSentAgoMs(MillisOf(told[i].breaks[j].sent_ago));
-      breaks[j].setBrokeAgoMs(MillisOf(told[i].breaks[j].broke_ago));
+      breaks[j].setEndpoint(gossip[i].breaks[j].endpoint);
+      breaks[j].setSentAgoMs(ToMillis(gossip[i].breaks[j].sent_ago));
+      breaks[j].setBrokeAgoMs(ToMillis(gossip[i].breaks[j].broke_ago));
     }
   }
 }
 
-void TakeSuspects(Proxy& proxy, exchange::News::Reader news, Time now) {
+void ApplySuspects(Proxy& proxy, exchange::News::Reader news, Time now) {
   for (const auto reader : news.getSuspects()) {
-    routing::ToldSuspect told;
-    told.request = reader.getRequest();
-    told.cleared_ago = milliseconds(reader.getClearedAgoMs());
-    for (const auto seen : reader.getBreaks()) {
-      told.breaks.push_back({seen.getEndpoint(),
-                             milliseconds(seen.getSentAgoMs()),
-                             milliseconds(seen.getBrokeAgoMs())});
+    routing::ToldSuspect gossip;
+    gossip.request = reader.getRequest();
+    gossip.cleared_ago = milliseconds(reader.getClearedAgoMs());
+    for (const auto connection_break : reader.getBreaks()) {
+      gossip.breaks.push_back({connection_break.getEndpoint(),
+                               milliseconds(connection_break.getSentAgoMs()),
+                               milliseconds(connection_break.getBrokeAgoMs())});
     }
-    routing::HearSuspect(proxy.suspects, told, now);
+    routing::HearSuspect(proxy.suspects, gossip, now);
   }
 }
 
-void WriteMembers(const routing::MemberNews& told,
+void WriteMembers(const routing::MemberNews& gossip,
                   exchange::News::Builder news) {
-  auto members = news.initMembers(static_cast<unsigned>(told.members.size()));
+  auto members = news.initMembers(static_cast<unsigned>(gossip.members.size()));
   for (unsigned i = 0; i < members.size(); ++i) {
-    WriteMember(told.members[i], members[i]);
+    WriteMember(gossip.members[i], members[i]);
   }
-  auto pulses = news.initPulses(static_cast<unsigned>(told.pulses.size()));
+  auto pulses = news.initPulses(static_cast<unsigned>(gossip.pulses.size()));
   for (unsigned i = 0; i < pulses.size(); ++i) {
-    const routing::Pulse& pulse = told.pulses[i];
+    const routing::Pulse& pulse = gossip.pulses[i];
     pulses[i].setNode(pulse.node);
     pulses[i].setLife(pulse.life);
     pulses[i].setHeartbeat(static_cast<std::uint32_t>(pulse.heartbeat));
     pulses[i].setLeaving(pulse.leaving);
     pulses[i].setStoreTroubled(pulse.store_troubled);
   }
-  auto unknown = news.initUnknown(static_cast<unsigned>(told.unknown.size()));
+  auto unknown = news.initUnknown(static_cast<unsigned>(gossip.unknown.size()));
   for (unsigned i = 0; i < unknown.size(); ++i) {
-    unknown.set(i, told.unknown[i]);
+    unknown.set(i, gossip.unknown[i]);
   }
 }
 
 routing::MemberNews ReadMembers(exchange::News::Reader news) {
-  routing::MemberNews told;
+  routing::MemberNews gossip;
   for (const auto member : news.getMembers()) {
-    told.members.push_back(ReadMember(member));
+    gossip.members.push_back(ReadMember(member));
   }
   for (const auto pulse : news.getPulses()) {
-    told.pulses.push_back({pulse.getNode(), pulse.getLife(),
-                           pulse.getHeartbeat(), pulse.getLeaving(),
-                           pulse.getStoreTroubled()});
+    gossip.pulses.push_back({pulse.getNode(), pulse.getLife(),
+                             pulse.getHeartbeat(), pulse.getLeaving(),
+                             pulse.getStoreTroubled()});
   }
-  return told;
+  return gossip;
 }
 
-void TakeMembers(Proxy& proxy, const routing::MemberNews& told, Time now) {
-  for (const std::string& node : routing::Hear(proxy.members, told, now)) {
+void ApplyMembers(Proxy& proxy, const routing::MemberNews& gossip, Time now) {
+  for (const std::string& node : routing::Hear(proxy.members, gossip, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-there",
                      {{"node", node}});
   }
@@ -211,11 +212,12 @@
 }  // namespace
 
 Progress OwnProgress(const Proxy& proxy) {
-  Progress own{};
-  for (std::size_t i = 0; i < own.size(); ++i) {
-    own[i] = routing::ProgressOf(proxy.catalog, static_cast<routing::Feed>(i));
+  Progress progress{};
+  for (std::size_t i = 0; i < progress.size(); ++i) {
+    progress[i] =
+        routing::ProgressOf(proxy.catalog, static_cast<routing::Feed>(i));
   }
-  return own;
+  return progress;
 }
 
 void WriteProgress(const Progress& progress,
@@ -234,33 +236,34 @@
   return progress;
 }
 
-void WriteNews(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
-               exchange::News::Builder news) {
+void WriteGossip(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
+                 exchange::News::Builder news) {
   const Time now = NowOf(proxy);
   WriteMembers(routing::ToTell(proxy.members, unknown, proxy.random, now),
                news);
   WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeeds));
-  news.setTightDemand(static_cast<float>(proxy.agreed.mean.tight));
-  news.setRestDemand(static_cast<float>(proxy.agreed.mean.rest));
+  news.setTightDemand(static_cast<float>(proxy.agreed_demand.mean.tight));
+  news.setRestDemand(static_cast<float>(proxy.agreed_demand.mean.rest));
   WriteLoads(proxy, news);
   WriteSuspects(proxy, news, now);
   WriteLimits(proxy, news);
 }
 
-PeerState TakeNews(Proxy& proxy, exchange::News::Reader news) {
+PeerState ApplyGossip(Proxy& proxy, exchange::News::Reader news) {
   const Time now = NowOf(proxy);
-  const routing::MemberNews told = ReadMembers(news);
-  TakeMembers(proxy, told, now);
-  TakeSuspects(proxy, news, now);
-  TakeLimits(proxy, news);
-  routing::Agree(proxy.agreed, {news.getTightDemand(), news.getRestDemand()});
-  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed.mean);
+  const routing::MemberNews gossip = ReadMembers(news);
+  ApplyMembers(proxy, gossip, now);
+  ApplySuspects(proxy, news, now);
+  ApplyLimits(proxy, news);
+  routing::Agree(proxy.agreed_demand,
+                 {news.getTightDemand(), news.getRestDemand()});
+  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed_demand.mean);
   PeerState peer;
   // The first member is the sender itself.
-  if (!told.members.empty()) {
-    TakeLoads(proxy, told.members.front().node, news, now);
-    peer.peers = told.members.front().peers;
-    peer.zone = told.members.front().zone;
+  if (!gossip.members.empty()) {
+    ApplyLoads(proxy, gossip.members.front().node, news, now);
+    peer.peer_address = gossip.members.front().peers;
+    peer.zone = gossip.members.front().zone;
   }
   peer.progress = ReadProgress(news.getProgress());
   for (const auto node : news.getUnknown()) peer.unknown.push_back(node);
@@ -285,19 +288,19 @@
 
 kernel::Result<ReceivedChanges> UnpackChanges(const PackedChanges& packed,
                                               routing::Feed feed) {
-  constexpr std::size_t kMost = kNewsWords * sizeof(capnp::word);
-  BOOST_OUTCOME_TRY(bytes, net::Unpack(packed.bytes, kMost));
+  constexpr std::size_t kMaxBytes = kMaxMessageWords * sizeof(capnp::word);
+  BOOST_OUTCOME_TRY(bytes, net::Unpack(packed.bytes, kMaxBytes));
   auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.begin(), bytes.data(), words.asBytes().size());
   ReceivedChanges received;
-  const auto fault = kj::runCatchingExceptions([&] {
-    capnp::FlatArrayMessageReader message(words,
-                                          net::RpcReaderOptions(kNewsWords));
+  const auto caught = kj::runCatchingExceptions([&] {
+    capnp::FlatArrayMessageReader message(
+        words, net::RpcReaderOptions(kMaxMessageWords));
     const auto reader = message.getRoot<exchange::Changes>();
     received.changes = ReadChanges(reader);
     received.store_troubled = reader.getStoreTroubled();
   });
-  KJ_IF_MAYBE (exception, fault) {
+  KJ_IF_MAYBE (exception, caught) {
     return kernel::MakeError(kernel::ErrorCode::kInvalidInput,
                              "read changes of a peer", "",
                              exception->getDescription().cStr());
--- a/proxy/src/news_codec_p.h
+++ b/proxy/src/news_codec_p.h
@@ -16,7 +16,7 @@
 
 /// What a peer said of itself in an exchange.
 struct PeerState {
-  std::string peers;  ///< Its address for nodes; empty: unsaid.
+  std::string peer_address;  ///< Its address for nodes; empty: unsaid.
   std::string zone;
   Progress progress{};
   std::vector<std::uint32_t> unknown;  ///< Nodes that it doesn't know.
@@ -25,7 +25,7 @@
 /// Changes of one feed as they travel.
 struct PackedChanges {
   std::string bytes;
-  std::uint32_t unpacked = 0;  ///< Size before compression, in bytes.
+  std::uint32_t unpacked_bytes = 0;  ///< Size before compression, in bytes.
 };
 
 /// Changes of one feed as they were read from a message.
@@ -38,17 +38,17 @@
 Progress OwnProgress(const Proxy& proxy);
 
 /// What a peer that asked for `unknown` should hear.
-void WriteNews(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
-               exchange::News::Builder news);
+void WriteGossip(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
+                 exchange::News::Builder news);
 
 /// Takes in what a peer told.
-PeerState TakeNews(Proxy& proxy, exchange::News::Reader news);
+PeerState ApplyGossip(Proxy& proxy, exchange::News::Reader news);
 
 // named_limits.cc
 /// Writes the limits of endpoints that a peer should hear of.
 void WriteLimits(Proxy& proxy, exchange::News::Builder news);
 /// Takes in those that a peer told.
-void TakeLimits(Proxy& proxy, exchange::News::Reader news);
+void ApplyLimits(Proxy& proxy, exchange::News::Reader news);
 
 // news_codec.cc
 /// Writes progress into a list of `kFeeds`.
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -21,7 +21,7 @@
   return "content";
 }
 
-bool IsNear(const Proxy& proxy, std::string_view zone) {
+bool IsInOwnZone(const Proxy& proxy, std::string_view zone) {
   return proxy.members.self.zone == zone;
 }
 
@@ -30,137 +30,145 @@
   explicit PeerServer(Proxy& proxy) : proxy_(proxy) {}
 
   kj::Promise<void> exchange(ExchangeContext context) override {
-    const auto told = context.getParams();
-    const PeerState peer = TakeNews(proxy_, told.getNews());
-    near_ = IsNear(proxy_, peer.zone);
-    CountBytes(proxy_, "in", MessageKind::kExchange, near_,
-               told.totalSize().wordCount);
+    const auto params = context.getParams();
+    const PeerState peer = ApplyGossip(proxy_, params.getNews());
+    same_zone_ = IsInOwnZone(proxy_, peer.zone);
+    CountBytes(proxy_, "in", MessageKind::kExchange, same_zone_,
+               params.totalSize().wordCount);
     routing::OnExchanged(proxy_.members, NowOf(proxy_));
-    routing::OnHeardFrom(proxy_.members, peer.peers, NowOf(proxy_));
+    routing::OnHeardFrom(proxy_.members, peer.peer_address, NowOf(proxy_));
     auto news = context.getResults().initNews();
-    WriteNews(proxy_, peer.unknown, news);
-    CountBytes(proxy_, "out", MessageKind::kExchange, near_,
+    WriteGossip(proxy_, peer.unknown, news);
+    CountBytes(proxy_, "out", MessageKind::kExchange, same_zone_,
                news.totalSize().wordCount);
-    HearProgress(proxy_, peer.peers, near_, peer.progress);
+    OnPeerProgress(proxy_, peer.peer_address, same_zone_, peer.progress);
     return kj::READY_NOW;
   }
 
   kj::Promise<void> fetch(FetchContext context) override {
-    const auto asked = context.getParams();
-    ServeContent(proxy_, near_, asked.getFeed(), asked.getAfter(),
-                 context.getResults());
+    const auto params = context.getParams();
+    AnswerFetch(proxy_, same_zone_, params.getFeed(), params.getAfter(),
+                context.getResults());
     return kj::READY_NOW;
   }
 
   kj::Promise<void> announce(AnnounceContext context) override {
-    const auto told = context.getParams();
-    near_ = IsNear(proxy_, std::string_view(told.getZone().cStr()));
-    CountBytes(proxy_, "in", MessageKind::kAnnounce, near_,
-               told.totalSize().wordCount);
-    const std::string peer = told.getPeers();
+    const auto params = context.getParams();
+    same_zone_ = IsInOwnZone(proxy_, std::string_view(params.getZone().cStr()));
+    CountBytes(proxy_, "in", MessageKind::kAnnounce, same_zone_,
+               params.totalSize().wordCount);
+    const std::string peer = params.getPeers();
     routing::OnHeardFrom(proxy_.members, peer, NowOf(proxy_));
-    HearProgress(proxy_, peer, near_, ReadProgress(told.getProgress()));
+    OnPeerProgress(proxy_, peer, same_zone_,
+                   ReadProgress(params.getProgress()));
     return kj::READY_NOW;
   }
 
  private:
   Proxy& proxy_;
-  bool near_ = false;  // As the peer last said.
+  bool same_zone_ = false;  // As the peer last said.
 };
 
 void AcceptPeer(evconnlistener* /*listener*/, evutil_socket_t fd,
                 sockaddr* /*address*/, int /*size*/, void* arg) {
-  auto& net = *static_cast<PeerNet*>(arg);
-  if (net.in.size() >= kPeerConnections) {
+  auto& network = *static_cast<PeerNetwork*>(arg);
+  if (network.incoming.size() >= kMaxPeerConnections) {
     evutil_closesocket(fd);
     return;
   }
   net::PrepareSocket(fd);
-  net::Bufferevent buffer(bufferevent_socket_new(net.proxy->loop->base.get(),
-                                                 fd, BEV_OPT_CLOSE_ON_FREE));
-  net.in.push_back(std::make_unique<net::RpcServerConnection>(
-      std::move(buffer), kj::heap<PeerServer>(*net.proxy), kNewsWords));
+  net::Bufferevent buffer(bufferevent_socket_new(
+      network.proxy->loop->base.get(), fd, BEV_OPT_CLOSE_ON_FREE));
+  network.incoming.push_back(std::make_unique<net::RpcServerConnection>(
+      std::move(buffer), kj::heap<PeerServer>(*network.proxy),
+      kMaxMessageWords));
 }
 
-bool IsOver(const PeerOut& peer, Time now) {
+bool HasFailed(const PeerConnection& peer, Time now) {
   return peer.broken || peer.rpc.stream.IsOver() ||
-         (peer.unanswered > 0 && now - peer.waits_since > kExchangeTime);
+         (peer.unanswered_calls > 0 &&
+          now - peer.waits_since > kExchangeTimeout);
 }
 
-void Sweep(PeerNet& net) {
-  const Time now = NowOf(*net.proxy);
-  for (auto at = net.out.begin(); at != net.out.end();) {
-    const PeerOut& peer = *at->second;
-    const bool over = IsOver(peer, now);
-    if (over && !peer.answered && now - peer.opened < kRefusedWithin) {
-      routing::OnUnreachable(net.proxy->members, at->first, now);
+void SweepConnections(PeerNetwork& network) {
+  const Time now = NowOf(*network.proxy);
+  for (auto it = network.outgoing.begin(); it != network.outgoing.end();) {
+    const PeerConnection& peer = *it->second;
+    const bool has_failed = HasFailed(peer, now);
+    if (has_failed && !peer.has_answered &&
+        now - peer.opened_at < kMaxRefusalTime) {
+      routing::OnUnreachable(network.proxy->members, it->first, now);
     }
-    if (over) {
-      for (routing::FeedPull& pull : net.pulls.feeds) {
-        routing::OnPullFailed(pull, at->first, routing::kPullSilentPause, now);
+    if (has_failed) {
+      for (routing::FeedPull& pull : network.pulls.feeds) {
+        routing::OnPullFailed(pull, it->first, routing::kPullSilentPause, now);
       }
     }
-    at = over || now - peer.asked > kPeerIdleTime ? net.out.erase(at)
-                                                  : std::next(at);
+    it = has_failed || now - peer.last_request_at > kPeerIdleTimeout
+             ? network.outgoing.erase(it)
+             : std::next(it);
   }
-  std::erase_if(net.in, [](const auto& peer) {
+  std::erase_if(network.incoming, [](const auto& peer) {
     return peer->broken || peer->stream.IsOver();
   });
-  FetchNews(*net.proxy);
+  FetchMissingChanges(*network.proxy);
 }
 
-PeerOut* Connect(PeerNet& net, const std::string& address, Time now) {
+PeerConnection* Connect(PeerNetwork& network, const std::string& address,
+                        Time now) {
   auto target = net::ParseAddress(address);
   if (!target) return nullptr;
-  net::Bufferevent buffer(bufferevent_socket_new(net.proxy->loop->base.get(),
-                                                 -1, BEV_OPT_CLOSE_ON_FREE));
+  net::Bufferevent buffer(bufferevent_socket_new(
+      network.proxy->loop->base.get(), -1, BEV_OPT_CLOSE_ON_FREE));
   if (bufferevent_socket_connect(buffer.get(), target->get(), target->size) !=
       0) {
     return nullptr;
   }
   net::PrepareSocket(bufferevent_getfd(buffer.get()));
-  return net.out
-      .emplace(address, std::make_unique<PeerOut>(std::move(buffer), now))
+  return network.outgoing
+      .emplace(address,
+               std::make_unique<PeerConnection>(std::move(buffer), now))
       .first->second.get();
 }
 
-void ExchangeWith(PeerNet& net, const std::string& address) {
-  Proxy& proxy = *net.proxy;
-  PeerOut* peer = PeerAt(net, address);
+void ExchangeWith(PeerNetwork& network, const std::string& address) {
+  Proxy& proxy = *network.proxy;
+  PeerConnection* peer = GetOrConnectPeer(network, address);
   // One at a time: what is told is state, and the next exchange tells it anew.
   if (peer == nullptr || peer->exchanging) return;
-  auto request = peer->peer.exchangeRequest();
-  WriteNews(proxy, peer->unknown, request.initNews());
-  CountBytes(proxy, "out", MessageKind::kExchange, peer->near,
+  auto request = peer->client.exchangeRequest();
+  WriteGossip(proxy, peer->unknown, request.initNews());
+  CountBytes(proxy, "out", MessageKind::kExchange, peer->same_zone,
              request.totalSize().wordCount);
   peer->exchanging = true;
-  OnAsk(*peer, NowOf(proxy));
+  OnRequestSent(*peer, NowOf(proxy));
   peer->tasks.add(request.send().then([&proxy, peer, address](auto&& answer) {
     peer->exchanging = false;
-    OnAnswer(*peer, NowOf(proxy));
+    OnReplyReceived(*peer, NowOf(proxy));
     routing::OnExchanged(proxy.members, NowOf(proxy));
     routing::OnHeardFrom(proxy.members, address, NowOf(proxy));
-    PeerState state = TakeNews(proxy, answer.getNews());
-    peer->near = IsNear(proxy, state.zone);
-    CountBytes(proxy, "in", MessageKind::kExchange, peer->near,
+    PeerState state = ApplyGossip(proxy, answer.getNews());
+    peer->same_zone = IsInOwnZone(proxy, state.zone);
+    CountBytes(proxy, "in", MessageKind::kExchange, peer->same_zone,
                answer.totalSize().wordCount);
     peer->unknown = std::move(state.unknown);
-    HearProgress(proxy, address, peer->near, state.progress);
+    OnPeerProgress(proxy, address, peer->same_zone, state.progress);
   }));
 }
 
 // Exchanges that were begun and not answered for a while.
-std::size_t Hanging(const PeerNet& net, Time now) {
-  const auto hanging =
-      std::count_if(net.out.begin(), net.out.end(), [now](const auto& entry) {
-        const PeerOut& peer = *entry.second;
+std::size_t CountUnansweredExchanges(const PeerNetwork& network, Time now) {
+  const auto unanswered = std::count_if(
+      network.outgoing.begin(), network.outgoing.end(),
+      [now](const auto& entry) {
+        const PeerConnection& peer = *entry.second;
         return peer.exchanging && now - peer.waits_since >= routing::kHanging;
       });
-  return static_cast<std::size_t>(hanging);
+  return static_cast<std::size_t>(unanswered);
 }
 
 // Addresses of members that are there, drawn at random.
-std::vector<std::string> DrawPeers(Proxy& proxy, std::size_t most) {
+std::vector<std::string> SampleLivePeers(Proxy& proxy, std::size_t max_count) {
   const Time now = NowOf(proxy);
   std::vector<std::string> peers;
   for (const auto& [node, known] : proxy.members.others) {
@@ -168,7 +176,7 @@
       peers.push_back(known.member.peers);
     }
   }
-  const std::size_t count = std::min(peers.size(), most);
+  const std::size_t count = std::min(peers.size(), max_count);
   for (std::size_t i = 0; i < count; ++i) {
     std::swap(peers[i],
               peers[i + kernel::Below(proxy.random, peers.size() - i)]);
@@ -177,79 +185,85 @@
   return peers;
 }
 
-void AnnounceTo(PeerNet& net, const std::string& address) {
-  Proxy& proxy = *net.proxy;
-  PeerOut* peer = PeerAt(net, address);
+void AnnounceTo(PeerNetwork& network, const std::string& address) {
+  Proxy& proxy = *network.proxy;
+  PeerConnection* peer = GetOrConnectPeer(network, address);
   if (peer == nullptr) return;
-  auto request = peer->peer.announceRequest();
+  auto request = peer->client.announceRequest();
   request.setPeers(proxy.members.self.peers);
   request.setZone(proxy.members.self.zone);
   WriteProgress(OwnProgress(proxy), request.initProgress(routing::kFeeds));
-  CountBytes(proxy, "out", MessageKind::kAnnounce, peer->near,
+  CountBytes(proxy, "out", MessageKind::kAnnounce, peer->same_zone,
              request.totalSize().wordCount);
-  OnAsk(*peer, NowOf(proxy));
-  peer->tasks.add(request.send().then(
-      [&proxy, peer](auto&& /*answer*/) { OnAnswer(*peer, NowOf(proxy)); }));
+  OnRequestSent(*peer, NowOf(proxy));
+  peer->tasks.add(request.send().then([&proxy, peer](auto&& /*answer*/) {
+    OnReplyReceived(*peer, NowOf(proxy));
+  }));
 }
 
 }  // namespace
 
 void CountBytes(Proxy& proxy, const char* direction, MessageKind message,
-                bool near, std::uint64_t words) {
+                bool same_zone, std::uint64_t words) {
   kernel::Increment(
       proxy.metrics,
       kernel::AddCounter(proxy.metrics, "egretladder_peer_bytes_total",
                          "Bytes exchanged with peers.",
                          std::string("direction=\"") + direction +
                              "\",message=\"" + NameOf(message) + "\",zone=\"" +
-                             (near ? "own" : "other") + "\""),
+                             (same_zone ? "own" : "other") + "\""),
       words * sizeof(capnp::word));
 }
 
-PeerOut* PeerAt(PeerNet& net, const std::string& address) {
-  const Time now = NowOf(*net.proxy);
-  const auto at = net.out.find(address);
-  if (at == net.out.end()) return Connect(net, address, now);
-  if (!IsOver(*at->second, now)) return at->second.get();
-  net.out.erase(at);
-  return Connect(net, address, now);
+PeerConnection* GetOrConnectPeer(PeerNetwork& network,
+                                 const std::string& address) {
+  const Time now = NowOf(*network.proxy);
+  const auto it = network.outgoing.find(address);
+  if (it == network.outgoing.end()) return Connect(network, address, now);
+  if (!HasFailed(*it->second, now)) return it->second.get();
+  network.outgoing.erase(it);
+  return Connect(network, address, now);
 }
 
-void OnAsk(PeerOut& peer, Time now) {
-  if (peer.unanswered++ == 0) peer.waits_since = now;
-  peer.asked = now;
+void OnRequestSent(PeerConnection& peer, Time now) {
+  if (peer.unanswered_calls++ == 0) peer.waits_since = now;
+  peer.last_request_at = now;
 }
 
-void OnAnswer(PeerOut& peer, Time now) {
-  --peer.unanswered;
+void OnReplyReceived(PeerConnection& peer, Time now) {
+  --peer.unanswered_calls;
   peer.waits_since = now;
-  peer.answered = true;
+  peer.has_answered = true;
 }
 
-void PeerNetDelete::operator()(PeerNet* net) const { delete net; }
+void PeerNetworkDelete::operator()(PeerNetwork* network) const {
+  delete network;
+}
 
-kernel::Result<PeerNetPtr> OpenPeers(Proxy& proxy, std::string* address) {
-  PeerNetPtr net(new PeerNet);
-  net->proxy = &proxy;
+kernel::Result<PeerNetworkPtr> OpenPeers(Proxy& proxy, std::string* address) {
+  PeerNetworkPtr network(new PeerNetwork);
+  network->proxy = &proxy;
   BOOST_OUTCOME_TRY(kj, net::AcquireKjLoop(*proxy.loop));
-  net->kj = std::move(kj);
+  network->kj = std::move(kj);
   BOOST_OUTCOME_TRY(
       listener, net::ListenOn(proxy.loop->base.get(), proxy.options.peers, -1,
-                              AcceptPeer, net.get()));
-  net->listener = std::move(listener);
+                              AcceptPeer, network.get()));
+  network->listener = std::move(listener);
   *address = net::WithBoundPort(proxy.options.peers,
-                                evconnlistener_get_fd(net->listener.get()));
-  net->sweep =
-      kernel::Every(*proxy.loop, kTick, [raw = net.get()] { Sweep(*raw); });
-  return net;
+                                evconnlistener_get_fd(network->listener.get()));
+  network->sweep_timer =
+      kernel::Every(*proxy.loop, kTickInterval,
+                    [raw = network.get()] { SweepConnections(*raw); });
+  return network;
 }
 
 void Exchange(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  routing::Pull(proxy.agreed, proxy.sides, now);
-  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed.mean);
+  routing::Pull(proxy.agreed_demand, proxy.side_meter, now);
+  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed_demand.mean);
   routing::Beat(proxy.members, now);
-  const std::size_t peers = routing::PeersToTry(Hanging(*proxy.peers, now));
+  const std::size_t peers =
+      routing::PeersToTry(CountUnansweredExchanges(*proxy.peers, now));
   for (std::size_t i = 0; i < peers; ++i) {
     const std::string address =
         routing::NextPeer(proxy.members, proxy.random, now);
@@ -257,14 +271,14 @@
   }
 }
 
-void TellMany(Proxy& proxy) {
+void ExchangeWithManyPeers(Proxy& proxy) {
   routing::Beat(proxy.members, NowOf(proxy));
-  for (const std::string& peer : DrawPeers(proxy, routing::kToldAtOnce)) {
+  for (const std::string& peer : SampleLivePeers(proxy, routing::kToldAtOnce)) {
     ExchangeWith(*proxy.peers, peer);
   }
 }
 
-void TellStandbys(Proxy& proxy) {
+void AnnounceToStandbys(Proxy& proxy) {
   if (routing::IsSmallFleet(proxy.members)) return;
   for (const std::string& peer :
        routing::StandbysOf(proxy.members, NowOf(proxy))) {
@@ -272,18 +286,19 @@
   }
 }
 
-void NewsSoon(Proxy& proxy, std::size_t announce_to) {
-  PeerNet& net = *proxy.peers;
-  net.announce_to = std::max(net.announce_to, announce_to);
-  if (std::exchange(net.soon_armed, true)) return;
-  net.soon = kernel::After(*proxy.loop, milliseconds(0), [&proxy, &net] {
-    net.soon_armed = false;
-    FetchNews(proxy);
-    const std::size_t most = std::exchange(net.announce_to, 0);
-    for (const std::string& peer : DrawPeers(proxy, most)) {
-      AnnounceTo(net, peer);
-    }
-  });
+void ScheduleFetchAndAnnounce(Proxy& proxy, std::size_t announce_count) {
+  PeerNetwork& network = *proxy.peers;
+  network.announce_count = std::max(network.announce_count, announce_count);
+  if (std::exchange(network.update_scheduled, true)) return;
+  network.update_timer =
+      kernel::After(*proxy.loop, milliseconds(0), [&proxy, &network] {
+        network.update_scheduled = false;
+        FetchMissingChanges(proxy);
+        const std::size_t max_count = std::exchange(network.announce_count, 0);
+        for (const std::string& peer : SampleLivePeers(proxy, max_count)) {
+          AnnounceTo(network, peer);
+        }
+      });
 }
 
 }  // namespace egretladder::proxy
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -11,19 +11,20 @@
 using kernel::LogLevel;
 using kernel::LogPart;
 
-void OnPaused(Proxy& proxy, milliseconds gap) {
+void OnProcessPause(Proxy& proxy, milliseconds gap) {
   // The process stood still: watches may have gone silent, and what peers said
   // is old.
   kernel::LogEvent(LogPart::kKernel, LogLevel::kWarning, "stood-still",
                    {{"ms", gap}});
-  RestartReading(proxy);
+  RestartStoreReaders(proxy);
 }
 
 void OnTick(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  const auto gap = std::chrono::duration_cast<milliseconds>(now - proxy.ticked);
-  proxy.ticked = now;
-  if (gap > kPaused) OnPaused(proxy, gap);
+  const auto gap =
+      std::chrono::duration_cast<milliseconds>(now - proxy.last_tick_at);
+  proxy.last_tick_at = now;
+  if (gap > kMinProcessPause) OnProcessPause(proxy, gap);
   OnStopTick(proxy);
   for (const std::string& id : routing::DropLapsed(proxy.endpoints, now)) {
     kernel::LogEvent(
@@ -36,37 +37,39 @@
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-forgotten",
                      {{"node", node}});
   }
-  UpdateReading(proxy);
+  UpdateStoreReaders(proxy);
   kernel::FlushEventLog();
 }
 
 void ExchangeWhenDue(Proxy& proxy) {
   const Time now = NowOf(proxy);
   // The timer is not exact, and a turn that is a little early must not be lost.
-  const auto due = routing::kExchangePeriodLarge - routing::kExchangePeriod / 2;
-  if (!routing::IsSmallFleet(proxy.members) && now - proxy.exchanged < due) {
+  const auto min_interval =
+      routing::kExchangePeriodLarge - routing::kExchangePeriod / 2;
+  if (!routing::IsSmallFleet(proxy.members) &&
+      now - proxy.last_exchange_at < min_interval) {
     return;
   }
-  proxy.exchanged = now;
+  proxy.last_exchange_at = now;
   Exchange(proxy);
 }
 
-kernel::Result<std::unique_ptr<net::HttpServer>> Serve(
+kernel::Result<std::unique_ptr<net::HttpServer>> StartServer(
     Proxy& proxy, const std::string& address,
     void (*answer)(Proxy&, const net::HttpCallPtr&)) {
   net::ServerHandlers handlers;
   handlers.on_request = [&proxy, answer](const net::HttpCallPtr& call) {
     answer(proxy, call);
   };
-  handlers.on_refused = [&proxy](int status, const std::string& why) {
-    Count(proxy, "egretladder_unreadable_total",
-          "Requests refused since they could not be read.",
-          "status=\"" + std::to_string(status) + "\"");
+  handlers.on_refused = [&proxy](int status, const std::string& reason) {
+    IncrementCounter(proxy, "egretladder_unreadable_total",
+                     "Requests refused since they could not be read.",
+                     "status=\"" + std::to_string(status) + "\"");
     kernel::LogEvent(LogPart::kCaller, LogLevel::kWarning, "unreadable",
-                     {{"status", status}, {"why", why}});
+                     {{"status", status}, {"why", reason}});
   };
-  handlers.refusal_body = [](int /*status*/, std::string_view why) {
-    return ErrorBody("bad_request", why, "no");
+  handlers.refusal_body = [](int /*status*/, std::string_view reason) {
+    return ErrorBody("bad_request", reason, "no");
   };
   auto server =
       std::make_unique<net::HttpServer>(*proxy.loop, std::move(handlers));
@@ -76,24 +79,25 @@
 
 kernel::Result<void> OpenServers(Proxy& proxy) {
   const ProxyOptions& options = proxy.options;
-  BOOST_OUTCOME_TRY(callers, Serve(proxy, options.callers, OnRequest));
-  proxy.callers = std::move(callers);
-  BOOST_OUTCOME_TRY(ready, Serve(proxy, options.ready, AnswerReady));
-  proxy.ready = std::move(ready);
+  BOOST_OUTCOME_TRY(callers, StartServer(proxy, options.callers, OnRequest));
+  proxy.caller_server = std::move(callers);
+  BOOST_OUTCOME_TRY(ready, StartServer(proxy, options.ready, AnswerReady));
+  proxy.ready_server = std::move(ready);
   BOOST_OUTCOME_TRY(directory,
-                    Serve(proxy, options.directory, AnswerDirectory));
-  proxy.directory = std::move(directory);
+                    StartServer(proxy, options.directory, AnswerDirectory));
+  proxy.directory_server = std::move(directory);
   if (options.metrics.empty()) return boost::outcome_v2::success();
-  BOOST_OUTCOME_TRY(metrics, Serve(proxy, options.metrics, AnswerMetrics));
+  BOOST_OUTCOME_TRY(metrics,
+                    StartServer(proxy, options.metrics, AnswerMetrics));
   proxy.metrics_server = std::move(metrics);
   return boost::outcome_v2::success();
 }
 
-routing::Member SelfOf(const Proxy& proxy, const std::string& peers) {
+routing::Member MakeSelf(const Proxy& proxy, const std::string& peer_address) {
   routing::Member self;
   self.node = proxy.options.node;
-  self.callers = proxy.callers->address();
-  self.peers = peers;
+  self.callers = proxy.caller_server->address();
+  self.peers = peer_address;
   self.zone = proxy.options.zone;
   self.region = proxy.options.region;
   // The time of day: higher with each start unless the clock goes back, and
@@ -110,7 +114,7 @@
 void ProxyDelete::operator()(Proxy* proxy) const {
   const auto calls = proxy->calls;
   for (const auto& [number, call] : calls) {
-    DropAttempt(*proxy, call);
+    CancelAttempt(*proxy, call);
     call->caller->OnGone(nullptr);
     call->caller->Break();
   }
@@ -129,7 +133,7 @@
   ProxyPtr proxy(new Proxy);
   proxy->loop = &loop;
   proxy->options = options;
-  proxy->endpoints.off = options.placing_without;
+  proxy->endpoints.off = options.disabled_mechanisms;
   proxy->dialect = kernel::FindPlugin<Dialect>(options.dialect);
   if (proxy->dialect == nullptr) {
     return kernel::MakeError(kernel::ErrorCode::kInvalidInput, "start",
@@ -138,19 +142,19 @@
   proxy->random.seed(kernel::SecretBits());
   proxy->client = std::make_unique<net::HttpClient>(loop);
   BOOST_OUTCOME_TRY(OpenServers(*proxy));
-  std::string peers;
-  BOOST_OUTCOME_TRY(net, OpenPeers(*proxy, &peers));
-  proxy->peers = std::move(net);
+  std::string peer_address;
+  BOOST_OUTCOME_TRY(network, OpenPeers(*proxy, &peer_address));
+  proxy->peers = std::move(network);
   const Time now = NowOf(*proxy);
   proxy->members =
-      routing::StartMembers(SelfOf(*proxy, peers), options.seeds, now);
-  proxy->ticked = now;
+      routing::StartMembers(MakeSelf(*proxy, peer_address), options.seeds, now);
+  proxy->last_tick_at = now;
   proxy->tick =
-      kernel::Every(loop, kTick, [raw = proxy.get()] { OnTick(*raw); });
+      kernel::Every(loop, kTickInterval, [raw = proxy.get()] { OnTick(*raw); });
   proxy->exchange_tick =
       kernel::Every(loop, routing::kExchangePeriod,
                     [raw = proxy.get()] { ExchangeWhenDue(*raw); });
-  StartReading(*proxy);
+  StartStoreReaders(*proxy);
   Exchange(*proxy);
   return proxy;
 }
@@ -163,9 +167,9 @@
 
 ProxyView ViewOf(Proxy& proxy) {
   ProxyView view;
-  view.callers = proxy.callers->address();
-  view.ready = proxy.ready->address();
-  view.directory = proxy.directory->address();
+  view.callers = proxy.caller_server->address();
+  view.ready = proxy.ready_server->address();
+  view.directory = proxy.directory_server->address();
   view.peers = proxy.members.self.peers;
   if (proxy.metrics_server != nullptr) {
     view.metrics = proxy.metrics_server->address();
@@ -176,7 +180,7 @@
   view.calls = proxy.calls.size();
   view.waiting = proxy.waiting.size();
   view.cut = proxy.cut;
-  view.undelivered = UntakenOf(proxy);
+  view.undelivered = CountUndeliveredAnswers(proxy);
   view.ready_now = IsReady(proxy);
   return view;
 }
--- a/proxy/src/settings.cc
+++ b/proxy/src/settings.cc
@@ -64,7 +64,7 @@
   options.directory = text("listen", "directory");
   options.peers = text("listen", "peers");
   options.metrics = text("listen", "metrics");
-  options.new_fleet = text("peers", "fleet") == "new";
+  options.is_new_fleet = text("peers", "fleet") == "new";
   options.store = text("store", "address");
   options.seeds = kernel::SplitList(text("peers", "seeds"));
 }
@@ -76,7 +76,7 @@
   options.memory_bytes = kernel::BytesOf(settings, "limits", "memory");
   options.descriptors = kernel::CountOf(settings, "limits", "descriptors");
   options.grace = kernel::DurationOf(settings, "stop", "grace");
-  options.directory_keep = kernel::DurationOf(settings, "directory", "keep");
+  options.directory_ttl = kernel::DurationOf(settings, "directory", "keep");
 }
 
 void ReadPlacing(const kernel::Settings& settings,
@@ -84,7 +84,7 @@
   for (const std::string& name :
        kernel::SplitList(kernel::TextOf(settings, "placing", "without"))) {
     if (const auto mechanism = routing::FindMechanism(name)) {
-      options.placing_without.set(static_cast<std::size_t>(*mechanism));
+      options.disabled_mechanisms.set(static_cast<std::size_t>(*mechanism));
     } else {
       checker.Fault(
           "placing", "without",
@@ -96,15 +96,15 @@
 // A grace time that ends while callers still keep the address would cut what
 // they send, with nothing to tell the operator why.
 void CheckStop(const ProxyOptions& options, kernel::SettingsChecker& checker) {
-  if (options.directory_keep.count() == 0) {
+  if (options.directory_ttl.count() == 0) {
     checker.Fault("directory", "keep", "is 0, expected a time above 0");
   }
-  const policy::StopPlan plan = StopPlanOf(options);
-  const milliseconds least = policy::ShortestGrace(plan);
-  if (options.grace >= least) return;
+  const policy::StopPlan plan = MakeStopPlan(options);
+  const milliseconds min_grace = policy::ShortestGrace(plan);
+  if (options.grace >= min_grace) return;
   checker.Fault("stop", "grace",
                 "is " + std::to_string(options.grace.count()) +
-                    "ms, expected " + std::to_string(least.count()) +
+                    "ms, expected " + std::to_string(min_grace.count()) +
                     "ms or more, as callers keep addresses for " +
                     std::to_string(plan.addresses_kept.count()) +
                     "ms with this directory.keep");
@@ -143,13 +143,14 @@
 
 kernel::Result<ProxyConfig> ReadProxyConfig(
     const std::string& text, std::string_view file,
-    std::vector<kernel::Error>* faults) {
-  BOOST_OUTCOME_TRY(settings, kernel::ReadSettings(text, file, kSpecs, faults));
+    std::vector<kernel::Error>* all_errors) {
+  BOOST_OUTCOME_TRY(settings,
+                    kernel::ReadSettings(text, file, kSpecs, all_errors));
   ProxyConfig config;
   ReadNode(settings, config.proxy);
   ReadNumbers(settings, config.proxy);
-  std::vector<kernel::Error> found;
-  kernel::SettingsChecker checker(text, file, found);
+  std::vector<kernel::Error> errors;
+  kernel::SettingsChecker checker(text, file, errors);
   ReadPlacing(settings, checker, config.proxy);
   Check(settings, config.proxy, checker);
   const std::string& level = kernel::TextOf(settings, "log", "level");
@@ -159,9 +160,9 @@
     checker.Fault("log", "level",
                   "is '" + level + "', expected debug, info, warning or error");
   }
-  if (found.empty()) return config;
-  const kernel::Error first = found.front();
-  if (faults != nullptr) *faults = std::move(found);
+  if (errors.empty()) return config;
+  const kernel::Error first = errors.front();
+  if (all_errors != nullptr) *all_errors = std::move(errors);
   return first;
 }
 
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -34,7 +34,7 @@
 using kernel::Time;
 
 /// Times of one class of calls.
-struct ClassMeasures {
+struct ClassMetrics {
   kernel::HistogramHandle first_event;
   kernel::HistogramHandle whole_answer;
   kernel::HistogramHandle waited;
@@ -47,14 +47,15 @@
   routing::EndpointPtr endpoint;
   routing::Placement placement;
   net::HttpExchangePtr exchange;
-  Time sent{};
+  Time sent_at{};
   bool request_sent = false;  ///< The first byte was sent.
   bool started = false;       ///< The endpoint answered or sent an event.
-  bool events = false;  ///< The answer is a stream, passed on as it comes.
-  Time paced{};         ///< Begin of the present sample of its pace.
-  std::uint64_t paced_events = 0;  ///< Events in that sample so far.
+  bool is_event_stream =
+      false;                 ///< The answer is a stream, passed on as it comes.
+  Time pace_sample_start{};  ///< Begin of the present sample of its pace.
+  std::uint64_t pace_sample_events = 0;  ///< Events in that sample so far.
   net::HttpAnswerHead head;
-  AnswerMetadata facts;
+  AnswerMetadata metadata;
   std::string body;  ///< Of an answer that is held whole.
   net::EventSplitter splitter;
 };
@@ -63,20 +64,20 @@
 struct Call {
   std::uint64_t number = 0;
   net::HttpCallPtr caller;
-  RequestMetadata facts;
+  RequestMetadata metadata;
   routing::RouteTablePtr table;  ///< In force when it arrived.
   const routing::Route* route = nullptr;
   const routing::ClientAccount* account = nullptr;  ///< Null: none.
   const routing::Service* service = nullptr;
-  const ClassMeasures* measures = nullptr;
+  const ClassMetrics* class_metrics = nullptr;
   routing::Demand demand;
-  Time arrived{};
+  Time arrived_at{};
   Time deadline{};
-  std::vector<routing::EndpointPtr> tried;
+  std::vector<routing::EndpointPtr> tried_endpoints;
   std::uint32_t may_have_run = 0;
   std::uint32_t not_run = 0;   ///< Attempts that endpoints turned away.
   std::uint32_t not_sent = 0;  ///< Attempts without a connection.
-  std::uint32_t arrivals = 0;  ///< Sends that reached an endpoint.
+  std::uint32_t delivered_attempts = 0;  ///< Sends that reached an endpoint.
   std::unique_ptr<Attempt> attempt;
   std::string last_event_id;  ///< That the caller got from this node.
   std::uint64_t events = 0;
@@ -85,29 +86,31 @@
   milliseconds longest_pause{};  ///< Between two events that callers got.
   bool waiting = false;
   Time waits_since{};  ///< Since it has needed an endpoint.
-  kernel::Watch timeout;
-  kernel::Watch patience;
+  kernel::Watch deadline_timer;
+  kernel::Watch silence_timer;
   std::size_t body_bytes = 0;
   std::uint64_t fingerprint = 0;  ///< Of what it asks; 0: not needed so far.
-  int refused_with = 0;     ///< Status of this node's own refusal; 0: none.
-  bool ended_well = false;  ///< The caller got the endpoint's success.
+  int refusal_status = 0;  ///< Status of this node's own refusal; 0: none.
+  bool succeeded = false;  ///< The caller got the endpoint's success.
 };
 using CallPtr = std::shared_ptr<Call>;
 
 /// The reading of one feed.
 struct StoreReader {
   routing::Feed feed = routing::Feed::kRules;
-  bool listed = false;  ///< A whole list came since the start or the last gap.
+  bool has_full_list =
+      false;  ///< A whole list came since the start or the last gap.
   bool reading = false;
   bool watching = false;  ///< What is being read is a watch.
-  Time changed_since{};   ///< A peer told of changes that the watch didn't.
-  routing::Changes list;  ///< Of the pages so far.
-  std::string after;      ///< Last key of the pages so far.
+  Time
+      missed_change_since{};  ///< A peer told of changes that the watch didn't.
+  routing::Changes partial_list;  ///< Of the pages so far.
+  std::string last_key;           ///< Last key of the pages so far.
   net::HttpExchangePtr exchange;
   std::string body;
   int status = 0;
   milliseconds backoff{};
-  bool waits_for_rules = false;  ///< Tried again once the rules were read.
+  bool waiting_for_rules = false;  ///< Tried again once the rules were read.
   kernel::Watch timer;
   std::uint64_t calls = 0;
 };
@@ -119,19 +122,19 @@
     std::uint32_t in_flight = 0;
     std::uint32_t waiting_tokens = 0;
   };
-  Time told{};
+  Time received_at{};
   std::vector<Load> loads;
 };
 
-struct PeerNet;
-struct PeerNetDelete {
-  void operator()(PeerNet* net) const;
+struct PeerNetwork;
+struct PeerNetworkDelete {
+  void operator()(PeerNetwork* net) const;
 };
-using PeerNetPtr = std::unique_ptr<PeerNet, PeerNetDelete>;
+using PeerNetworkPtr = std::unique_ptr<PeerNetwork, PeerNetworkDelete>;
 
 /// Series made on first use.
-struct Measures {
-  std::map<std::string, ClassMeasures> classes;
+struct MetricSeries {
+  std::map<std::string, ClassMetrics> classes;
   std::unordered_map<std::string, kernel::CounterHandle> calls;  ///< By labels.
   std::map<std::string, std::uint32_t> endpoint_states;          ///< By labels.
 };
@@ -141,7 +144,7 @@
   ProxyOptions options;
   const Dialect* dialect = nullptr;
   kernel::Metrics metrics;
-  Measures measures;
+  MetricSeries series;
   kernel::Random random;
 
   // What it knows.
@@ -151,66 +154,66 @@
   routing::EndpointSet endpoints;
   routing::Members members;
   std::map<std::string, PeerLoads> peer_loads;
-  routing::SideMeter sides;
-  routing::AgreedDemand agreed;
+  routing::SideMeter side_meter;
+  routing::AgreedDemand agreed_demand;
   std::unordered_map<std::string, routing::RetryShare> retry_shares;
   routing::Suspects suspects;
-  Time store_trouble{};  ///< Last failed call; default: none.
+  Time last_store_failure{};  ///< Last failed call; default: none.
 
   // What it does.
   std::unique_ptr<net::HttpClient> client;
-  std::unique_ptr<net::HttpServer> callers;
-  std::unique_ptr<net::HttpServer> ready;
-  std::unique_ptr<net::HttpServer> directory;
+  std::unique_ptr<net::HttpServer> caller_server;
+  std::unique_ptr<net::HttpServer> ready_server;
+  std::unique_ptr<net::HttpServer> directory_server;
   std::unique_ptr<net::HttpServer> metrics_server;
   std::array<StoreReader, routing::kFeeds> readers;
   bool reads_store = false;  ///< Else other nodes read it for this one.
   /// A node that knows nothing reads the store from then on.
-  Time store_from{};
+  Time initial_read_at{};
   std::unordered_map<std::uint64_t, CallPtr> calls;
   std::map<std::pair<routing::Tier, std::uint64_t>, CallPtr> waiting;
   kernel::Watch waiting_timer;
-  bool waiting_timed = false;
+  bool waiting_timer_armed = false;
   std::size_t body_bytes = 0;
   std::uint64_t last_number = 0;
-  Time ticked{};
-  Time exchanged{};  ///< When the last exchange began.
+  Time last_tick_at{};
+  Time last_exchange_at{};  ///< When the last exchange began.
   kernel::Watch tick;
   kernel::Watch exchange_tick;
-  kernel::Watch standby_tick;  ///< While it reads the store.
-  kernel::Watch standby_soon;
+  kernel::Watch standby_timer;  ///< While it reads the store.
+  kernel::Watch standby_start_timer;
   bool leaving = false;
   Time leaving_since{};
-  Time listened_until{};  ///< Default: it listens.
-  Time cut_at{};          ///< When the stop ended what was left; default: not.
-  std::size_t cut = 0;    ///< Calls ended by the stop before their answers.
-  PeerNetPtr peers;       ///< Last, so that it goes first.
+  Time stopped_listening_at{};  ///< Default: it listens.
+  Time cut_at{};         ///< When the stop ended what was left; default: not.
+  std::size_t cut = 0;   ///< Calls ended by the stop before their answers.
+  PeerNetworkPtr peers;  ///< Last, so that it goes first.
 };
 
 inline Time NowOf(const Proxy& proxy) { return kernel::Now(proxy.loop->clock); }
 
 /// Whole milliseconds from one moment to another.
-inline milliseconds Between(Time from, Time to) {
+inline milliseconds Elapsed(Time from, Time to) {
   return std::chrono::duration_cast<milliseconds>(to - from);
 }
 
 /// Those among whom the allowance of repeats is shared.
-inline routing::RetryFleet RetryFleetOf(Proxy& proxy) {
+inline routing::RetryFleet MakeRetryFleet(Proxy& proxy) {
   const Time now = NowOf(proxy);
   return {routing::NodesOf(proxy.members, now),
-          Between(proxy.members.started, now)};
+          Elapsed(proxy.members.started, now)};
 }
 
 // measures.cc
 /// Counts one event under a label.
-void Count(Proxy& proxy, const char* name, const char* help,
-           const std::string& labels);
+void IncrementCounter(Proxy& proxy, const char* name, const char* help,
+                      const std::string& labels);
 /// Times of a class, which is named as the route.
-const ClassMeasures* MeasuresFor(Proxy& proxy, const std::string& cls);
+const ClassMetrics* GetClassMetrics(Proxy& proxy, const std::string& cls);
 /// Counts a call that has ended.
 void CountCall(Proxy& proxy, const Call& call, const char* reason);
 /// Sets what is shown of the moment.
-void ShowGauges(Proxy& proxy);
+void UpdateGauges(Proxy& proxy);
 
 // calls.cc
 /// A caller's request was read.
@@ -224,7 +227,7 @@
                 milliseconds retry_after);
 /// Hash of what the call asks for and who asks: it stays when the call comes
 /// again under another id.
-std::uint64_t FingerprintOf(Call& call);
+std::uint64_t GetFingerprint(Call& call);
 /// The caller has its end; forgets the call.
 void EndCall(Proxy& proxy, const CallPtr& call, const char* outcome);
 
@@ -236,16 +239,16 @@
 /// Ends the call without a whole answer, as truthfully as its state allows: a
 /// begun answer is broken off, a request that left this node may have run, any
 /// other has not.
-void GiveUp(Proxy& proxy, const CallPtr& call, int status_if_sent,
-            const char* code, milliseconds retry_after);
+void AbortCall(Proxy& proxy, const CallPtr& call, int status_if_sent,
+               const char* code, milliseconds retry_after);
 
 // stop.cc
 /// Answers that callers have not taken yet.
-std::size_t UntakenOf(const Proxy& proxy);
+std::size_t CountUndeliveredAnswers(const Proxy& proxy);
 /// Time since the stop began.
-milliseconds StoppingFor(const Proxy& proxy);
+milliseconds TimeSinceStop(const Proxy& proxy);
 /// False once a stop is too far for any request that arrives.
-bool TakesNewRequests(const Proxy& proxy);
+bool CanAcceptRequests(const Proxy& proxy);
 /// True unless the node stops and the rest of its grace time can't be expected
 /// to hold the call, which no endpoint has run so far.
 bool CanStillFinish(Proxy& proxy, const Call& call,
@@ -257,14 +260,15 @@
 void StartAttempt(Proxy& proxy, const CallPtr& call,
                   const routing::Placement& placement);
 /// Stops the attempt without a decision; the endpoint sees a closed connection.
-void DropAttempt(Proxy& proxy, const CallPtr& call);
+void CancelAttempt(Proxy& proxy, const CallPtr& call);
 void EndAttempt(Proxy& proxy, const CallPtr& call, routing::AttemptEnd end,
                 const std::string& detail);
 
 // named_limits.cc
 /// Takes what an answer says of its endpoint's limit. A success without one, or
 /// a failure of the endpoint's own, says that there is none any more.
-void NoteLimit(Proxy& proxy, const Call& call, const AnswerMetadata& facts);
+void UpdateEndpointLimit(Proxy& proxy, const Call& call,
+                         const AnswerMetadata& metadata);
 
 // answers.cc
 /// A page of the node itself: addresses, readiness, metrics.
@@ -279,36 +283,36 @@
                  milliseconds retry_after);
 
 // store.cc
-void StartReading(Proxy& proxy);
+void StartStoreReaders(Proxy& proxy);
 /// Opens the watches anew: what they would bring may be lost.
-void RestartReading(Proxy& proxy);
+void RestartStoreReaders(Proxy& proxy);
 /// Reads the store or leaves it to other nodes, as the fleet is now.
-void UpdateReading(Proxy& proxy);
+void UpdateStoreReaders(Proxy& proxy);
 /// A peer knows as little as this node: the whole fleet may have just started.
-void OnPeerKnowsNothing(Proxy& proxy);
+void OnPeerWithoutData(Proxy& proxy);
 /// True when this node failed to read the store lately.
 bool IsStoreTroubled(const Proxy& proxy);
 
 // knowledge.cc
 /// Where news of the store come from; for the log.
-enum class Source : std::uint8_t { kList, kWatch, kPeer };
+enum class ChangeSource : std::uint8_t { kList, kWatch, kPeer };
 /// Takes news of the store. `troubled`: whoever read them failed to read the
 /// store lately.
-void TakeChanges(Proxy& proxy, const routing::Changes& changes, Source source,
-                 bool troubled);
+void ApplyChanges(Proxy& proxy, const routing::Changes& changes,
+                  ChangeSource source, bool troubled);
 
 // peers_capnp.cc
-kernel::Result<PeerNetPtr> OpenPeers(Proxy& proxy, std::string* address);
+kernel::Result<PeerNetworkPtr> OpenPeers(Proxy& proxy, std::string* address);
 /// One exchange with one peer.
 void Exchange(Proxy& proxy);
 /// Tells `kToldAtOnce` peers drawn at random at once.
-void TellMany(Proxy& proxy);
+void ExchangeWithManyPeers(Proxy& proxy);
 /// A reader shows the nodes that would take its place that it is there.
-void TellStandbys(Proxy& proxy);
+void AnnounceToStandbys(Proxy& proxy);
 /// At the loop's next turn asks peers for what they announced, and announces
-/// what this node has to `announce_to` of them. Not at once: an answer that is
-/// being taken must not end its own connection.
-void NewsSoon(Proxy& proxy, std::size_t announce_to);
+/// what this node has to `announce_count` of them. Not at once: an answer that
+/// is being taken must not end its own connection.
+void ScheduleFetchAndAnnounce(Proxy& proxy, std::size_t announce_count);
 
 // proxy.cc
 bool IsReady(const Proxy& proxy);
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -12,24 +12,25 @@
 
 constexpr int kBadGateway = 502;
 
-StopPhase PhaseNow(const Proxy& proxy) {
-  return policy::PhaseOf(StopPlanOf(proxy.options), StoppingFor(proxy));
+StopPhase CurrentPhase(const Proxy& proxy) {
+  return policy::PhaseOf(MakeStopPlan(proxy.options), TimeSinceStop(proxy));
 }
 
 void LogCut(Proxy& proxy, const Call& call) {
-  const bool begun = call.caller->begun();
-  const char* how = begun           ? "in-answer"
-                    : WasSent(call) ? "outcome-unknown"
-                                    : "not-run";
-  Count(proxy, "egretladder_cut_by_stop_total",
-        "Requests ended by the stop of this process before their answers.",
-        std::string("how=\"") + how + "\"");
+  const bool answer_begun = call.caller->begun();
+  const char* outcome = answer_begun    ? "in-answer"
+                        : WasSent(call) ? "outcome-unknown"
+                                        : "not-run";
+  IncrementCounter(
+      proxy, "egretladder_cut_by_stop_total",
+      "Requests ended by the stop of this process before their answers.",
+      std::string("how=\"") + outcome + "\"");
   kernel::LogEvent(LogPart::kRoute, LogLevel::kWarning, "cut-by-stop",
-                   {{"req", call.facts.id},
-                    {"how", how},
-                    {"stop_ms", StoppingFor(proxy)},
-                    {"ms", Between(call.arrived, NowOf(proxy))},
-                    {"left_ms", Between(NowOf(proxy), call.deadline)},
+                   {{"req", call.metadata.id},
+                    {"how", outcome},
+                    {"stop_ms", TimeSinceStop(proxy)},
+                    {"ms", Elapsed(call.arrived_at, NowOf(proxy))},
+                    {"left_ms", Elapsed(NowOf(proxy), call.deadline)},
                     {"events", call.events},
                     {"events_longest", call.demand.longest}});
 }
@@ -44,82 +45,85 @@
   for (const CallPtr& call : calls) {
     LogCut(proxy, *call);
     ++proxy.cut;
-    GiveUp(proxy, call, kBadGateway, "cut_by_stop", kLeavingRetry);
+    AbortCall(proxy, call, kBadGateway, "cut_by_stop", kLeavingRetryDelay);
   }
 }
 
-void LogTake(Proxy& proxy, const Call& call, const routing::StopAsk& ask,
-             routing::StopVerdict verdict) {
-  Count(proxy, "egretladder_stop_requests_total",
-        "Requests that met a node that stops, by what was decided.",
-        std::string("verdict=\"") + routing::NameOf(verdict) + "\"");
-  kernel::LogEvent(
-      LogPart::kRoute, LogLevel::kInfo, "met-stop",
-      {{"req", call.facts.id},
-       {"verdict", routing::NameOf(verdict)},
-       {"stop_ms", ask.since},
-       {"left_ms", policy::LeftForWork(StopPlanOf(proxy.options), ask.since)},
-       {"deadline_ms", ask.deadline},
-       {"longest_ms", ask.longest},
-       {"route", call.route->name}});
+void LogStopVerdict(Proxy& proxy, const Call& call,
+                    const routing::StopAsk& input,
+                    routing::StopVerdict verdict) {
+  IncrementCounter(proxy, "egretladder_stop_requests_total",
+                   "Requests that met a node that stops, by what was decided.",
+                   std::string("verdict=\"") + routing::NameOf(verdict) + "\"");
+  kernel::LogEvent(LogPart::kRoute, LogLevel::kInfo, "met-stop",
+                   {{"req", call.metadata.id},
+                    {"verdict", routing::NameOf(verdict)},
+                    {"stop_ms", input.since},
+                    {"left_ms", policy::LeftForWork(MakeStopPlan(proxy.options),
+                                                    input.since)},
+                    {"deadline_ms", input.deadline},
+                    {"longest_ms", input.longest},
+                    {"route", call.route->name}});
 }
 
 }  // namespace
 
-policy::StopPlan StopPlanOf(const ProxyOptions& options) {
+policy::StopPlan MakeStopPlan(const ProxyOptions& options) {
   policy::StopPlan plan;
-  plan.addresses_kept = options.directory_keep * kDirectoryKeptTimes;
-  plan.settle = kStopSettle;
+  plan.addresses_kept = options.directory_ttl * kDirectoryTtlFactor;
+  plan.settle = kStopSettlePeriod;
   plan.grace = options.grace;
-  plan.cut_margin = kStopMargin;
-  plan.exit_margin = kExitMargin;
+  plan.cut_margin = kStopCutMargin;
+  plan.exit_margin = kStopExitMargin;
   return plan;
 }
 
 // A call is over for the node when its last byte is handed to the connection.
 // A process that ended then would cut answers that endpoints ran to their end:
 // callers see a stream without its last chunk.
-std::size_t UntakenOf(const Proxy& proxy) {
-  return proxy.callers->undelivered() + proxy.directory->undelivered() +
-         proxy.ready->undelivered();
+std::size_t CountUndeliveredAnswers(const Proxy& proxy) {
+  return proxy.caller_server->undelivered() +
+         proxy.directory_server->undelivered() +
+         proxy.ready_server->undelivered();
 }
 
-milliseconds StoppingFor(const Proxy& proxy) {
-  return Between(proxy.leaving_since, NowOf(proxy));
+milliseconds TimeSinceStop(const Proxy& proxy) {
+  return Elapsed(proxy.leaving_since, NowOf(proxy));
 }
 
-bool TakesNewRequests(const Proxy& proxy) {
+bool CanAcceptRequests(const Proxy& proxy) {
   if (!proxy.leaving) return true;
-  const StopPhase phase = PhaseNow(proxy);
+  const StopPhase phase = CurrentPhase(proxy);
   return phase == StopPhase::kTaking || phase == StopPhase::kSettling;
 }
 
 bool CanStillFinish(Proxy& proxy, const Call& call,
                     const routing::Placement& placement) {
   if (!proxy.leaving) return true;
-  routing::StopAsk ask;
-  ask.arrived = Between(proxy.leaving_since, call.arrived);
-  ask.since = StoppingFor(proxy);
-  ask.deadline = Between(NowOf(proxy), call.deadline) + kDeadlineMargin;
-  ask.longest = routing::LongestWhole(proxy.endpoints, call.demand, placement);
+  routing::StopAsk input;
+  input.arrived = Elapsed(proxy.leaving_since, call.arrived_at);
+  input.since = TimeSinceStop(proxy);
+  input.deadline = Elapsed(NowOf(proxy), call.deadline) + kDeadlineMargin;
+  input.longest =
+      routing::LongestWhole(proxy.endpoints, call.demand, placement);
   const routing::StopVerdict verdict =
-      routing::DecideTake(StopPlanOf(proxy.options), ask);
-  LogTake(proxy, call, ask, verdict);
+      routing::DecideTake(MakeStopPlan(proxy.options), input);
+  LogStopVerdict(proxy, call, input, verdict);
   return routing::IsTaken(verdict);
 }
 
 void OnStopTick(Proxy& proxy) {
   if (!proxy.leaving) return;
-  const StopPhase phase = PhaseNow(proxy);
+  const StopPhase phase = CurrentPhase(proxy);
   if (phase < StopPhase::kFinishing) return;
-  if (proxy.listened_until == Time{}) {
-    proxy.callers->StopListening();
+  if (proxy.stopped_listening_at == Time{}) {
+    proxy.caller_server->StopListening();
     proxy.members.listens = false;
-    proxy.listened_until = NowOf(proxy);
+    proxy.stopped_listening_at = NowOf(proxy);
   }
   if (phase < StopPhase::kCutting) return;
   CutCalls(proxy);
-  proxy.callers->RefuseHalfRead("this node is leaving");
+  proxy.caller_server->RefuseHalfRead("this node is leaving");
   if (proxy.cut_at == Time{}) proxy.cut_at = NowOf(proxy);
 }
 
@@ -130,11 +134,11 @@
   // The signal may have come at any time of a pause, and the platform counts
   // the grace from the signal: counted from the pause's end, the process would
   // be killed before it has told its callers anything.
-  const bool stood_still = now - proxy.ticked > kPaused;
-  proxy.leaving_since = stood_still ? proxy.ticked : now;
+  const bool was_paused = now - proxy.last_tick_at > kMinProcessPause;
+  proxy.leaving_since = was_paused ? proxy.last_tick_at : now;
   proxy.members.self.leaving = true;
-  proxy.callers->CloseAfterAnswers();
-  TellMany(proxy);
+  proxy.caller_server->CloseAfterAnswers();
+  ExchangeWithManyPeers(proxy);
 }
 
 // What was sent before the node stopped listening may not be read yet, and a
@@ -143,18 +147,19 @@
 bool CanShutDown(const Proxy& proxy) {
   if (!proxy.leaving) return false;
   const Time now = NowOf(proxy);
-  const StopPhase phase = PhaseNow(proxy);
+  const StopPhase phase = CurrentPhase(proxy);
   if (phase == StopPhase::kOver) {
-    const bool told = proxy.cut_at == Time{}
-                          ? proxy.calls.empty()
-                          : now - proxy.cut_at >= kLastAnswers;
-    return told || StoppingFor(proxy) >= proxy.options.grace;
+    const bool callers_informed =
+        proxy.cut_at == Time{} ? proxy.calls.empty()
+                               : now - proxy.cut_at >= kLastAnswersTimeout;
+    return callers_informed || TimeSinceStop(proxy) >= proxy.options.grace;
   }
-  const bool all_read = proxy.listened_until != Time{} &&
-                        now - proxy.listened_until >= kStopSettle &&
-                        proxy.callers->half_read() == 0;
-  return policy::MayExit(
-      phase, all_read && proxy.calls.empty() && UntakenOf(proxy) == 0);
+  const bool all_requests_read =
+      proxy.stopped_listening_at != Time{} &&
+      now - proxy.stopped_listening_at >= kStopSettlePeriod &&
+      proxy.caller_server->half_read() == 0;
+  return policy::MayExit(phase, all_requests_read && proxy.calls.empty() &&
+                                    CountUndeliveredAnswers(proxy) == 0);
 }
 
 }  // namespace egretladder::proxy
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -15,49 +15,51 @@
 
 void Read(Proxy& proxy, StoreReader& reader);
 
-std::uint64_t RevisionOf(const Proxy& proxy, Feed feed) {
+std::uint64_t GetKnownRevision(const Proxy& proxy, Feed feed) {
   return routing::StateOf(proxy.catalog, feed).revision;
 }
 
-void ReadAfter(Proxy& proxy, StoreReader& reader, milliseconds delay) {
+void ScheduleRead(Proxy& proxy, StoreReader& reader, milliseconds delay) {
   reader.timer = kernel::After(*proxy.loop, delay,
                                [&proxy, &reader] { Read(proxy, reader); });
 }
 
 // The wait after one more failed call, before its jitter.
 milliseconds NextBackoff(milliseconds before) {
-  return before.count() == 0 ? kStoreBackoffFirst
-                             : std::min(2 * before, kStoreBackoffMost);
+  return before.count() == 0 ? kInitialStoreBackoff
+                             : std::min(2 * before, kMaxStoreBackoff);
 }
 
 // One feed is enough to notice that the store is back.
-bool WaitsForRules(Proxy& proxy, const StoreReader& reader) {
+bool ShouldWaitForRules(Proxy& proxy, const StoreReader& reader) {
   const StoreReader& rules =
       proxy.readers[static_cast<std::size_t>(Feed::kRules)];
   return &reader != &rules && rules.backoff.count() > 0;
 }
 
-void OnReadFailed(Proxy& proxy, StoreReader& reader, const std::string& why) {
+void OnReadFailed(Proxy& proxy, StoreReader& reader,
+                  const std::string& reason) {
   reader.reading = false;
-  proxy.store_trouble = NowOf(proxy);
-  reader.changed_since = {};
+  proxy.last_store_failure = NowOf(proxy);
+  reader.missed_change_since = {};
   reader.backoff = NextBackoff(reader.backoff);
   // Jittered: all nodes lost the store together.
   const auto jitter = milliseconds(kernel::Below(
       proxy.random, static_cast<std::uint64_t>(reader.backoff.count())));
   kernel::LogEvent(LogPart::kPlatform, LogLevel::kWarning, "store-not-read",
                    {{"feed", routing::NameOf(reader.feed)},
-                    {"why", why},
+                    {"why", reason},
                     {"again_ms", reader.backoff / 2 + jitter},
-                    {"revision", RevisionOf(proxy, reader.feed)}});
-  Count(proxy, "egretladder_store_failures_total", "Failed reads of the store.",
-        std::string("feed=\"") + routing::NameOf(reader.feed) + "\"");
-  reader.waits_for_rules = WaitsForRules(proxy, reader);
-  if (reader.waits_for_rules) return;
-  ReadAfter(proxy, reader, reader.backoff / 2 + jitter);
+                    {"revision", GetKnownRevision(proxy, reader.feed)}});
+  IncrementCounter(
+      proxy, "egretladder_store_failures_total", "Failed reads of the store.",
+      std::string("feed=\"") + routing::NameOf(reader.feed) + "\"");
+  reader.waiting_for_rules = ShouldWaitForRules(proxy, reader);
+  if (reader.waiting_for_rules) return;
+  ScheduleRead(proxy, reader, reader.backoff / 2 + jitter);
 }
 
-void OnReadWell(Proxy& proxy, StoreReader& reader) {
+void OnReadSucceeded(Proxy& proxy, StoreReader& reader) {
   if (reader.backoff.count() > 0) {
     kernel::LogEvent(LogPart::kPlatform, LogLevel::kInfo, "store-read-again",
                      {{"feed", routing::NameOf(reader.feed)}});
@@ -65,52 +67,54 @@
   reader.backoff = {};
   if (reader.feed != Feed::kRules) return;
   for (StoreReader& other : proxy.readers) {
-    if (std::exchange(other.waits_for_rules, false)) Read(proxy, other);
+    if (std::exchange(other.waiting_for_rules, false)) Read(proxy, other);
   }
 }
 
-void TakePage(Proxy& proxy, StoreReader& reader) {
+void ApplyPage(Proxy& proxy, StoreReader& reader) {
   auto page = proxy.dialect->read_page(reader.body);
   if (!page) {
     OnReadFailed(proxy, reader, kernel::Describe(page.error()));
     return;
   }
-  OnReadWell(proxy, reader);
-  if (reader.after.empty()) {
+  OnReadSucceeded(proxy, reader);
+  if (reader.last_key.empty()) {
     // Pages are no snapshot: what changes between them is in the watch that
     // goes on from the first.
-    reader.list = {};
-    reader.list.feed = reader.feed;
-    reader.list.whole = true;
-    reader.list.revision = page.value().revision;
+    reader.partial_list = {};
+    reader.partial_list.feed = reader.feed;
+    reader.partial_list.whole = true;
+    reader.partial_list.revision = page.value().revision;
   }
   auto& items = page.value().items;
   const bool has_more = page.value().has_more && !items.empty();
-  if (has_more) reader.after = items.back().key;
-  std::move(items.begin(), items.end(), std::back_inserter(reader.list.items));
+  if (has_more) reader.last_key = items.back().key;
+  std::move(items.begin(), items.end(),
+            std::back_inserter(reader.partial_list.items));
   if (has_more) {
     Read(proxy, reader);
     return;
   }
-  reader.after.clear();
-  reader.listed = true;
-  TakeChanges(proxy, std::exchange(reader.list, {}), Source::kList,
-              IsStoreTroubled(proxy));
+  reader.last_key.clear();
+  reader.has_full_list = true;
+  ApplyChanges(proxy, std::exchange(reader.partial_list, {}),
+               ChangeSource::kList, IsStoreTroubled(proxy));
   Read(proxy, reader);
 }
 
-void TakeWatch(Proxy& proxy, StoreReader& reader) {
+void ApplyWatchResult(Proxy& proxy, StoreReader& reader) {
   auto changes = proxy.dialect->read_changes(reader.feed, reader.body);
   if (!changes) {
     OnReadFailed(proxy, reader, kernel::Describe(changes.error()));
     return;
   }
-  OnReadWell(proxy, reader);
+  OnReadSucceeded(proxy, reader);
   const bool changed = !changes.value().items.empty();
-  TakeChanges(proxy, changes.value(), Source::kWatch, IsStoreTroubled(proxy));
+  ApplyChanges(proxy, changes.value(), ChangeSource::kWatch,
+               IsStoreTroubled(proxy));
   // Each watch is a call, and changes often come several together.
   if (changed) {
-    ReadAfter(proxy, reader, kWatchPause);
+    ScheduleRead(proxy, reader, kWatchBatchDelay);
   } else {
     Read(proxy, reader);
   }
@@ -120,50 +124,52 @@
   reader.timer = {};
   reader.exchange = nullptr;
   reader.reading = false;
-  reader.changed_since = {};
+  reader.missed_change_since = {};
   if (reader.watching && reader.status == kHistoryGone) {
     kernel::LogEvent(LogPart::kPlatform, LogLevel::kWarning, "history-gone",
                      {{"feed", routing::NameOf(reader.feed)}});
-    reader.listed = false;
+    reader.has_full_list = false;
     Read(proxy, reader);
     return;
   }
   if (reader.status != kOk) {
-    reader.after.clear();
+    reader.last_key.clear();
     OnReadFailed(proxy, reader, "status " + std::to_string(reader.status));
     return;
   }
   if (reader.watching) {
-    TakeWatch(proxy, reader);
+    ApplyWatchResult(proxy, reader);
   } else {
-    TakePage(proxy, reader);
+    ApplyPage(proxy, reader);
   }
 }
 
 // What is asked of a silent store is lost, and a long wait for it would hide
 // that the store is back.
-milliseconds WatchWaitOf(const StoreReader& reader) {
-  return reader.backoff.count() > 0 ? kWatchWaitAgain : kWatchWait;
+milliseconds GetWatchTimeout(const StoreReader& reader) {
+  return reader.backoff.count() > 0 ? kWatchRetryTimeout : kWatchTimeout;
 }
 
 void Read(Proxy& proxy, StoreReader& reader) {
   if (reader.reading) return;
   reader.reading = true;
-  reader.watching = reader.listed;
-  reader.changed_since = {};
+  reader.watching = reader.has_full_list;
+  reader.missed_change_since = {};
   reader.body.clear();
   reader.status = 0;
   ++reader.calls;
-  Count(proxy, "egretladder_store_calls_total", "Calls to the store.",
-        std::string("feed=\"") + routing::NameOf(reader.feed) + "\"");
-  const milliseconds wait = WatchWaitOf(reader);
+  IncrementCounter(
+      proxy, "egretladder_store_calls_total", "Calls to the store.",
+      std::string("feed=\"") + routing::NameOf(reader.feed) + "\"");
+  const milliseconds wait = GetWatchTimeout(reader);
   net::ExchangeRequest request;
   request.address = proxy.options.store;
   request.head = net::RequestText(
       "GET",
-      reader.listed ? proxy.dialect->watch_target(
-                          reader.feed, RevisionOf(proxy, reader.feed), wait)
-                    : proxy.dialect->list_target(reader.feed, reader.after),
+      reader.has_full_list
+          ? proxy.dialect->watch_target(
+                reader.feed, GetKnownRevision(proxy, reader.feed), wait)
+          : proxy.dialect->list_target(reader.feed, reader.last_key),
       {{"Host", proxy.options.store}}, net::BodyFraming::kNone, 0);
   net::ExchangeHandlers handlers;
   handlers.on_head = [&reader](const net::HttpAnswerHead& head) {
@@ -178,26 +184,27 @@
                                         const std::string& detail) {
     reader.timer = {};
     reader.exchange = nullptr;
-    reader.after.clear();
+    reader.last_key.clear();
     OnReadFailed(proxy, reader, detail);
   };
   reader.exchange =
       proxy.client->Start(std::move(request), std::move(handlers));
-  const milliseconds most = reader.listed ? wait + kWatchMargin : kListTime;
-  reader.timer = kernel::After(*proxy.loop, most, [&proxy, &reader] {
+  const milliseconds timeout =
+      reader.has_full_list ? wait + kWatchTimeoutMargin : kListTimeout;
+  reader.timer = kernel::After(*proxy.loop, timeout, [&proxy, &reader] {
     net::Cancel(std::exchange(reader.exchange, nullptr));
-    reader.after.clear();
+    reader.last_key.clear();
     OnReadFailed(proxy, reader, "no answer in time");
   });
 }
 
-void StopReading(StoreReader& reader) {
+void StopReader(StoreReader& reader) {
   net::Cancel(std::exchange(reader.exchange, nullptr));
   reader.timer = {};
-  reader.after.clear();
+  reader.last_key.clear();
   reader.reading = false;
-  reader.waits_for_rules = false;
-  reader.changed_since = {};
+  reader.waiting_for_rules = false;
+  reader.missed_change_since = {};
 }
 
 // A watch whose connection fell silent, or whose answer was lost, looks like
@@ -205,87 +212,91 @@
 // it ends by itself.
 void RestartLostWatch(Proxy& proxy, StoreReader& reader) {
   if (!reader.watching || !reader.reading) return;
-  if (reader.changed_since == Time{}) return;
-  if (NowOf(proxy) - reader.changed_since < kWatchLost) return;
-  StopReading(reader);
+  if (reader.missed_change_since == Time{}) return;
+  if (NowOf(proxy) - reader.missed_change_since < kLostWatchTimeout) return;
+  StopReader(reader);
   OnReadFailed(proxy, reader, "a peer told of changes that the watch didn't");
 }
 
 // The first time at the loop's next turn: an answer of a peer that is being
 // taken must not end its own connection.
-void KeepTellingStandbys(Proxy& proxy) {
-  proxy.standby_tick = {};
-  proxy.standby_soon = {};
+void ScheduleStandbyAnnouncements(Proxy& proxy) {
+  proxy.standby_timer = {};
+  proxy.standby_start_timer = {};
   if (!proxy.reads_store) return;
-  const auto tell = [&proxy] { TellStandbys(proxy); };
-  proxy.standby_soon = kernel::After(*proxy.loop, milliseconds(0), tell);
-  proxy.standby_tick = kernel::Every(*proxy.loop, routing::kReaderPulse, tell);
+  const auto announce = [&proxy] { AnnounceToStandbys(proxy); };
+  proxy.standby_start_timer =
+      kernel::After(*proxy.loop, milliseconds(0), announce);
+  proxy.standby_timer =
+      kernel::Every(*proxy.loop, routing::kReaderPulse, announce);
 }
 
 }  // namespace
 
 bool IsStoreTroubled(const Proxy& proxy) {
-  return proxy.store_trouble != Time{} &&
-         NowOf(proxy) - proxy.store_trouble < routing::kTroubleRecent;
+  return proxy.last_store_failure != Time{} &&
+         NowOf(proxy) - proxy.last_store_failure < routing::kTroubleRecent;
 }
 
-void StartReading(Proxy& proxy) {
+void StartStoreReaders(Proxy& proxy) {
   proxy.readers[0].feed = Feed::kRules;
   proxy.readers[1].feed = Feed::kEndpoints;
   // A new fleet has time: its first nodes read the store for all. One that runs
   // has nodes that know everything already.
   const auto& seeds = proxy.options.seeds;
-  const std::string& own = proxy.members.self.peers;
+  const std::string& own_address = proxy.members.self.peers;
   const bool is_seed =
-      std::find(seeds.begin(), seeds.end(), own) != seeds.end();
-  const bool alone = seeds.empty() || (is_seed && seeds.size() == 1);
+      std::find(seeds.begin(), seeds.end(), own_address) != seeds.end();
+  const bool is_alone = seeds.empty() || (is_seed && seeds.size() == 1);
   const Time now = NowOf(proxy);
-  if (alone || (proxy.options.new_fleet && is_seed)) {
-    proxy.store_from = now;
+  if (is_alone || (proxy.options.is_new_fleet && is_seed)) {
+    proxy.initial_read_at = now;
   } else {
-    proxy.store_from =
-        now + (proxy.options.new_fleet ? kNewFleetWait : kPeersFirst);
+    proxy.initial_read_at =
+        now + (proxy.options.is_new_fleet ? kNewFleetStoreReadDelay
+                                          : kInitialStoreReadDelay);
   }
-  UpdateReading(proxy);
+  UpdateStoreReaders(proxy);
 }
 
-void OnPeerKnowsNothing(Proxy& proxy) {
+void OnPeerWithoutData(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  if (proxy.options.new_fleet || proxy.store_from <= now) return;
-  proxy.store_from = now;
-  UpdateReading(proxy);
+  if (proxy.options.is_new_fleet || proxy.initial_read_at <= now) return;
+  proxy.initial_read_at = now;
+  UpdateStoreReaders(proxy);
 }
 
-void RestartReading(Proxy& proxy) {
+void RestartStoreReaders(Proxy& proxy) {
   if (!proxy.reads_store) return;
   for (StoreReader& reader : proxy.readers) {
-    StopReading(reader);
+    StopReader(reader);
     Read(proxy, reader);
   }
 }
 
-void UpdateReading(Proxy& proxy) {
+void UpdateStoreReaders(Proxy& proxy) {
   const Time now = NowOf(proxy);
   proxy.members.self.store_troubled = IsStoreTroubled(proxy);
   for (StoreReader& reader : proxy.readers) RestartLostWatch(proxy, reader);
   // A node that has nothing yet reads for itself, whoever else does.
-  const bool knows = proxy.rules != nullptr && proxy.readers[0].listed &&
-                     proxy.readers[1].listed;
-  const bool should =
-      knows ? routing::IsReader(proxy.members, now) : now >= proxy.store_from;
-  if (should == proxy.reads_store) return;
-  proxy.reads_store = should;
+  const bool has_all_feeds = proxy.rules != nullptr &&
+                             proxy.readers[0].has_full_list &&
+                             proxy.readers[1].has_full_list;
+  const bool should_read = has_all_feeds ? routing::IsReader(proxy.members, now)
+                                         : now >= proxy.initial_read_at;
+  if (should_read == proxy.reads_store) return;
+  proxy.reads_store = should_read;
   kernel::LogEvent(LogPart::kPlatform, LogLevel::kInfo, "reads-store",
-                   {{"reads", should ? "itself" : "by-others"},
+                   {{"reads", should_read ? "itself" : "by-others"},
                     {"nodes", proxy.members.others.size() + 1}});
   for (StoreReader& reader : proxy.readers) {
-    if (should) {
+    if (should_read) {
       Read(proxy, reader);
     } else {
-      StopReading(reader);
+      StopReader(reader);
     }
   }
-  KeepTellingStandbys(proxy);
+  ScheduleStandbyAnnouncements(proxy);
 }
 
 }  // namespace egretladder::proxy
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -358,29 +358,29 @@
 }
 
 kernel::Result<RequestMetadata> ReadCall(const net::HttpRequest& request) {
-  RequestMetadata facts;
-  facts.id = RequestId(request);
-  facts.key = net::ValueOf(request.fields, "X-Key");
-  facts.deadline = milliseconds(std::atoi(
+  RequestMetadata metadata;
+  metadata.id = RequestId(request);
+  metadata.key = net::ValueOf(request.fields, "X-Key");
+  metadata.deadline = milliseconds(std::atoi(
       std::string(net::ValueOf(request.fields, "X-Wait-Ms")).c_str()));
-  return facts;
+  return metadata;
 }
 
 net::HttpFields EndpointFields(const net::HttpRequest& request,
-                               const ForwardMetadata& facts) {
+                               const ForwardMetadata& metadata) {
   return {{"Host", "h"},
           {"X-Id", RequestId(request)},
-          {"X-After", facts.resume_after}};
+          {"X-After", metadata.resume_after}};
 }
 
 AnswerMetadata ReadAnswer(const net::HttpAnswerHead& head) {
-  AnswerMetadata facts;
-  facts.id = net::ValueOf(head.fields, "X-Id");
-  facts.not_run = net::CountOf(head.fields, "X-Not-Run") > 0;
-  facts.sealed = net::CountOf(head.fields, "X-Seal") > 0;
-  facts.is_event_stream =
+  AnswerMetadata metadata;
+  metadata.id = net::ValueOf(head.fields, "X-Id");
+  metadata.not_run = net::CountOf(head.fields, "X-Not-Run") > 0;
+  metadata.sealed = net::CountOf(head.fields, "X-Seal") > 0;
+  metadata.is_event_stream =
       net::ValueOf(head.fields, "Content-Type") == "text/event-stream";
-  return facts;
+  return metadata;
 }
 
 bool IsDirectory(std::string_view target, std::string* zone) {
--- a/proxy/tests/news_codec_test.cc
+++ b/proxy/tests/news_codec_test.cc
@@ -58,7 +58,7 @@
 
 // Guards against a few bytes that unpack to more than a message may be.
 TEST(NewsCodec, MoreThanAMessageIsRefused) {
-  const std::string large(ep::kNewsWords * 8 + 8, '\0');
+  const std::string large(ep::kMaxMessageWords * 8 + 8, '\0');
   const ep::PackedChanges packed{en::Pack(large).value(), 0};
   CHECK_FALSE(ep::UnpackChanges(packed, er::Feed::kEndpoints).has_value());
 }
--- a/proxy/tests/peers_test.cc
+++ b/proxy/tests/peers_test.cc
@@ -207,8 +207,8 @@
   world.Publish();
   ep::ProxyOptions options = world.OptionsOf("n1");
   options.seeds = {"127.0.0.1:1"};
-  for (const bool new_fleet : {false, true}) {
-    options.new_fleet = new_fleet;
+  for (const bool is_new_fleet : {false, true}) {
+    options.is_new_fleet = is_new_fleet;
     ep::Proxy& proxy = world.Start(options);
     world.UntilKnown(proxy, 1);
     STRCMP_EQUAL("200", world.AskFor(proxy, {.path = "/once/a"}).c_str());
--- a/proxy/tests/settings_test.cc
+++ b/proxy/tests/settings_test.cc
@@ -76,7 +76,7 @@
   const auto config = ep::ReadProxyConfig(
       kSettings + "[placing]\nwithout = pace,sides\n", "n.ini");
   CHECK(config.has_value());
-  LONGS_EQUAL(2, config.value().proxy.placing_without.count());
+  LONGS_EQUAL(2, config.value().proxy.disabled_mechanisms.count());
   const std::string fault = FaultOf(kSettings + "[placing]\nwithout = pase\n");
   STRCMP_CONTAINS("placing.without has 'pase'", fault.c_str());
   STRCMP_CONTAINS("pace", fault.c_str());
@@ -86,8 +86,9 @@
   const auto config =
       ep::ReadProxyConfig(With("[store]", "fleet = new\n[store]"), "n.ini");
   CHECK(config.has_value());
-  CHECK(config.value().proxy.new_fleet);
-  CHECK_FALSE(ep::ReadProxyConfig(kSettings, "n.ini").value().proxy.new_fleet);
+  CHECK(config.value().proxy.is_new_fleet);
+  CHECK_FALSE(
+      ep::ReadProxyConfig(kSettings, "n.ini").value().proxy.is_new_fleet);
   STRCMP_CONTAINS("peers.fleet is 'fresh', expected new or running",
                   FaultOf(With("[store]", "fleet = fresh\n[store]")).c_str());
 }
--- a/proxy/tests/slow_reader_test.cc
+++ b/proxy/tests/slow_reader_test.cc
@@ -94,7 +94,8 @@
   });
   ep::Proxy& proxy = world.StartReady();
   AskAndHold(proxy, "/tell/a");
-  world.Until([&proxy] { return UnsentOf(proxy) > ep::kCallerBacklog; });
+  world.Until(
+      [&proxy] { return UnsentOf(proxy) > ep::kMaxCallerBacklogBytes; });
   // The system takes some of it first.
   world.Turn(500ms);
   const std::size_t held = UnsentOf(proxy);
@@ -124,7 +125,7 @@
   // The node has read all that the engine said when it falls silent.
   world.Until([&] {
     if (EventsOf(proxy) < sent) return false;
-    if (UnsentOf(proxy) > ep::kCallerBacklog) return true;
+    if (UnsentOf(proxy) > ep::kMaxCallerBacklogBytes) return true;
     served.wire->Send(et::EventBytes(++sent, kData));
     return false;
   });
