--- a/proxy/include/egretladder/proxy/dialect.h
+++ b/proxy/include/egretladder/proxy/dialect.h
@@ -13,7 +13,7 @@
 #include "egretladder/net/http_message.h"
 #include "egretladder/routing/catalog.h"
 #include "egretladder/routing/endpoints.h"
-#include "egretladder/routing/place.h"
+#include "egretladder/routing/placement.h"
 #include "egretladder/routing/route_table.h"
 
 namespace egretladder::proxy {
--- a/proxy/include/egretladder/proxy/proxy.h
+++ b/proxy/include/egretladder/proxy/proxy.h
@@ -13,7 +13,7 @@
 #include "egretladder/kernel/metrics.h"
 #include "egretladder/policy/stopping.h"
 #include "egretladder/routing/endpoints.h"
-#include "egretladder/routing/retry_share.h"
+#include "egretladder/routing/retry_budget.h"
 
 namespace egretladder::proxy {
 
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "attempts_p.h"
-#include "egretladder/routing/place_cost.h"
+#include "egretladder/routing/placement_cost.h"
 
 namespace egretladder::proxy {
 namespace {
--- a/proxy/src/named_limits.cc
+++ b/proxy/src/named_limits.cc
@@ -1,6 +1,5 @@
 // Limits that endpoints name: from their answers, and from peers.
-#include "egretladder/routing/named_limits.h"
-
+#include "egretladder/routing/advertised_limits.h"
 #include "news_codec_p.h"
 
 namespace egretladder::proxy {
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -5,7 +5,7 @@
 #include <cstring>
 #include <utility>
 
-#include "egretladder/net/pack.h"
+#include "egretladder/net/compression.h"
 #include "egretladder/net/rpc_connection.h"
 #include "news_codec_p.h"
 
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -12,7 +12,7 @@
 #include "egretladder/net/kj_loop.h"
 #include "egretladder/net/rpc_connection.h"
 #include "egretladder/net/socket.h"
-#include "egretladder/routing/pulls.h"
+#include "egretladder/routing/feed_fetch.h"
 #include "news_codec_p.h"
 
 namespace egretladder::proxy {
--- a/proxy/src/settings.cc
+++ b/proxy/src/settings.cc
@@ -7,7 +7,7 @@
 #include "egretladder/net/address.h"
 #include "egretladder/proxy/dialect.h"
 #include "egretladder/proxy/limits.h"
-#include "egretladder/routing/place_cost.h"
+#include "egretladder/routing/placement_cost.h"
 
 namespace egretladder::proxy {
 namespace {
--- a/proxy/tests/news_codec_test.cc
+++ b/proxy/tests/news_codec_test.cc
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "egretladder/net/pack.h"
+#include "egretladder/net/compression.h"
 #include "news_codec_p.h"
 
 namespace en = egretladder::net;
