--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -61,7 +61,7 @@
   if (end == AttemptEnd::kBroken) {
     routing::OnBroke(
         proxy.suspects, GetFingerprint(call),
-        {kernel::HashOf(attempt.endpoint->entry.id), attempt.sent_at, now});
+        {kernel::HashBytes(attempt.endpoint->entry.id), attempt.sent_at, now});
     return;
   }
   const bool has_run =
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -52,7 +52,7 @@
                                 std::max(route.timeout, milliseconds(1)));
   call->deadline = now + timeout;
   const auto target =
-      routing::DrawTarget(route, kernel::Fraction(proxy.random));
+      routing::DrawTarget(route, kernel::RandomFraction(proxy.random));
   call->service = &proxy.rules->services[target.idx];
   call->demand.service = call->service;
   call->demand.tier = routing::RankOf(*proxy.rules, route, account);
@@ -209,10 +209,10 @@
   if (call.fingerprint == 0) {
     const net::HttpRequest& request = call.caller->request();
     const std::uint64_t account_hash =
-        call.account != nullptr ? kernel::HashOf(call.account->name) : 0;
+        call.account != nullptr ? kernel::HashBytes(call.account->name) : 0;
     const std::uint64_t target_hash =
-        kernel::HashOf(request.target, account_hash);
-    call.fingerprint = kernel::HashOf(request.body, target_hash);
+        kernel::HashBytes(request.target, account_hash);
+    call.fingerprint = kernel::HashBytes(request.body, target_hash);
   }
   return call.fingerprint;
 }
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -139,7 +139,7 @@
     return kernel::MakeError(kernel::ErrorCode::kInvalidInput, "start",
                              options.dialect, "no such dialect");
   }
-  proxy->random.seed(kernel::SecretBits());
+  proxy->random.seed(kernel::SecureRandom64());
   proxy->client = std::make_unique<net::HttpClient>(loop);
   BOOST_OUTCOME_TRY(OpenServers(*proxy));
   std::string peer_address;
--- a/proxy/src/settings.cc
+++ b/proxy/src/settings.cc
@@ -70,13 +70,13 @@
 }
 
 void ReadNumbers(const kernel::Settings& settings, ProxyOptions& options) {
-  options.retries.ratio = kernel::NumberOf(settings, "retries", "ratio");
-  options.retries.slack = kernel::NumberOf(settings, "retries", "slack");
-  options.retries.window = kernel::DurationOf(settings, "retries", "window");
+  options.retries.ratio = kernel::GetNumber(settings, "retries", "ratio");
+  options.retries.slack = kernel::GetNumber(settings, "retries", "slack");
+  options.retries.window = kernel::GetDuration(settings, "retries", "window");
   options.memory_bytes = kernel::BytesOf(settings, "limits", "memory");
   options.descriptors = kernel::CountOf(settings, "limits", "descriptors");
-  options.grace = kernel::DurationOf(settings, "stop", "grace");
-  options.directory_ttl = kernel::DurationOf(settings, "directory", "keep");
+  options.grace = kernel::GetDuration(settings, "stop", "grace");
+  options.directory_ttl = kernel::GetDuration(settings, "directory", "keep");
 }
 
 void ReadPlacing(const kernel::Settings& settings,
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -544,7 +544,7 @@
          ask.body;
 }
 
-World::World() : loop(kernel::OpenLoop()), store(loop) {
+World::World() : loop(kernel::CreateLoop()), store(loop) {
   // As in the program: a connection that ended is written to.
   std::signal(SIGPIPE, SIG_IGN);
   loop.clock = {MovedNow, &ahead_};
