--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -126,7 +126,7 @@
 
 void StartSilenceTimer(Proxy& proxy, const CallPtr& call,
                        milliseconds patience) {
-  call->silence_timer = kernel::After(
+  call->silence_timer = kernel::RunAfter(
       *proxy.loop, patience, [&proxy, weak_call = std::weak_ptr<Call>(call)] {
         if (const auto locked = weak_call.lock()) {
           OnSilenceTimeout(proxy, locked);
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -100,8 +100,8 @@
   proxy.waiting.emplace(std::pair(call->demand.tier, call->number), call);
   if (!proxy.waiting_timer_armed) {
     proxy.waiting_timer_armed = true;
-    proxy.waiting_timer = kernel::Every(*proxy.loop, kQueuePollInterval,
-                                        [&proxy] { DispatchWaiting(proxy); });
+    proxy.waiting_timer = kernel::RunEvery(
+        *proxy.loop, kQueuePollInterval, [&proxy] { DispatchWaiting(proxy); });
   }
 }
 
@@ -228,7 +228,7 @@
   routing::OnRequest(proxy.retry_shares[call->service->name],
                      proxy.options.retries, call->arrived_at);
   caller->OnGone([&proxy, call] { OnCallerGone(proxy, call); });
-  call->deadline_timer = kernel::After(
+  call->deadline_timer = kernel::RunAfter(
       *proxy.loop,
       std::chrono::ceil<milliseconds>(call->deadline - call->arrived_at) +
           kDeadlineMargin,
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -252,8 +252,8 @@
   *address = net::WithBoundPort(proxy.options.peers,
                                 evconnlistener_get_fd(network->listener.get()));
   network->sweep_timer =
-      kernel::Every(*proxy.loop, kTickInterval,
-                    [raw = network.get()] { SweepConnections(*raw); });
+      kernel::RunEvery(*proxy.loop, kTickInterval,
+                       [raw = network.get()] { SweepConnections(*raw); });
   return network;
 }
 
@@ -291,7 +291,7 @@
   network.announce_count = std::max(network.announce_count, announce_count);
   if (std::exchange(network.update_scheduled, true)) return;
   network.update_timer =
-      kernel::After(*proxy.loop, milliseconds(0), [&proxy, &network] {
+      kernel::RunAfter(*proxy.loop, milliseconds(0), [&proxy, &network] {
         network.update_scheduled = false;
         FetchMissingChanges(proxy);
         const std::size_t max_count = std::exchange(network.announce_count, 0);
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -58,8 +58,8 @@
   std::vector<std::unique_ptr<net::RpcServerConnection>> incoming;
   routing::Pulls pulls;
   std::array<CachedChanges, routing::kFeeds> cached_changes;
-  kernel::Watch sweep_timer;
-  kernel::Watch update_timer;
+  kernel::EventWatcher sweep_timer;
+  kernel::EventWatcher update_timer;
   bool update_scheduled = false;
   std::size_t announce_count = 0;  ///< Peers, at the next turn.
 };
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -149,11 +149,11 @@
   proxy->members =
       routing::StartMembers(MakeSelf(*proxy, peer_address), options.seeds, now);
   proxy->last_tick_at = now;
-  proxy->tick =
-      kernel::Every(loop, kTickInterval, [raw = proxy.get()] { OnTick(*raw); });
+  proxy->tick = kernel::RunEvery(loop, kTickInterval,
+                                 [raw = proxy.get()] { OnTick(*raw); });
   proxy->exchange_tick =
-      kernel::Every(loop, routing::kExchangePeriod,
-                    [raw = proxy.get()] { ExchangeWhenDue(*raw); });
+      kernel::RunEvery(loop, routing::kExchangePeriod,
+                       [raw = proxy.get()] { ExchangeWhenDue(*raw); });
   StartStoreReaders(*proxy);
   Exchange(*proxy);
   return proxy;
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -86,8 +86,8 @@
   milliseconds longest_pause{};  ///< Between two events that callers got.
   bool waiting = false;
   Time waits_since{};  ///< Since it has needed an endpoint.
-  kernel::Watch deadline_timer;
-  kernel::Watch silence_timer;
+  kernel::EventWatcher deadline_timer;
+  kernel::EventWatcher silence_timer;
   std::size_t body_bytes = 0;
   std::uint64_t fingerprint = 0;  ///< Of what it asks; 0: not needed so far.
   int refusal_status = 0;  ///< Status of this node's own refusal; 0: none.
@@ -111,7 +111,7 @@
   int status = 0;
   milliseconds backoff{};
   bool waiting_for_rules = false;  ///< Tried again once the rules were read.
-  kernel::Watch timer;
+  kernel::EventWatcher timer;
   std::uint64_t calls = 0;
 };
 
@@ -172,16 +172,16 @@
   Time initial_read_at{};
   std::unordered_map<std::uint64_t, CallPtr> calls;
   std::map<std::pair<routing::Tier, std::uint64_t>, CallPtr> waiting;
-  kernel::Watch waiting_timer;
+  kernel::EventWatcher waiting_timer;
   bool waiting_timer_armed = false;
   std::size_t body_bytes = 0;
   std::uint64_t last_number = 0;
   Time last_tick_at{};
   Time last_exchange_at{};  ///< When the last exchange began.
-  kernel::Watch tick;
-  kernel::Watch exchange_tick;
-  kernel::Watch standby_timer;  ///< While it reads the store.
-  kernel::Watch standby_start_timer;
+  kernel::EventWatcher tick;
+  kernel::EventWatcher exchange_tick;
+  kernel::EventWatcher standby_timer;  ///< While it reads the store.
+  kernel::EventWatcher standby_start_timer;
   bool leaving = false;
   Time leaving_since{};
   Time stopped_listening_at{};  ///< Default: it listens.
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -20,8 +20,8 @@
 }
 
 void ScheduleRead(Proxy& proxy, StoreReader& reader, milliseconds delay) {
-  reader.timer = kernel::After(*proxy.loop, delay,
-                               [&proxy, &reader] { Read(proxy, reader); });
+  reader.timer = kernel::RunAfter(*proxy.loop, delay,
+                                  [&proxy, &reader] { Read(proxy, reader); });
 }
 
 // The wait after one more failed call, before its jitter.
@@ -191,7 +191,7 @@
       proxy.client->Start(std::move(request), std::move(handlers));
   const milliseconds timeout =
       reader.has_full_list ? wait + kWatchTimeoutMargin : kListTimeout;
-  reader.timer = kernel::After(*proxy.loop, timeout, [&proxy, &reader] {
+  reader.timer = kernel::RunAfter(*proxy.loop, timeout, [&proxy, &reader] {
     net::Cancel(std::exchange(reader.exchange, nullptr));
     reader.last_key.clear();
     OnReadFailed(proxy, reader, "no answer in time");
@@ -226,9 +226,9 @@
   if (!proxy.reads_store) return;
   const auto announce = [&proxy] { AnnounceToStandbys(proxy); };
   proxy.standby_start_timer =
-      kernel::After(*proxy.loop, milliseconds(0), announce);
+      kernel::RunAfter(*proxy.loop, milliseconds(0), announce);
   proxy.standby_timer =
-      kernel::Every(*proxy.loop, routing::kReaderPulse, announce);
+      kernel::RunEvery(*proxy.loop, routing::kReaderPulse, announce);
 }
 
 }  // namespace
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -430,7 +430,7 @@
                      .refusal_body = {},
                      .make_buffer = {}}) {
   if (!server_.Listen("127.0.0.1:0")) std::abort();
-  watch_end_ = kernel::Every(loop, 2s, [this] { EndWatches(); });
+  watch_end_ = kernel::RunEvery(loop, 2s, [this] { EndWatches(); });
 }
 
 void Store::Put(const std::string& key, const std::string& value) {
@@ -548,7 +548,7 @@
   // As in the program: a connection that ended is written to.
   std::signal(SIGPIPE, SIG_IGN);
   loop.clock = {MovedNow, &ahead_};
-  wake_ = kernel::Every(loop, 2ms, [] {});
+  wake_ = kernel::RunEvery(loop, 2ms, [] {});
 }
 
 void World::Publish(routing::RouteTable table) {
--- a/proxy/tests/harness.h
+++ b/proxy/tests/harness.h
@@ -183,7 +183,7 @@
   void EndWatches();
 
   net::HttpServer server_;
-  kernel::Watch watch_end_;
+  kernel::EventWatcher watch_end_;
   std::map<std::string, Item> items_;
   std::list<net::HttpCallPtr> watches_;
   std::uint64_t revision_ = 100;
@@ -255,7 +255,7 @@
  private:
   std::chrono::nanoseconds ahead_{};
   std::uint64_t version_ = 0;
-  kernel::Watch wake_;
+  kernel::EventWatcher wake_;
   std::map<std::string, std::unique_ptr<Endpoint>> endpoints_;
   std::list<std::unique_ptr<Wire>> wires_;
   std::list<ProxyPtr> proxies_;
