--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -32,7 +32,7 @@
       routing::OnConnectFailed(endpoint, now);
       break;
     case AttemptEnd::kFull: {
-      const auto jitter = milliseconds(kernel::Below(
+      const auto jitter = milliseconds(kernel::RandomBelow(
           proxy.random,
           static_cast<std::uint64_t>(routing::kFullPause.count()) + 1));
       routing::OnFull(endpoint, routing::kFullPause / 2 + jitter, now);
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -179,7 +179,7 @@
   const std::size_t count = std::min(peers.size(), max_count);
   for (std::size_t i = 0; i < count; ++i) {
     std::swap(peers[i],
-              peers[i + kernel::Below(proxy.random, peers.size() - i)]);
+              peers[i + kernel::RandomBelow(proxy.random, peers.size() - i)]);
   }
   peers.resize(count);
   return peers;
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -44,7 +44,7 @@
   reader.missed_change_since = {};
   reader.backoff = NextBackoff(reader.backoff);
   // Jittered: all nodes lost the store together.
-  const auto jitter = milliseconds(kernel::Below(
+  const auto jitter = milliseconds(kernel::RandomBelow(
       proxy.random, static_cast<std::uint64_t>(reader.backoff.count())));
   kernel::LogEvent(LogPart::kPlatform, LogLevel::kWarning, "store-not-read",
                    {{"feed", routing::NameOf(reader.feed)},
--- a/proxy/tests/peers_test.cc
+++ b/proxy/tests/peers_test.cc
@@ -20,7 +20,7 @@
   ek::Random random(1);
   std::string letters(size, ' ');
   for (char& letter : letters) {
-    letter = static_cast<char>('0' + ek::Below(random, 64));
+    letter = static_cast<char>('0' + ek::RandomBelow(random, 64));
   }
   return letters;
 }
