--- a/proxy/src/settings.cc
+++ b/proxy/src/settings.cc
@@ -53,7 +53,7 @@
 
 void ReadNode(const kernel::Settings& settings, ProxyOptions& options) {
   const auto text = [&settings](const char* section, const char* key) {
-    return kernel::TextOf(settings, section, key);
+    return kernel::GetText(settings, section, key);
   };
   options.node = text("node", "name");
   options.zone = text("node", "zone");
@@ -73,8 +73,8 @@
   options.retries.ratio = kernel::GetNumber(settings, "retries", "ratio");
   options.retries.slack = kernel::GetNumber(settings, "retries", "slack");
   options.retries.window = kernel::GetDuration(settings, "retries", "window");
-  options.memory_bytes = kernel::BytesOf(settings, "limits", "memory");
-  options.descriptors = kernel::CountOf(settings, "limits", "descriptors");
+  options.memory_bytes = kernel::GetBytes(settings, "limits", "memory");
+  options.descriptors = kernel::GetCount(settings, "limits", "descriptors");
   options.grace = kernel::GetDuration(settings, "stop", "grace");
   options.directory_ttl = kernel::GetDuration(settings, "directory", "keep");
 }
@@ -82,11 +82,11 @@
 void ReadPlacing(const kernel::Settings& settings,
                  kernel::SettingsChecker& checker, ProxyOptions& options) {
   for (const std::string& name :
-       kernel::SplitList(kernel::TextOf(settings, "placing", "without"))) {
+       kernel::SplitList(kernel::GetText(settings, "placing", "without"))) {
     if (const auto mechanism = routing::FindMechanism(name)) {
       options.disabled_mechanisms.set(static_cast<std::size_t>(*mechanism));
     } else {
-      checker.Fault(
+      checker.AddError(
           "placing", "without",
           "has '" + name + "', expected one of " + routing::MechanismNames());
     }
@@ -97,42 +97,43 @@
 // they send, with nothing to tell the operator why.
 void CheckStop(const ProxyOptions& options, kernel::SettingsChecker& checker) {
   if (options.directory_ttl.count() == 0) {
-    checker.Fault("directory", "keep", "is 0, expected a time above 0");
+    checker.AddError("directory", "keep", "is 0, expected a time above 0");
   }
   const policy::StopPlan plan = MakeStopPlan(options);
   const milliseconds min_grace = policy::ShortestGrace(plan);
   if (options.grace >= min_grace) return;
-  checker.Fault("stop", "grace",
-                "is " + std::to_string(options.grace.count()) +
-                    "ms, expected " + std::to_string(min_grace.count()) +
-                    "ms or more, as callers keep addresses for " +
-                    std::to_string(plan.addresses_kept.count()) +
-                    "ms with this directory.keep");
+  checker.AddError("stop", "grace",
+                   "is " + std::to_string(options.grace.count()) +
+                       "ms, expected " + std::to_string(min_grace.count()) +
+                       "ms or more, as callers keep addresses for " +
+                       std::to_string(plan.addresses_kept.count()) +
+                       "ms with this directory.keep");
 }
 
 void Check(const kernel::Settings& settings, const ProxyOptions& options,
            kernel::SettingsChecker& checker) {
   for (const std::string& seed : options.seeds) {
     if (net::SplitAddress(seed).second != 0) continue;
-    checker.Fault("peers", "seeds",
-                  "has '" + seed + "', expected " + kAddressExpected);
+    checker.AddError("peers", "seeds",
+                     "has '" + seed + "', expected " + kAddressExpected);
   }
-  if (const std::string& fleet = kernel::TextOf(settings, "peers", "fleet");
+  if (const std::string& fleet = kernel::GetText(settings, "peers", "fleet");
       fleet != "new" && fleet != "running") {
-    checker.Fault("peers", "fleet",
-                  "is '" + fleet + "', expected new or running");
+    checker.AddError("peers", "fleet",
+                     "is '" + fleet + "', expected new or running");
   }
   if (!options.metrics.empty() &&
       net::SplitAddress(options.metrics).second == 0) {
-    checker.Fault("listen", "metrics",
-                  "is '" + options.metrics + "', expected " + kAddressExpected);
+    checker.AddError(
+        "listen", "metrics",
+        "is '" + options.metrics + "', expected " + kAddressExpected);
   }
   if (options.retries.window.count() == 0) {
-    checker.Fault("retries", "window", "is 0");
+    checker.AddError("retries", "window", "is 0");
   }
   if (kernel::FindPlugin<Dialect>(options.dialect) == nullptr) {
-    checker.Fault("node", "dialect",
-                  "is '" + options.dialect + "', which none has");
+    checker.AddError("node", "dialect",
+                     "is '" + options.dialect + "', which none has");
   }
   CheckStop(options, checker);
 }
@@ -153,12 +154,13 @@
   kernel::SettingsChecker checker(text, file, errors);
   ReadPlacing(settings, checker, config.proxy);
   Check(settings, config.proxy, checker);
-  const std::string& level = kernel::TextOf(settings, "log", "level");
+  const std::string& level = kernel::GetText(settings, "log", "level");
   if (const auto read = kernel::ParseLogLevel(level)) {
     config.log_level = *read;
   } else {
-    checker.Fault("log", "level",
-                  "is '" + level + "', expected debug, info, warning or error");
+    checker.AddError(
+        "log", "level",
+        "is '" + level + "', expected debug, info, warning or error");
   }
   if (errors.empty()) return config;
   const kernel::Error first = errors.front();
