--- a/proxy/include/egretladder/proxy/proxy.h
+++ b/proxy/include/egretladder/proxy/proxy.h
@@ -32,9 +32,9 @@
   std::vector<std::string> seeds;  ///< Peer addresses; may be stale.
   /// The whole fleet starts for the first time, without callers so far.
   bool is_new_fleet = false;
-  routing::RetryRule retries;
+  routing::RetryBudgetRule retries;
   /// Mechanisms of placing that are left out, to measure their worth.
-  routing::MechanismsOff disabled_mechanisms;
+  routing::DisabledMechanisms disabled_mechanisms;
   std::size_t memory_bytes = std::size_t{256} << 20U;
   std::size_t descriptors = 4096;
   /// From SIGTERM until the process must be gone.
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -9,7 +9,7 @@
 
 using kernel::LogLevel;
 using kernel::LogPart;
-using routing::AttemptEnd;
+using routing::AttemptOutcome;
 using routing::NextStep;
 
 constexpr int kBadGateway = 502;
@@ -24,30 +24,30 @@
 }
 
 // What the end says of the endpoint.
-void RecordEndpointResult(Proxy& proxy, const Call& call, AttemptEnd end) {
+void RecordEndpointResult(Proxy& proxy, const Call& call, AttemptOutcome end) {
   routing::Endpoint& endpoint = *call.attempt->endpoint;
   const Time now = NowOf(proxy);
   switch (end) {
-    case AttemptEnd::kNotSent:
+    case AttemptOutcome::kNotSent:
       routing::OnConnectFailed(endpoint, now);
       break;
-    case AttemptEnd::kFull: {
+    case AttemptOutcome::kFull: {
       const auto jitter = milliseconds(kernel::RandomBelow(
           proxy.random,
           static_cast<std::uint64_t>(routing::kFullPause.count()) + 1));
-      routing::OnFull(endpoint, routing::kFullPause / 2 + jitter, now);
+      routing::OnEndpointFull(endpoint, routing::kFullPause / 2 + jitter, now);
       break;
     }
-    case AttemptEnd::kWrongInstance:
+    case AttemptOutcome::kWrongInstance:
       routing::OnWrongInstance(proxy.endpoints, endpoint.entry.id);
       break;
-    case AttemptEnd::kBroken:
-    case AttemptEnd::kBadAnswer:
-    case AttemptEnd::kSilent:
-    case AttemptEnd::kFailed:
-      routing::OnFailed(endpoint, now);
+    case AttemptOutcome::kBroken:
+    case AttemptOutcome::kBadAnswer:
+    case AttemptOutcome::kSilent:
+    case AttemptOutcome::kFailed:
+      routing::OnAttemptFailed(endpoint, now);
       break;
-    case AttemptEnd::kSucceeded:
+    case AttemptOutcome::kSucceeded:
       routing::OnAnswered(endpoint, Elapsed(call.attempt->sent_at, now), now);
       break;
   }
@@ -55,25 +55,25 @@
 
 // What the end says of the request: one that crashes endpoints shows by breaks
 // at one after the other.
-void RecordSuspect(Proxy& proxy, Call& call, AttemptEnd end) {
+void RecordSuspect(Proxy& proxy, Call& call, AttemptOutcome end) {
   const Attempt& attempt = *call.attempt;
   const Time now = NowOf(proxy);
-  if (end == AttemptEnd::kBroken) {
-    routing::OnBroke(
+  if (end == AttemptOutcome::kBroken) {
+    routing::OnConnectionBroke(
         proxy.suspects, GetFingerprint(call),
         {kernel::HashBytes(attempt.endpoint->entry.id), attempt.sent_at, now});
     return;
   }
   const bool has_run =
-      end == AttemptEnd::kSucceeded || end == AttemptEnd::kFailed;
+      end == AttemptOutcome::kSucceeded || end == AttemptOutcome::kFailed;
   if (has_run && !proxy.suspects.by_request.empty()) {
-    routing::OnRan(proxy.suspects, GetFingerprint(call), now);
+    routing::OnRequestRan(proxy.suspects, GetFingerprint(call), now);
   }
 }
 
 void ReleaseEndpoint(const CallPtr& call, const Attempt& attempt) {
-  routing::OnStarted(*attempt.endpoint, call->demand, attempt.number,
-                     attempt.placement);
+  routing::OnAttemptStarted(*attempt.endpoint, call->demand, attempt.number,
+                            attempt.placement);
   routing::OnDone(*attempt.endpoint);
 }
 
@@ -89,18 +89,19 @@
         call->caller->OnGone(nullptr);
         call->caller->End();
         call->succeeded = true;
-        routing::OnStreamEnded(proxy.endpoints.paces[call->service->name],
-                               call->route->name,
-                               static_cast<double>(call->events),
-                               Elapsed(call->first_event_at, NowOf(proxy)));
+        routing::OnStreamEnded(
+            proxy.endpoints.service_paces[call->service->name],
+            call->route->name, static_cast<double>(call->events),
+            Elapsed(call->first_event_at, NowOf(proxy)));
         EndCall(proxy, call, "answered");
       } else {
         PassOn(proxy, call, *attempt);
       }
       return;
     case NextStep::kRefuse:
-      RefuseCall(proxy, call, kUnavailable, "no_endpoint",
-                 routing::ComeBackAfter({}, call->route->target, proxy.random));
+      RefuseCall(
+          proxy, call, kUnavailable, "no_endpoint",
+          routing::RetryAfterRejection({}, call->route->target, proxy.random));
       return;
     case NextStep::kUnknown:
       RefuseCall(proxy, call, kBadGateway, "outcome_unknown", {});
@@ -114,8 +115,8 @@
 
 // What follows an attempt that ended, with room in the retry share taken where
 // it is sent again.
-NextStep ChooseNextStep(Proxy& proxy, const Call& call, AttemptEnd end) {
-  routing::AfterAttempt input;
+NextStep ChooseNextStep(Proxy& proxy, const Call& call, AttemptOutcome end) {
+  routing::NextStepInput input;
   input.end = end;
   input.may_repeat = routing::MayRepeat(*call.route);
   input.resumable = call.route->resumable && !call.last_event_id.empty();
@@ -125,22 +126,23 @@
   input.not_run = call.not_run;
   input.not_sent = call.not_sent;
   input.time_left = NowOf(proxy) < call.deadline;
-  const NextStep step = routing::DecideNext(input);
+  const NextStep step = routing::DecideNextStep(input);
   const bool is_retry =
       step == NextStep::kSendAgain || step == NextStep::kResume;
   // Impatience took its retry before it gave the attempt up.
-  if (!is_retry || end == AttemptEnd::kSilent || call.delivered_attempts == 0)
+  if (!is_retry || end == AttemptOutcome::kSilent ||
+      call.delivered_attempts == 0)
     return step;
   if (TakeRetry(proxy, call)) {
     return step;
   }
   input.time_left = false;
-  return routing::DecideNext(input);
+  return routing::DecideNextStep(input);
 }
 
-void CountAttempt(Call& call, AttemptEnd end,
+void CountAttempt(Call& call, AttemptOutcome end,
                   const routing::EndpointPtr& endpoint) {
-  if (end == AttemptEnd::kNotSent) {
+  if (end == AttemptOutcome::kNotSent) {
     ++call.not_sent;
     return;
   }
@@ -177,7 +179,7 @@
   ReleaseEndpoint(call, *attempt);
 }
 
-void EndAttempt(Proxy& proxy, const CallPtr& call, AttemptEnd end,
+void EndAttempt(Proxy& proxy, const CallPtr& call, AttemptOutcome end,
                 const std::string& detail) {
   if (call->attempt == nullptr) return;
   call->silence_timer = {};
@@ -190,7 +192,7 @@
   IncrementCounter(proxy, "egretladder_attempts_total",
                    "Attempts ended, by how.",
                    std::string("end=\"") + routing::NameOf(end) + "\"");
-  if (end != AttemptEnd::kSucceeded) {
+  if (end != AttemptOutcome::kSucceeded) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "attempt-ended",
                      {{"req", call->metadata.id},
                       {"endpoint", attempt->endpoint->entry.id},
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -9,7 +9,7 @@
 
 using kernel::LogLevel;
 using kernel::LogPart;
-using routing::AttemptEnd;
+using routing::AttemptOutcome;
 
 constexpr int kUnavailable = 503;
 constexpr int kMisdirected = 421;
@@ -31,8 +31,8 @@
   if (attempt.started) return;
   attempt.started = true;
   const Time now = NowOf(proxy);
-  routing::OnStarted(*attempt.endpoint, call->demand, attempt.number,
-                     attempt.placement);
+  routing::OnAttemptStarted(*attempt.endpoint, call->demand, attempt.number,
+                            attempt.placement);
   routing::OnFirstByte(
       *attempt.endpoint, Elapsed(attempt.sent_at, now),
       milliseconds(static_cast<std::int64_t>(attempt.placement.expected_ms)));
@@ -40,22 +40,22 @@
                   now - call->arrived_at);
 }
 
-AttemptEnd ClassifyWholeAnswer(const Attempt& attempt) {
+AttemptOutcome ClassifyWholeAnswer(const Attempt& attempt) {
   const int status = attempt.head.status;
   if (attempt.metadata.not_run) {
-    return status == kMisdirected ? AttemptEnd::kWrongInstance
-                                  : AttemptEnd::kFull;
+    return status == kMisdirected ? AttemptOutcome::kWrongInstance
+                                  : AttemptOutcome::kFull;
   }
   if (IsSuccess(status)) {
     return attempt.metadata.sealed && !attempt.metadata.encoded
-               ? AttemptEnd::kSucceeded
-               : AttemptEnd::kBadAnswer;
+               ? AttemptOutcome::kSucceeded
+               : AttemptOutcome::kBadAnswer;
   }
   if (ImpliesNotRun(status) || attempt.metadata.encoded) {
-    return AttemptEnd::kBadAnswer;
+    return AttemptOutcome::kBadAnswer;
   }
-  return status >= kMinServerError ? AttemptEnd::kFailed
-                                   : AttemptEnd::kSucceeded;
+  return status >= kMinServerError ? AttemptOutcome::kFailed
+                                   : AttemptOutcome::kSucceeded;
 }
 
 net::HeadVerdict OnHead(Proxy& proxy, const CallPtr& call,
@@ -69,7 +69,7 @@
                       {"answers", metadata.id}});
     return net::HeadVerdict::kSkip;
   }
-  routing::OnHeard(*attempt.endpoint, NowOf(proxy));
+  routing::OnSignOfLife(*attempt.endpoint, NowOf(proxy));
   if (head.status != kMisdirected) UpdateEndpointLimit(proxy, *call, metadata);
   attempt.head = head;
   attempt.metadata = metadata;
@@ -88,14 +88,15 @@
     return;
   }
   attempt.pace_sample_events += events;
-  if (attempt.pace_sample_events < routing::kPaceEvery) return;
+  if (attempt.pace_sample_events < routing::kEventsPerPaceSample) return;
   const std::chrono::duration<double, std::milli> elapsed =
       now - attempt.pace_sample_start;
   routing::Endpoint& endpoint = *attempt.endpoint;
-  routing::ServicePace& pace = proxy.endpoints.paces[call.service->name];
-  routing::OnPause(endpoint.pace, pace,
-                   endpoint.in_flight + endpoint.others_in_flight,
-                   elapsed / static_cast<double>(attempt.pace_sample_events));
+  routing::ServicePace& pace =
+      proxy.endpoints.service_paces[call.service->name];
+  routing::OnEventInterval(
+      endpoint.pace, pace, endpoint.in_flight + endpoint.peers_in_flight,
+      elapsed / static_cast<double>(attempt.pace_sample_events));
   routing::OnStreamRunning(pace, call.route->name,
                            static_cast<double>(call.events));
   attempt.pace_sample_start = now;
@@ -121,7 +122,7 @@
     return;
   }
   net::Cancel(call->attempt->exchange);
-  EndAttempt(proxy, call, AttemptEnd::kSilent, "no event in time");
+  EndAttempt(proxy, call, AttemptOutcome::kSilent, "no event in time");
 }
 
 void StartSilenceTimer(Proxy& proxy, const CallPtr& call,
@@ -193,7 +194,7 @@
 
 void OnBody(Proxy& proxy, const CallPtr& call, std::string_view piece) {
   Attempt& attempt = *call->attempt;
-  routing::OnHeard(*attempt.endpoint, NowOf(proxy));
+  routing::OnSignOfLife(*attempt.endpoint, NowOf(proxy));
   if (attempt.is_event_stream) {
     MarkAttemptStarted(proxy, call);
     ForwardEvents(proxy, call, piece);
@@ -207,7 +208,8 @@
   attempt.body.append(piece);
   if (attempt.body.size() > kMaxBufferedAnswerBytes) {
     net::Cancel(attempt.exchange);
-    EndAttempt(proxy, call, AttemptEnd::kBadAnswer, "the answer is too large");
+    EndAttempt(proxy, call, AttemptOutcome::kBadAnswer,
+               "the answer is too large");
   }
 }
 
@@ -220,20 +222,20 @@
   }
   const bool is_complete = attempt.splitter.rest.empty() && call->events > 0;
   EndAttempt(proxy, call,
-             is_complete ? AttemptEnd::kSucceeded : AttemptEnd::kBroken,
+             is_complete ? AttemptOutcome::kSucceeded : AttemptOutcome::kBroken,
              is_complete ? "" : "the stream ended inside an event");
 }
 
-AttemptEnd ClassifyExchangeError(net::ExchangeFault fault) {
+AttemptOutcome ClassifyExchangeError(net::ExchangeFault fault) {
   switch (fault) {
     case net::ExchangeFault::kNotConnected:
-      return AttemptEnd::kNotSent;
+      return AttemptOutcome::kNotSent;
     case net::ExchangeFault::kBroken:
-      return AttemptEnd::kBroken;
+      return AttemptOutcome::kBroken;
     case net::ExchangeFault::kBadAnswer:
       break;
   }
-  return AttemptEnd::kBadAnswer;
+  return AttemptOutcome::kBadAnswer;
 }
 
 void LogSent(const Proxy& proxy, const Call& call, Time now) {
@@ -245,11 +247,11 @@
                     {"why", routing::NameOf(placement.reason)},
                     {"expected_ms", placement.expected_ms},
                     {"cost", routing::Describe(placement.costs)},
-                    {"tight_part", proxy.endpoints.tight_part},
+                    {"tight_part", proxy.endpoints.tight_fraction},
                     {"waited_ms", Elapsed(call.arrived_at, now)},
                     {"left_ms", Elapsed(now, call.deadline)},
                     {"in_flight", endpoint.in_flight},
-                    {"others", endpoint.others_in_flight},
+                    {"others", endpoint.peers_in_flight},
                     {"phase", routing::NameOf(endpoint.phase)},
                     {"tier", call.demand.tier},
                     {"route", call.route->name},
@@ -271,7 +273,7 @@
 
 net::Reuse GetConnectionReuse(const Call& call, Time now) {
   if (routing::MayRepeat(*call.route)) return net::Reuse::kAny;
-  return routing::IsHeardLately(*call.attempt->endpoint, now)
+  return routing::IsRecentlyHeard(*call.attempt->endpoint, now)
              ? net::Reuse::kYoung
              : net::Reuse::kNone;
 }
@@ -328,8 +330,8 @@
   attempt.placement = placement;
   attempt.sent_at = now;
   routing::OnPlaced(proxy.side_meter, call->demand, placement, now);
-  routing::OnSent(*placement.endpoint, call->demand, attempt.number, placement,
-                  now);
+  routing::OnAttemptSent(*placement.endpoint, call->demand, attempt.number,
+                         placement, now);
   kernel::Observe(proxy.metrics, call->class_metrics->waited,
                   now - call->arrived_at);
   LogSent(proxy, *call, now);
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -52,7 +52,7 @@
                                 std::max(route.timeout, milliseconds(1)));
   call->deadline = now + timeout;
   const auto target =
-      routing::DrawTarget(route, kernel::RandomFraction(proxy.random));
+      routing::PickTarget(route, kernel::RandomFraction(proxy.random));
   call->service = &proxy.rules->services[target.idx];
   call->demand.service = call->service;
   call->demand.tier = routing::RankOf(*proxy.rules, route, account);
@@ -62,12 +62,13 @@
     if (route.kind == routing::RouteKind::kStream) {
       const routing::ServicePace& pace =
           routing::PaceOf(proxy.endpoints, call->service->name);
-      call->demand.events = routing::EventsExpected(pace, route.name);
-      call->demand.longest = routing::EventsAtMost(pace, route.name);
-      call->demand.length_ms = routing::LengthExpected(pace, route.name);
+      call->demand.events = routing::ExpectedStreamEvents(pace, route.name);
+      call->demand.longest = routing::LongStreamEvents(pace, route.name);
+      call->demand.expected_stream_ms =
+          routing::ExpectedStreamMs(pace, route.name);
     }
-    call->demand.tight =
-        route.gap_target.count() > 0 && route.gap_target <= routing::kTightGap;
+    call->demand.tight = route.gap_target.count() > 0 &&
+                         route.gap_target <= routing::kMaxTightGap;
   }
   call->metadata = std::move(metadata);
   call->body_bytes = caller->request().body.size();
@@ -126,7 +127,7 @@
   }
   if (proxy.rules == nullptr) {
     Reject(proxy, caller, kUnavailable, "not_ready", "no rules are known yet",
-           routing::ComeBackWhenReady(
+           routing::RetryAfterNotReady(
                Elapsed(proxy.members.started, NowOf(proxy)), proxy.random));
     return false;
   }
@@ -245,34 +246,34 @@
     RefuseSuspect(proxy, call, hold_time);
     return;
   }
-  const routing::FleetPart fleet = routing::PartOf(proxy.members, now);
+  const routing::FleetSnapshot fleet = routing::PartOf(proxy.members, now);
   const routing::Placement placement =
       routing::Place(proxy.endpoints, call->demand, call->tried_endpoints,
                      fleet, proxy.random, now);
-  routing::AdmitAsk input;
+  routing::AdmissionInput input;
   if (!call->waiting) call->waits_since = now;
   input.waits_since = call->waits_since;
   input.deadline = call->deadline;
   input.target = call->route->target;
-  input.came_before = call->delivered_attempts > 0;
-  const routing::AdmitVerdict verdict =
-      routing::DecideSend(input, placement, now);
+  input.was_sent_before = call->delivered_attempts > 0;
+  const routing::AdmissionVerdict verdict =
+      routing::DecideAdmission(input, placement, now);
   // A stopping node refuses what it can't finish before it waits for a free
   // endpoint: its caller's time is for another node.
   const bool may_proceed =
-      verdict == routing::AdmitVerdict::kSend ||
-      (verdict == routing::AdmitVerdict::kWait && !call->waiting);
+      verdict == routing::AdmissionVerdict::kSend ||
+      (verdict == routing::AdmissionVerdict::kWait && !call->waiting);
   if (may_proceed && call->may_have_run == 0 &&
       !CanStillFinish(proxy, *call, placement)) {
     RefuseCall(proxy, call, kUnavailable, "leaving", kLeavingRetryDelay);
     return;
   }
-  if (verdict == routing::AdmitVerdict::kWait) {
+  if (verdict == routing::AdmissionVerdict::kWait) {
     Wait(proxy, call);
     return;
   }
   DequeueCall(proxy, call);
-  if (verdict == routing::AdmitVerdict::kSend) {
+  if (verdict == routing::AdmissionVerdict::kSend) {
     StartAttempt(proxy, call, placement);
     return;
   }
@@ -286,9 +287,9 @@
                     {"service", call->service->name},
                     {"tier", call->demand.tier},
                     {"nodes", fleet.nodes}});
-  RefuseOrAbort(
-      proxy, call, routing::NameOf(verdict),
-      routing::ComeBackAfter(placement, call->route->target, proxy.random));
+  RefuseOrAbort(proxy, call, routing::NameOf(verdict),
+                routing::RetryAfterRejection(placement, call->route->target,
+                                             proxy.random));
 }
 
 void DispatchWaiting(Proxy& proxy) {
--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -43,7 +43,7 @@
 void LogFetched(const Proxy& proxy, Feed feed, const std::string& from,
                 const PackedChanges& packed, std::uint64_t revision,
                 Time asked) {
-  if (packed.bytes.size() <= routing::kSmallChanges) return;
+  if (packed.bytes.size() <= routing::kSmallChangesBytes) return;
   kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "fetched",
                    {{"feed", routing::NameOf(feed)},
                     {"from", from},
@@ -56,18 +56,20 @@
 void OnChangesReceived(Proxy& proxy, Feed feed, const std::string& from,
                        const PackedChanges& packed, Time asked) {
   auto received = UnpackChanges(packed, feed);
-  routing::FeedPull& pull = routing::PullOf(proxy.peers->pulls, feed);
+  routing::FeedFetch& pull =
+      routing::GetFeedFetch(proxy.peers->feed_fetches, feed);
   if (!received) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kWarning, "fetch-refused",
                      {{"feed", routing::NameOf(feed)},
                       {"from", from},
                       {"why", kernel::Describe(received.error())}});
     CountFetch(proxy, "refused");
-    routing::OnPullFailed(pull, from, routing::kPullSilentPause, NowOf(proxy));
+    routing::OnFetchFailed(pull, from, routing::kFetchTimeoutBackoff,
+                           NowOf(proxy));
     return;
   }
   CountFetch(proxy, "taken");
-  routing::OnPulled(pull, from);
+  routing::OnFetchDone(pull, from);
   LogFetched(proxy, feed, from, packed, received.value().changes.revision,
              asked);
   ApplyChanges(proxy, received.value().changes, ChangeSource::kPeer,
@@ -81,8 +83,9 @@
              answer.totalSize().wordCount);
   if (answer.getBusy()) {
     CountFetch(proxy, "busy");
-    routing::OnPullFailed(routing::PullOf(proxy.peers->pulls, feed), from,
-                          routing::kPullBusyPause, NowOf(proxy));
+    routing::OnFetchFailed(
+        routing::GetFeedFetch(proxy.peers->feed_fetches, feed), from,
+        routing::kFetchBusyBackoff, NowOf(proxy));
     return;
   }
   const auto bytes = answer.getPacked().getBytes();
@@ -95,9 +98,10 @@
 void FetchFeed(Proxy& proxy, Feed feed, const std::string& from) {
   PeerConnection* peer = GetOrConnectPeer(*proxy.peers, from);
   const Time now = NowOf(proxy);
-  routing::FeedPull& pull = routing::PullOf(proxy.peers->pulls, feed);
+  routing::FeedFetch& pull =
+      routing::GetFeedFetch(proxy.peers->feed_fetches, feed);
   if (peer == nullptr) {
-    routing::OnPullFailed(pull, from, routing::kPullSilentPause, now);
+    routing::OnFetchFailed(pull, from, routing::kFetchTimeoutBackoff, now);
     return;
   }
   auto request = peer->client.fetchRequest();
@@ -126,7 +130,7 @@
 void AnswerFetch(Proxy& proxy, bool same_zone, std::uint8_t feed_number,
                  std::uint64_t after,
                  exchange::Peer::FetchResults::Builder results) {
-  if (feed_number >= routing::kFeeds) {  // Of a newer node.
+  if (feed_number >= routing::kFeedCount) {  // Of a newer node.
     results.setBusy(true);
     return;
   }
@@ -162,8 +166,8 @@
     const std::uint64_t own_revision =
         routing::StateOf(proxy.catalog, feed).revision;
     if (own_revision == 0 && progress[i].known == 0) OnPeerWithoutData(proxy);
-    if (!routing::TakeProgress(proxy.catalog, feed, progress[i])) continue;
-    routing::OnOffer(proxy.peers->pulls.feeds[i], peer, same_zone,
+    if (!routing::ApplyPeerProgress(proxy.catalog, feed, progress[i])) continue;
+    routing::OnOffer(proxy.peers->feed_fetches.feeds[i], peer, same_zone,
                      progress[i].known);
     has_missing_changes = true;
   }
@@ -171,11 +175,11 @@
 }
 
 void FetchMissingChanges(Proxy& proxy) {
-  for (std::size_t i = 0; i < routing::kFeeds; ++i) {
+  for (std::size_t i = 0; i < routing::kFeedCount; ++i) {
     const auto feed = static_cast<Feed>(i);
     if (ShouldWaitForStore(proxy, feed)) continue;
-    const std::string peer = routing::NextPull(
-        proxy.peers->pulls.feeds[i],
+    const std::string peer = routing::StartNextFetch(
+        proxy.peers->feed_fetches.feeds[i],
         routing::StateOf(proxy.catalog, feed).revision, NowOf(proxy));
     if (!peer.empty()) FetchFeed(proxy, feed, peer);
   }
--- a/proxy/src/knowledge.cc
+++ b/proxy/src/knowledge.cc
@@ -105,8 +105,9 @@
     routing::OnEntryRemoved(proxy.endpoints, id, false, now);
     return;
   }
-  LogEndpointChange(id, routing::OnEntry(proxy.endpoints, entry.value(), now),
-                    source, item.rev);
+  LogEndpointChange(
+      id, routing::OnEntryPublished(proxy.endpoints, entry.value(), now),
+      source, item.rev);
 }
 
 }  // namespace
@@ -146,8 +147,8 @@
   // Other nodes hear of it now rather than in some rounds.
   if (!routing::IsSmallFleet(proxy.members)) {
     ScheduleFetchAndAnnounce(proxy, source == ChangeSource::kPeer
-                                        ? routing::kToldOnward
-                                        : routing::kToldAtOnce);
+                                        ? routing::kRelayFanout
+                                        : routing::kReaderFanout);
   }
   if (!proxy.waiting.empty()) DispatchWaiting(proxy);
 }
--- a/proxy/src/measures.cc
+++ b/proxy/src/measures.cc
@@ -105,7 +105,7 @@
   SetGauge(proxy, "egretladder_endpoint_connections_opened",
            "Connections to endpoints and the store opened since the start.",
            static_cast<double>(proxy.client->opened()));
-  const routing::RetryFleet fleet = MakeRetryFleet(proxy);
+  const routing::RetryBudgetFleet fleet = MakeRetryFleet(proxy);
   for (const auto& [service, share] : proxy.retry_shares) {
     SetGauge(proxy, "egretladder_retries_left",
              "Repeats that this node may still make in the window.",
@@ -176,7 +176,7 @@
   UpdateLoadGauges(proxy, now);
   SetGauge(proxy, "egretladder_tight_part",
            "Part of the engines that is for streams with short pauses.",
-           proxy.endpoints.tight_part);
+           proxy.endpoints.tight_fraction);
 }
 
 }  // namespace egretladder::proxy
--- a/proxy/src/named_limits.cc
+++ b/proxy/src/named_limits.cc
@@ -30,8 +30,8 @@
   }
   if (!metadata.limit && !metadata.sealed) return;
   const double previous_limit = endpoint.limit.per_second;
-  if (routing::OnLimit(proxy.endpoints, endpoint, metadata.limit,
-                       NowOf(proxy))) {
+  if (routing::OnAdvertisedLimit(proxy.endpoints, endpoint, metadata.limit,
+                                 NowOf(proxy))) {
     LogLimit(endpoint, previous_limit, "answer");
   }
 }
@@ -39,13 +39,13 @@
 void WriteLimits(Proxy& proxy, exchange::News::Builder news) {
   if (proxy.endpoints.limited.empty()) return;
   const auto gossip =
-      routing::LimitsToTell(proxy.endpoints, proxy.random, NowOf(proxy));
+      routing::MakeLimitGossip(proxy.endpoints, proxy.random, NowOf(proxy));
   auto list = news.initLimits(static_cast<unsigned>(gossip.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setEndpoint(gossip[i].endpoint);
     list[i].setPerSecond(gossip[i].per_second);
     list[i].setNamedAgoMs(static_cast<std::uint32_t>(
-        std::max<std::int64_t>(0, gossip[i].named_ago.count())));
+        std::max<std::int64_t>(0, gossip[i].advertised_ago.count())));
   }
 }
 
@@ -55,7 +55,7 @@
     const auto it = proxy.endpoints.by_id.find(id);
     if (it == proxy.endpoints.by_id.end()) continue;
     const double previous_limit = it->second->limit.per_second;
-    const bool changed = routing::HearLimit(
+    const bool changed = routing::ApplyLimitGossip(
         proxy.endpoints,
         {id, gossip.getPerSecond(), milliseconds(gossip.getNamedAgoMs())},
         NowOf(proxy));
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -98,18 +98,18 @@
 // Sums up anew what peers said; what is too old no longer counts.
 void SumLoads(Proxy& proxy, Time now) {
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
-    endpoint->others_in_flight = 0;
-    endpoint->others_tokens = 0;
+    endpoint->peers_in_flight = 0;
+    endpoint->peers_waiting_tokens = 0;
   }
   std::erase_if(proxy.peer_loads, [now](const auto& entry) {
-    return now - entry.second.received_at > routing::kLoadKept;
+    return now - entry.second.received_at > routing::kPeerLoadRetention;
   });
   for (const auto& [node, peer] : proxy.peer_loads) {
     for (const PeerLoads::Load& load : peer.loads) {
       const auto it = proxy.endpoints.by_id.find(load.endpoint);
       if (it == proxy.endpoints.by_id.end()) continue;
-      it->second->others_in_flight += load.in_flight;
-      it->second->others_tokens += load.waiting_tokens;
+      it->second->peers_in_flight += load.in_flight;
+      it->second->peers_waiting_tokens += load.waiting_tokens;
     }
   }
 }
@@ -139,7 +139,7 @@
 
 void WriteSuspects(const Proxy& proxy, exchange::News::Builder news, Time now) {
   if (proxy.suspects.by_request.empty()) return;
-  const auto gossip = routing::SuspectsToTell(proxy.suspects, now);
+  const auto gossip = routing::MakeSuspectGossip(proxy.suspects, now);
   auto list = news.initSuspects(static_cast<unsigned>(gossip.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setRequest(gossip[i].request);
@@ -156,7 +156,7 @@
 
 void ApplySuspects(Proxy& proxy, exchange::News::Reader news, Time now) {
   for (const auto reader : news.getSuspects()) {
-    routing::ToldSuspect gossip;
+    routing::SuspectGossip gossip;
     gossip.request = reader.getRequest();
     gossip.cleared_ago = milliseconds(reader.getClearedAgoMs());
     for (const auto connection_break : reader.getBreaks()) {
@@ -164,11 +164,11 @@
                                milliseconds(connection_break.getSentAgoMs()),
                                milliseconds(connection_break.getBrokeAgoMs())});
     }
-    routing::HearSuspect(proxy.suspects, gossip, now);
+    routing::ApplySuspectGossip(proxy.suspects, gossip, now);
   }
 }
 
-void WriteMembers(const routing::MemberNews& gossip,
+void WriteMembers(const routing::MemberGossip& gossip,
                   exchange::News::Builder news) {
   auto members = news.initMembers(static_cast<unsigned>(gossip.members.size()));
   for (unsigned i = 0; i < members.size(); ++i) {
@@ -189,8 +189,8 @@
   }
 }
 
-routing::MemberNews ReadMembers(exchange::News::Reader news) {
-  routing::MemberNews gossip;
+routing::MemberGossip ReadMembers(exchange::News::Reader news) {
+  routing::MemberGossip gossip;
   for (const auto member : news.getMembers()) {
     gossip.members.push_back(ReadMember(member));
   }
@@ -202,7 +202,7 @@
   return gossip;
 }
 
-void ApplyMembers(Proxy& proxy, const routing::MemberNews& gossip, Time now) {
+void ApplyMembers(Proxy& proxy, const routing::MemberGossip& gossip, Time now) {
   for (const std::string& node : routing::Hear(proxy.members, gossip, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-there",
                      {{"node", node}});
@@ -215,7 +215,7 @@
   Progress progress{};
   for (std::size_t i = 0; i < progress.size(); ++i) {
     progress[i] =
-        routing::ProgressOf(proxy.catalog, static_cast<routing::Feed>(i));
+        routing::GetFeedProgress(proxy.catalog, static_cast<routing::Feed>(i));
   }
   return progress;
 }
@@ -241,7 +241,7 @@
   const Time now = NowOf(proxy);
   WriteMembers(routing::ToTell(proxy.members, unknown, proxy.random, now),
                news);
-  WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeeds));
+  WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeedCount));
   news.setTightDemand(static_cast<float>(proxy.agreed_demand.mean.tight));
   news.setRestDemand(static_cast<float>(proxy.agreed_demand.mean.rest));
   WriteLoads(proxy, news);
@@ -251,13 +251,14 @@
 
 PeerState ApplyGossip(Proxy& proxy, exchange::News::Reader news) {
   const Time now = NowOf(proxy);
-  const routing::MemberNews gossip = ReadMembers(news);
+  const routing::MemberGossip gossip = ReadMembers(news);
   ApplyMembers(proxy, gossip, now);
   ApplySuspects(proxy, news, now);
   ApplyLimits(proxy, news);
   routing::Agree(proxy.agreed_demand,
                  {news.getTightDemand(), news.getRestDemand()});
-  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed_demand.mean);
+  proxy.endpoints.tight_fraction =
+      routing::TightFraction(proxy.agreed_demand.mean);
   PeerState peer;
   // The first member is the sender itself.
   if (!gossip.members.empty()) {
--- a/proxy/src/news_codec_p.h
+++ b/proxy/src/news_codec_p.h
@@ -12,7 +12,7 @@
 namespace egretladder::proxy {
 
 /// How far a node knows each feed.
-using Progress = std::array<routing::FeedProgress, routing::kFeeds>;
+using Progress = std::array<routing::FeedProgress, routing::kFeedCount>;
 
 /// What a peer said of itself in an exchange.
 struct PeerState {
@@ -51,7 +51,7 @@
 void ApplyLimits(Proxy& proxy, exchange::News::Reader news);
 
 // news_codec.cc
-/// Writes progress into a list of `kFeeds`.
+/// Writes progress into a list of `kFeedCount`.
 void WriteProgress(const Progress& progress,
                    capnp::List<exchange::Progress>::Builder list);
 /// Reads such a list; feeds that it leaves out are unknown to the peer.
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -35,8 +35,8 @@
     same_zone_ = IsInOwnZone(proxy_, peer.zone);
     CountBytes(proxy_, "in", MessageKind::kExchange, same_zone_,
                params.totalSize().wordCount);
-    routing::OnExchanged(proxy_.members, NowOf(proxy_));
-    routing::OnHeardFrom(proxy_.members, peer.peer_address, NowOf(proxy_));
+    routing::OnExchangeAnswered(proxy_.members, NowOf(proxy_));
+    routing::OnPeerMessage(proxy_.members, peer.peer_address, NowOf(proxy_));
     auto news = context.getResults().initNews();
     WriteGossip(proxy_, peer.unknown, news);
     CountBytes(proxy_, "out", MessageKind::kExchange, same_zone_,
@@ -58,7 +58,7 @@
     CountBytes(proxy_, "in", MessageKind::kAnnounce, same_zone_,
                params.totalSize().wordCount);
     const std::string peer = params.getPeers();
-    routing::OnHeardFrom(proxy_.members, peer, NowOf(proxy_));
+    routing::OnPeerMessage(proxy_.members, peer, NowOf(proxy_));
     OnPeerProgress(proxy_, peer, same_zone_,
                    ReadProgress(params.getProgress()));
     return kj::READY_NOW;
@@ -97,11 +97,12 @@
     const bool has_failed = HasFailed(peer, now);
     if (has_failed && !peer.has_answered &&
         now - peer.opened_at < kMaxRefusalTime) {
-      routing::OnUnreachable(network.proxy->members, it->first, now);
+      routing::OnPeerUnreachable(network.proxy->members, it->first, now);
     }
     if (has_failed) {
-      for (routing::FeedPull& pull : network.pulls.feeds) {
-        routing::OnPullFailed(pull, it->first, routing::kPullSilentPause, now);
+      for (routing::FeedFetch& pull : network.feed_fetches.feeds) {
+        routing::OnFetchFailed(pull, it->first, routing::kFetchTimeoutBackoff,
+                               now);
       }
     }
     it = has_failed || now - peer.last_request_at > kPeerIdleTimeout
@@ -145,8 +146,8 @@
   peer->tasks.add(request.send().then([&proxy, peer, address](auto&& answer) {
     peer->exchanging = false;
     OnReplyReceived(*peer, NowOf(proxy));
-    routing::OnExchanged(proxy.members, NowOf(proxy));
-    routing::OnHeardFrom(proxy.members, address, NowOf(proxy));
+    routing::OnExchangeAnswered(proxy.members, NowOf(proxy));
+    routing::OnPeerMessage(proxy.members, address, NowOf(proxy));
     PeerState state = ApplyGossip(proxy, answer.getNews());
     peer->same_zone = IsInOwnZone(proxy, state.zone);
     CountBytes(proxy, "in", MessageKind::kExchange, peer->same_zone,
@@ -158,12 +159,13 @@
 
 // Exchanges that were begun and not answered for a while.
 std::size_t CountUnansweredExchanges(const PeerNetwork& network, Time now) {
-  const auto unanswered = std::count_if(
-      network.outgoing.begin(), network.outgoing.end(),
-      [now](const auto& entry) {
-        const PeerConnection& peer = *entry.second;
-        return peer.exchanging && now - peer.waits_since >= routing::kHanging;
-      });
+  const auto unanswered =
+      std::count_if(network.outgoing.begin(), network.outgoing.end(),
+                    [now](const auto& entry) {
+                      const PeerConnection& peer = *entry.second;
+                      return peer.exchanging && now - peer.waits_since >=
+                                                    routing::kExchangeStallTime;
+                    });
   return static_cast<std::size_t>(unanswered);
 }
 
@@ -172,7 +174,7 @@
   const Time now = NowOf(proxy);
   std::vector<std::string> peers;
   for (const auto& [node, known] : proxy.members.others) {
-    if (routing::IsThere(proxy.members, known, now)) {
+    if (routing::IsMemberAvailable(proxy.members, known, now)) {
       peers.push_back(known.member.peers);
     }
   }
@@ -192,7 +194,7 @@
   auto request = peer->client.announceRequest();
   request.setPeers(proxy.members.self.peers);
   request.setZone(proxy.members.self.zone);
-  WriteProgress(OwnProgress(proxy), request.initProgress(routing::kFeeds));
+  WriteProgress(OwnProgress(proxy), request.initProgress(routing::kFeedCount));
   CountBytes(proxy, "out", MessageKind::kAnnounce, peer->same_zone,
              request.totalSize().wordCount);
   OnRequestSent(*peer, NowOf(proxy));
@@ -260,20 +262,22 @@
 void Exchange(Proxy& proxy) {
   const Time now = NowOf(proxy);
   routing::Pull(proxy.agreed_demand, proxy.side_meter, now);
-  proxy.endpoints.tight_part = routing::TightPartOf(proxy.agreed_demand.mean);
+  proxy.endpoints.tight_fraction =
+      routing::TightFraction(proxy.agreed_demand.mean);
   routing::Beat(proxy.members, now);
   const std::size_t peers =
-      routing::PeersToTry(CountUnansweredExchanges(*proxy.peers, now));
+      routing::MaxPeersToTry(CountUnansweredExchanges(*proxy.peers, now));
   for (std::size_t i = 0; i < peers; ++i) {
     const std::string address =
-        routing::NextPeer(proxy.members, proxy.random, now);
+        routing::PickExchangePeer(proxy.members, proxy.random, now);
     if (!address.empty()) ExchangeWith(*proxy.peers, address);
   }
 }
 
 void ExchangeWithManyPeers(Proxy& proxy) {
   routing::Beat(proxy.members, NowOf(proxy));
-  for (const std::string& peer : SampleLivePeers(proxy, routing::kToldAtOnce)) {
+  for (const std::string& peer :
+       SampleLivePeers(proxy, routing::kReaderFanout)) {
     ExchangeWith(*proxy.peers, peer);
   }
 }
@@ -281,7 +285,7 @@
 void AnnounceToStandbys(Proxy& proxy) {
   if (routing::IsSmallFleet(proxy.members)) return;
   for (const std::string& peer :
-       routing::StandbysOf(proxy.members, NowOf(proxy))) {
+       routing::StandbyAddresses(proxy.members, NowOf(proxy))) {
     AnnounceTo(*proxy.peers, peer);
   }
 }
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -56,8 +56,8 @@
   net::Listener listener;
   std::map<std::string, std::unique_ptr<PeerConnection>> outgoing;
   std::vector<std::unique_ptr<net::RpcServerConnection>> incoming;
-  routing::Pulls pulls;
-  std::array<CachedChanges, routing::kFeeds> cached_changes;
+  routing::FeedFetches feed_fetches;
+  std::array<CachedChanges, routing::kFeedCount> cached_changes;
   kernel::EventWatcher sweep_timer;
   kernel::EventWatcher update_timer;
   bool update_scheduled = false;
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -26,12 +26,13 @@
   proxy.last_tick_at = now;
   if (gap > kMinProcessPause) OnProcessPause(proxy, gap);
   OnStopTick(proxy);
-  for (const std::string& id : routing::DropLapsed(proxy.endpoints, now)) {
+  for (const std::string& id :
+       routing::RemoveLapsedEndpoints(proxy.endpoints, now)) {
     kernel::LogEvent(
         LogPart::kPlatform, LogLevel::kInfo, "endpoint",
         {{"endpoint", id}, {"change", "gone"}, {"source", "lapsed"}});
   }
-  routing::ForgetRemovals(proxy.catalog, now);
+  routing::PruneTombstones(proxy.catalog, now);
   routing::ForgetSuspects(proxy.suspects, now);
   for (const std::string& node : routing::ForgetMembers(proxy.members, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-forgotten",
@@ -45,7 +46,7 @@
   const Time now = NowOf(proxy);
   // The timer is not exact, and a turn that is a little early must not be lost.
   const auto min_interval =
-      routing::kExchangePeriodLarge - routing::kExchangePeriod / 2;
+      routing::kLargeFleetExchangeInterval - routing::kExchangeInterval / 2;
   if (!routing::IsSmallFleet(proxy.members) &&
       now - proxy.last_exchange_at < min_interval) {
     return;
@@ -147,12 +148,12 @@
   proxy->peers = std::move(network);
   const Time now = NowOf(*proxy);
   proxy->members =
-      routing::StartMembers(MakeSelf(*proxy, peer_address), options.seeds, now);
+      routing::MakeMembers(MakeSelf(*proxy, peer_address), options.seeds, now);
   proxy->last_tick_at = now;
   proxy->tick = kernel::RunEvery(loop, kTickInterval,
                                  [raw = proxy.get()] { OnTick(*raw); });
   proxy->exchange_tick =
-      kernel::RunEvery(loop, routing::kExchangePeriod,
+      kernel::RunEvery(loop, routing::kExchangeInterval,
                        [raw = proxy.get()] { ExchangeWhenDue(*raw); });
   StartStoreReaders(*proxy);
   Exchange(*proxy);
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -154,9 +154,9 @@
   routing::EndpointSet endpoints;
   routing::Members members;
   std::map<std::string, PeerLoads> peer_loads;
-  routing::SideMeter side_meter;
-  routing::AgreedDemand agreed_demand;
-  std::unordered_map<std::string, routing::RetryShare> retry_shares;
+  routing::SplitDemandMeter side_meter;
+  routing::FleetDemand agreed_demand;
+  std::unordered_map<std::string, routing::NodeRetryBudget> retry_shares;
   routing::Suspects suspects;
   Time last_store_failure{};  ///< Last failed call; default: none.
 
@@ -166,7 +166,7 @@
   std::unique_ptr<net::HttpServer> ready_server;
   std::unique_ptr<net::HttpServer> directory_server;
   std::unique_ptr<net::HttpServer> metrics_server;
-  std::array<StoreReader, routing::kFeeds> readers;
+  std::array<StoreReader, routing::kFeedCount> readers;
   bool reads_store = false;  ///< Else other nodes read it for this one.
   /// A node that knows nothing reads the store from then on.
   Time initial_read_at{};
@@ -198,9 +198,9 @@
 }
 
 /// Those among whom the allowance of repeats is shared.
-inline routing::RetryFleet MakeRetryFleet(Proxy& proxy) {
+inline routing::RetryBudgetFleet MakeRetryFleet(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  return {routing::NodesOf(proxy.members, now),
+  return {routing::EstimateFleetSize(proxy.members, now),
           Elapsed(proxy.members.started, now)};
 }
 
@@ -261,7 +261,7 @@
                   const routing::Placement& placement);
 /// Stops the attempt without a decision; the endpoint sees a closed connection.
 void CancelAttempt(Proxy& proxy, const CallPtr& call);
-void EndAttempt(Proxy& proxy, const CallPtr& call, routing::AttemptEnd end,
+void EndAttempt(Proxy& proxy, const CallPtr& call, routing::AttemptOutcome end,
                 const std::string& detail);
 
 // named_limits.cc
@@ -305,7 +305,7 @@
 kernel::Result<PeerNetworkPtr> OpenPeers(Proxy& proxy, std::string* address);
 /// One exchange with one peer.
 void Exchange(Proxy& proxy);
-/// Tells `kToldAtOnce` peers drawn at random at once.
+/// Tells `kReaderFanout` peers drawn at random at once.
 void ExchangeWithManyPeers(Proxy& proxy);
 /// A reader shows the nodes that would take its place that it is there.
 void AnnounceToStandbys(Proxy& proxy);
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -50,8 +50,8 @@
 }
 
 void LogStopVerdict(Proxy& proxy, const Call& call,
-                    const routing::StopAsk& input,
-                    routing::StopVerdict verdict) {
+                    const routing::StopAdmissionInput& input,
+                    routing::StopAdmissionVerdict verdict) {
   IncrementCounter(proxy, "egretladder_stop_requests_total",
                    "Requests that met a node that stops, by what was decided.",
                    std::string("verdict=\"") + routing::NameOf(verdict) + "\"");
@@ -100,16 +100,16 @@
 bool CanStillFinish(Proxy& proxy, const Call& call,
                     const routing::Placement& placement) {
   if (!proxy.leaving) return true;
-  routing::StopAsk input;
+  routing::StopAdmissionInput input;
   input.arrived = Elapsed(proxy.leaving_since, call.arrived_at);
   input.since = TimeSinceStop(proxy);
   input.deadline = Elapsed(NowOf(proxy), call.deadline) + kDeadlineMargin;
   input.longest =
-      routing::LongestWhole(proxy.endpoints, call.demand, placement);
-  const routing::StopVerdict verdict =
-      routing::DecideTake(MakeStopPlan(proxy.options), input);
+      routing::EstimateLongAnswerTime(proxy.endpoints, call.demand, placement);
+  const routing::StopAdmissionVerdict verdict =
+      routing::DecideStopAdmission(MakeStopPlan(proxy.options), input);
   LogStopVerdict(proxy, call, input, verdict);
-  return routing::IsTaken(verdict);
+  return routing::IsAdmitted(verdict);
 }
 
 void OnStopTick(Proxy& proxy) {
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -227,15 +227,15 @@
   const auto announce = [&proxy] { AnnounceToStandbys(proxy); };
   proxy.standby_start_timer =
       kernel::RunAfter(*proxy.loop, milliseconds(0), announce);
-  proxy.standby_timer =
-      kernel::RunEvery(*proxy.loop, routing::kReaderPulse, announce);
+  proxy.standby_timer = kernel::RunEvery(
+      *proxy.loop, routing::kReaderHeartbeatInterval, announce);
 }
 
 }  // namespace
 
 bool IsStoreTroubled(const Proxy& proxy) {
   return proxy.last_store_failure != Time{} &&
-         NowOf(proxy) - proxy.last_store_failure < routing::kTroubleRecent;
+         NowOf(proxy) - proxy.last_store_failure < routing::kRecentOutageWindow;
 }
 
 void StartStoreReaders(Proxy& proxy) {
--- a/proxy/tests/changes_test.cc
+++ b/proxy/tests/changes_test.cc
@@ -123,7 +123,7 @@
 TEST(Changes, AStreamEndsWholeThoughItsKeyIsWithdrawn) {
   StartWithRequests();
   er::RouteTable table = et::StandardTable();
-  table.account_of_key.erase("k1");
+  table.account_by_key.erase("k1");
   world.Publish(table);
   world.UntilRules(*proxy);
   STRCMP_EQUAL("401 no", world.AskFor(*proxy, {.path = "/tell/b"}).c_str());
@@ -134,7 +134,7 @@
 TEST(Changes, AStreamEndsWholeThoughItsAccountIsGone) {
   StartWithRequests();
   er::RouteTable table = et::StandardTable();
-  table.account_of_key = {{"k3", 0}};
+  table.account_by_key = {{"k3", 0}};
   table.accounts = {{.name = "other", .tier = {}}};
   world.Publish(table);
   world.UntilRules(*proxy);
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -530,7 +530,7 @@
   add("talk", RouteKind::kStream, 2).resumable = true;
   add("tell", RouteKind::kStream, 1);
   table.accounts = {{.name = "t", .tier = {}}};
-  table.account_of_key = {{"k1", 0}, {"k2", 0}};
+  table.account_by_key = {{"k1", 0}, {"k2", 0}};
   table.has_accounts = true;
   table.limits.body_bytes = std::size_t{16} << 20U;
   return table;
