--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -74,7 +74,7 @@
 void ReleaseEndpoint(const CallPtr& call, const Attempt& attempt) {
   routing::OnAttemptStarted(*attempt.endpoint, call->demand, attempt.number,
                             attempt.placement);
-  routing::OnDone(*attempt.endpoint);
+  routing::OnAttemptEnded(*attempt.endpoint);
 }
 
 void ExecuteNextStep(Proxy& proxy, const CallPtr& call, NextStep step,
@@ -118,9 +118,9 @@
 NextStep ChooseNextStep(Proxy& proxy, const Call& call, AttemptOutcome end) {
   routing::NextStepInput input;
   input.end = end;
-  input.may_repeat = routing::MayRepeat(*call.route);
+  input.is_repeatable = routing::IsRouteRepeatable(*call.route);
   input.resumable = call.route->resumable && !call.last_event_id.empty();
-  input.answer_begun = call.caller->begun();
+  input.is_answer_started = call.caller->begun();
   input.attempts = call.route->attempts;
   input.may_have_run = call.may_have_run;
   input.not_run = call.not_run;
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -166,7 +166,7 @@
     if (locked == nullptr || locked->attempt == nullptr) return;
     locked->caller->OnDrained(nullptr);
     net::SetReading(locked->attempt->exchange, true);
-    if (routing::MayRepeat(*locked->route)) {
+    if (routing::IsRouteRepeatable(*locked->route)) {
       StartSilenceTimer(proxy, locked, GetStallTimeout(*locked));
     }
   });
@@ -199,7 +199,7 @@
     MarkAttemptStarted(proxy, call);
     ForwardEvents(proxy, call, piece);
     const bool is_backlogged = call->caller->Unsent() > kMaxCallerBacklogBytes;
-    if (call->attempt != nullptr && routing::MayRepeat(*call->route) &&
+    if (call->attempt != nullptr && routing::IsRouteRepeatable(*call->route) &&
         !is_backlogged) {
       StartSilenceTimer(proxy, call, GetStallTimeout(*call));
     }
@@ -272,7 +272,7 @@
 }
 
 net::Reuse GetConnectionReuse(const Call& call, Time now) {
-  if (routing::MayRepeat(*call.route)) return net::Reuse::kAny;
+  if (routing::IsRouteRepeatable(*call.route)) return net::Reuse::kAny;
   return routing::IsRecentlyHeard(*call.attempt->endpoint, now)
              ? net::Reuse::kYoung
              : net::Reuse::kNone;
@@ -337,7 +337,7 @@
   LogSent(proxy, *call, now);
   attempt.exchange = proxy.client->Start(MakeExchangeRequest(proxy, *call, now),
                                          MakeExchangeHandlers(proxy, call));
-  if (routing::MayRepeat(*call->route)) {
+  if (routing::IsRouteRepeatable(*call->route)) {
     StartSilenceTimer(proxy, call, GetFirstEventTimeout(*call, placement));
   }
 }
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -55,13 +55,13 @@
       routing::PickTarget(route, kernel::RandomFraction(proxy.random));
   call->service = &proxy.rules->services[target.idx];
   call->demand.service = call->service;
-  call->demand.tier = routing::RankOf(*proxy.rules, route, account);
+  call->demand.tier = routing::FindRank(*proxy.rules, route, account);
   if (call->service->generates) {
     call->demand.parts = metadata.parts;
     call->demand.prompt_tokens = std::max(metadata.prompt_tokens, 1U);
     if (route.kind == routing::RouteKind::kStream) {
       const routing::ServicePace& pace =
-          routing::PaceOf(proxy.endpoints, call->service->name);
+          routing::FindServicePace(proxy.endpoints, call->service->name);
       call->demand.events = routing::ExpectedStreamEvents(pace, route.name);
       call->demand.longest = routing::LongStreamEvents(pace, route.name);
       call->demand.expected_stream_ms =
@@ -87,7 +87,7 @@
 
 void Wait(Proxy& proxy, const CallPtr& call) {
   if (call->waiting) return;
-  if (proxy.waiting.size() >= routing::kWaitingMost) {
+  if (proxy.waiting.size() >= routing::kMaxWaitingRequests) {
     // The least urgent that came last makes room, which may be this one.
     const auto last = std::prev(proxy.waiting.end());
     if (last->first.first <= call->demand.tier) {
@@ -246,13 +246,14 @@
     RefuseSuspect(proxy, call, hold_time);
     return;
   }
-  const routing::FleetSnapshot fleet = routing::PartOf(proxy.members, now);
+  const routing::FleetSnapshot fleet =
+      routing::MakeFleetSnapshot(proxy.members, now);
   const routing::Placement placement =
-      routing::Place(proxy.endpoints, call->demand, call->tried_endpoints,
-                     fleet, proxy.random, now);
+      routing::ChoosePlacement(proxy.endpoints, call->demand,
+                               call->tried_endpoints, fleet, proxy.random, now);
   routing::AdmissionInput input;
-  if (!call->waiting) call->waits_since = now;
-  input.waits_since = call->waits_since;
+  if (!call->waiting) call->waiting_since = now;
+  input.waiting_since = call->waiting_since;
   input.deadline = call->deadline;
   input.target = call->route->target;
   input.was_sent_before = call->delivered_attempts > 0;
@@ -283,7 +284,7 @@
                     {"place", routing::NameOf(placement.reason)},
                     {"expected_ms", placement.expected_ms},
                     {"left_ms", Elapsed(now, call->deadline)},
-                    {"waited_ms", Elapsed(call->waits_since, now)},
+                    {"waited_ms", Elapsed(call->waiting_since, now)},
                     {"service", call->service->name},
                     {"tier", call->demand.tier},
                     {"nodes", fleet.nodes}});
--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -144,7 +144,7 @@
     return;
   }
   const PackedChanges& packed = *content.value();
-  if (!routing::MaySend(packed.bytes.size(), UnsentOf(*proxy.peers))) {
+  if (!routing::CanSendChanges(packed.bytes.size(), UnsentOf(*proxy.peers))) {
     results.setBusy(true);
     return;
   }
--- a/proxy/src/measures.cc
+++ b/proxy/src/measures.cc
@@ -87,9 +87,9 @@
   SetGauge(proxy, "egretladder_store_trouble",
            "1 while reads of the store failed lately.",
            IsStoreTroubled(proxy) ? 1 : 0);
-  SetGauge(
-      proxy, "egretladder_nodes", "Nodes there, this one included.",
-      static_cast<double>(routing::PartOf(proxy.members, now).names.size()));
+  SetGauge(proxy, "egretladder_nodes", "Nodes there, this one included.",
+           static_cast<double>(
+               routing::MakeFleetSnapshot(proxy.members, now).names.size()));
 }
 
 void UpdateLoadGauges(Proxy& proxy, Time now) {
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -203,7 +203,8 @@
 }
 
 void ApplyMembers(Proxy& proxy, const routing::MemberGossip& gossip, Time now) {
-  for (const std::string& node : routing::Hear(proxy.members, gossip, now)) {
+  for (const std::string& node :
+       routing::ApplyMemberGossip(proxy.members, gossip, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-there",
                      {{"node", node}});
   }
@@ -239,8 +240,9 @@
 void WriteGossip(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
                  exchange::News::Builder news) {
   const Time now = NowOf(proxy);
-  WriteMembers(routing::ToTell(proxy.members, unknown, proxy.random, now),
-               news);
+  WriteMembers(
+      routing::MakeMemberGossip(proxy.members, unknown, proxy.random, now),
+      news);
   WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeedCount));
   news.setTightDemand(static_cast<float>(proxy.agreed_demand.mean.tight));
   news.setRestDemand(static_cast<float>(proxy.agreed_demand.mean.rest));
@@ -255,8 +257,8 @@
   ApplyMembers(proxy, gossip, now);
   ApplySuspects(proxy, news, now);
   ApplyLimits(proxy, news);
-  routing::Agree(proxy.agreed_demand,
-                 {news.getTightDemand(), news.getRestDemand()});
+  routing::MergePeerDemand(proxy.agreed_demand,
+                           {news.getTightDemand(), news.getRestDemand()});
   proxy.endpoints.tight_fraction =
       routing::TightFraction(proxy.agreed_demand.mean);
   PeerState peer;
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -87,7 +87,7 @@
 bool HasFailed(const PeerConnection& peer, Time now) {
   return peer.broken || peer.rpc.stream.IsOver() ||
          (peer.unanswered_calls > 0 &&
-          now - peer.waits_since > kExchangeTimeout);
+          now - peer.waiting_since > kExchangeTimeout);
 }
 
 void SweepConnections(PeerNetwork& network) {
@@ -163,7 +163,7 @@
       std::count_if(network.outgoing.begin(), network.outgoing.end(),
                     [now](const auto& entry) {
                       const PeerConnection& peer = *entry.second;
-                      return peer.exchanging && now - peer.waits_since >=
+                      return peer.exchanging && now - peer.waiting_since >=
                                                     routing::kExchangeStallTime;
                     });
   return static_cast<std::size_t>(unanswered);
@@ -228,13 +228,13 @@
 }
 
 void OnRequestSent(PeerConnection& peer, Time now) {
-  if (peer.unanswered_calls++ == 0) peer.waits_since = now;
+  if (peer.unanswered_calls++ == 0) peer.waiting_since = now;
   peer.last_request_at = now;
 }
 
 void OnReplyReceived(PeerConnection& peer, Time now) {
   --peer.unanswered_calls;
-  peer.waits_since = now;
+  peer.waiting_since = now;
   peer.has_answered = true;
 }
 
@@ -261,10 +261,10 @@
 
 void Exchange(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  routing::Pull(proxy.agreed_demand, proxy.side_meter, now);
+  routing::FollowMeasuredDemand(proxy.agreed_demand, proxy.side_meter, now);
   proxy.endpoints.tight_fraction =
       routing::TightFraction(proxy.agreed_demand.mean);
-  routing::Beat(proxy.members, now);
+  routing::IncrementHeartbeat(proxy.members, now);
   const std::size_t peers =
       routing::MaxPeersToTry(CountUnansweredExchanges(*proxy.peers, now));
   for (std::size_t i = 0; i < peers; ++i) {
@@ -275,7 +275,7 @@
 }
 
 void ExchangeWithManyPeers(Proxy& proxy) {
-  routing::Beat(proxy.members, NowOf(proxy));
+  routing::IncrementHeartbeat(proxy.members, NowOf(proxy));
   for (const std::string& peer :
        SampleLivePeers(proxy, routing::kReaderFanout)) {
     ExchangeWith(*proxy.peers, peer);
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -33,7 +33,7 @@
   Time opened_at{};
   Time last_request_at{};            ///< Last.
   std::size_t unanswered_calls = 0;  ///< Calls.
-  Time waits_since{};                ///< While one is unanswered.
+  Time waiting_since{};              ///< While one is unanswered.
   bool exchanging = false;           ///< An exchange is unanswered.
   bool has_answered = false;         ///< At least one call was.
   bool broken = false;
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -177,7 +177,8 @@
   }
   view.rules_version = proxy.rules ? proxy.rules->version : 0;
   view.endpoints = proxy.endpoints.by_id.size();
-  view.nodes = routing::PartOf(proxy.members, NowOf(proxy)).names.size();
+  view.nodes =
+      routing::MakeFleetSnapshot(proxy.members, NowOf(proxy)).names.size();
   view.calls = proxy.calls.size();
   view.waiting = proxy.waiting.size();
   view.cut = proxy.cut;
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -85,7 +85,7 @@
   Time last_event_at{};
   milliseconds longest_pause{};  ///< Between two events that callers got.
   bool waiting = false;
-  Time waits_since{};  ///< Since it has needed an endpoint.
+  Time waiting_since{};  ///< Since it has needed an endpoint.
   kernel::EventWatcher deadline_timer;
   kernel::EventWatcher silence_timer;
   std::size_t body_bytes = 0;
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -17,10 +17,10 @@
 }
 
 void LogCut(Proxy& proxy, const Call& call) {
-  const bool answer_begun = call.caller->begun();
-  const char* outcome = answer_begun    ? "in-answer"
-                        : WasSent(call) ? "outcome-unknown"
-                                        : "not-run";
+  const bool is_answer_started = call.caller->begun();
+  const char* outcome = is_answer_started ? "in-answer"
+                        : WasSent(call)   ? "outcome-unknown"
+                                          : "not-run";
   IncrementCounter(
       proxy, "egretladder_cut_by_stop_total",
       "Requests ended by the stop of this process before their answers.",
--- a/proxy/tests/shed_test.cc
+++ b/proxy/tests/shed_test.cc
@@ -22,13 +22,14 @@
         world.Send(proxy, {.path = first, .id = "first", .wait_ms = 20'000});
     world.Until([&endpoint] { return endpoint.seen().size() == 1; });
     stream = endpoint.seen()[0];
-    for (std::size_t i = 0; i <= er::kWaitingMost; ++i) {
+    for (std::size_t i = 0; i <= er::kMaxWaitingRequests; ++i) {
       world.Send(proxy, {.path = "/once/a",
                          .id = "w" + std::to_string(i),
                          .wait_ms = 20'000});
     }
-    world.Until(
-        [&proxy] { return ep::ViewOf(proxy).waiting == er::kWaitingMost; });
+    world.Until([&proxy] {
+      return ep::ViewOf(proxy).waiting == er::kMaxWaitingRequests;
+    });
     // Nothing more is sent to the endpoint.
     world.Register("e1", endpoint.address(), "a", "leaving");
     world.Turn(200ms);
