--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -176,7 +176,7 @@
   }
   auto pulses = news.initPulses(static_cast<unsigned>(gossip.pulses.size()));
   for (unsigned i = 0; i < pulses.size(); ++i) {
-    const routing::Pulse& pulse = gossip.pulses[i];
+    const routing::MemberHeartbeat& pulse = gossip.pulses[i];
     pulses[i].setNode(pulse.node);
     pulses[i].setLife(pulse.life);
     pulses[i].setHeartbeat(static_cast<std::uint32_t>(pulse.heartbeat));
