--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -125,7 +125,7 @@
   input.may_have_run = call.may_have_run;
   input.not_run = call.not_run;
   input.not_sent = call.not_sent;
-  input.time_left = NowOf(proxy) < call.deadline;
+  input.has_time_left = NowOf(proxy) < call.deadline;
   const NextStep step = routing::DecideNextStep(input);
   const bool is_retry =
       step == NextStep::kSendAgain || step == NextStep::kResume;
@@ -136,7 +136,7 @@
   if (TakeRetry(proxy, call)) {
     return step;
   }
-  input.time_left = false;
+  input.has_time_left = false;
   return routing::DecideNextStep(input);
 }
 
