--- a/proxy/src/measures.cc
+++ b/proxy/src/measures.cc
@@ -47,8 +47,8 @@
   if (routing::IsZoneOut(proxy.endpoints, endpoint.entry.zone)) {
     return "zone-out";
   }
-  if (now < endpoint.trust.avoid_until) return "down";
-  if (now < endpoint.trust.full_until) return "full";
+  if (now < endpoint.health.avoid_until) return "down";
+  if (now < endpoint.health.full_until) return "full";
   if (now < endpoint.cold_until) return "cold";
   if (endpoint.limit.per_second > 0) return "limited";
   return "serving";
