--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -22,7 +22,8 @@
                                                       std::uint64_t after) {
   CachedChanges& cached =
       proxy.peers->cached_changes[static_cast<std::size_t>(feed)];
-  const std::uint64_t revision = routing::StateOf(proxy.catalog, feed).revision;
+  const std::uint64_t revision =
+      routing::GetFeedState(proxy.catalog, feed).revision;
   const bool troubled = IsStoreTroubled(proxy);
   if (cached.after == after && cached.revision == revision &&
       cached.store_troubled == troubled) {
@@ -106,7 +107,7 @@
   }
   auto request = peer->client.fetchRequest();
   request.setFeed(static_cast<std::uint8_t>(feed));
-  request.setAfter(routing::StateOf(proxy.catalog, feed).revision);
+  request.setAfter(routing::GetFeedState(proxy.catalog, feed).revision);
   OnRequestSent(*peer, now);
   peer->tasks.add(
       request.send().then([&proxy, peer, feed, from, now](auto&& answer) {
@@ -121,7 +122,7 @@
 // is about to answer the same.
 bool ShouldWaitForStore(const Proxy& proxy, Feed feed) {
   return proxy.reads_store && !IsStoreTroubled(proxy) &&
-         routing::StateOf(proxy.catalog, feed).revision == 0 &&
+         routing::GetFeedState(proxy.catalog, feed).revision == 0 &&
          NowOf(proxy) - proxy.initial_read_at < kInitialPeerFetchDelay;
 }
 
@@ -164,7 +165,7 @@
   for (std::size_t i = 0; i < progress.size(); ++i) {
     const auto feed = static_cast<Feed>(i);
     const std::uint64_t own_revision =
-        routing::StateOf(proxy.catalog, feed).revision;
+        routing::GetFeedState(proxy.catalog, feed).revision;
     if (own_revision == 0 && progress[i].known == 0) OnPeerWithoutData(proxy);
     if (!routing::ApplyPeerProgress(proxy.catalog, feed, progress[i])) continue;
     routing::OnOffer(proxy.peers->feed_fetches.feeds[i], peer, same_zone,
@@ -180,7 +181,7 @@
     if (ShouldWaitForStore(proxy, feed)) continue;
     const std::string peer = routing::StartNextFetch(
         proxy.peers->feed_fetches.feeds[i],
-        routing::StateOf(proxy.catalog, feed).revision, NowOf(proxy));
+        routing::GetFeedState(proxy.catalog, feed).revision, NowOf(proxy));
     if (!peer.empty()) FetchFeed(proxy, feed, peer);
   }
 }
--- a/proxy/src/measures.cc
+++ b/proxy/src/measures.cc
@@ -78,11 +78,11 @@
   for (const auto feed : {routing::Feed::kRules, routing::Feed::kEndpoints}) {
     const std::string label = FormatLabel(
         "feed", feed == routing::Feed::kRules ? "rules" : "endpoints");
-    SetGauge(
-        proxy, "egretladder_store_revision",
-        "Revision of the store up to which a feed is known.",
-        static_cast<double>(routing::StateOf(proxy.catalog, feed).revision),
-        label);
+    SetGauge(proxy, "egretladder_store_revision",
+             "Revision of the store up to which a feed is known.",
+             static_cast<double>(
+                 routing::GetFeedState(proxy.catalog, feed).revision),
+             label);
   }
   SetGauge(proxy, "egretladder_store_trouble",
            "1 while reads of the store failed lately.",
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -125,8 +125,8 @@
 
 bool IsReady(const Proxy& proxy) {
   return !proxy.leaving && proxy.rules != nullptr &&
-         routing::StateOf(proxy.catalog, routing::Feed::kEndpoints).revision >
-             0;
+         routing::GetFeedState(proxy.catalog, routing::Feed::kEndpoints)
+                 .revision > 0;
 }
 
 kernel::Result<ProxyPtr> StartProxy(kernel::Loop& loop,
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -16,7 +16,7 @@
 void Read(Proxy& proxy, StoreReader& reader);
 
 std::uint64_t GetKnownRevision(const Proxy& proxy, Feed feed) {
-  return routing::StateOf(proxy.catalog, feed).revision;
+  return routing::GetFeedState(proxy.catalog, feed).revision;
 }
 
 void ScheduleRead(Proxy& proxy, StoreReader& reader, milliseconds delay) {
