--- a/proxy/src/settings.cc
+++ b/proxy/src/settings.cc
@@ -100,13 +100,13 @@
     checker.AddError("directory", "keep", "is 0, expected a time above 0");
   }
   const policy::StopPlan plan = MakeStopPlan(options);
-  const milliseconds min_grace = policy::ShortestGrace(plan);
+  const milliseconds min_grace = policy::MinGracePeriod(plan);
   if (options.grace >= min_grace) return;
   checker.AddError("stop", "grace",
                    "is " + std::to_string(options.grace.count()) +
                        "ms, expected " + std::to_string(min_grace.count()) +
                        "ms or more, as callers keep addresses for " +
-                       std::to_string(plan.addresses_kept.count()) +
+                       std::to_string(plan.address_ttl.count()) +
                        "ms with this directory.keep");
 }
 
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -13,7 +13,8 @@
 constexpr int kBadGateway = 502;
 
 StopPhase CurrentPhase(const Proxy& proxy) {
-  return policy::PhaseOf(MakeStopPlan(proxy.options), TimeSinceStop(proxy));
+  return policy::GetStopPhase(MakeStopPlan(proxy.options),
+                              TimeSinceStop(proxy));
 }
 
 void LogCut(Proxy& proxy, const Call& call) {
@@ -59,8 +60,8 @@
                    {{"req", call.metadata.id},
                     {"verdict", routing::NameOf(verdict)},
                     {"stop_ms", input.since},
-                    {"left_ms", policy::LeftForWork(MakeStopPlan(proxy.options),
-                                                    input.since)},
+                    {"left_ms", policy::TimeUntilCut(
+                                    MakeStopPlan(proxy.options), input.since)},
                     {"deadline_ms", input.deadline},
                     {"longest_ms", input.longest},
                     {"route", call.route->name}});
@@ -70,7 +71,7 @@
 
 policy::StopPlan MakeStopPlan(const ProxyOptions& options) {
   policy::StopPlan plan;
-  plan.addresses_kept = options.directory_ttl * kDirectoryTtlFactor;
+  plan.address_ttl = options.directory_ttl * kDirectoryTtlFactor;
   plan.settle = kStopSettlePeriod;
   plan.grace = options.grace;
   plan.cut_margin = kStopCutMargin;
@@ -158,7 +159,7 @@
       proxy.stopped_listening_at != Time{} &&
       now - proxy.stopped_listening_at >= kStopSettlePeriod &&
       proxy.caller_server->half_read() == 0;
-  return policy::MayExit(phase, all_requests_read && proxy.calls.empty() &&
+  return policy::CanExit(phase, all_requests_read && proxy.calls.empty() &&
                                     CountUndeliveredAnswers(proxy) == 0);
 }
 
