--- a/proxy/src/answers.cc
+++ b/proxy/src/answers.cc
@@ -22,7 +22,8 @@
 
 void AnswerText(const net::HttpCallPtr& caller, int status, const char* type,
                 std::string_view body) {
-  caller->Answer(status, net::ReasonOf(status), {{"Content-Type", type}}, body);
+  caller->Answer(status, net::ReasonPhrase(status), {{"Content-Type", type}},
+                 body);
 }
 
 }  // namespace
@@ -53,7 +54,7 @@
   if (retry_after.count() > 0) {
     fields.push_back({"Retry-After", FormatSeconds(retry_after)});
   }
-  caller->Answer(status, net::ReasonOf(status), fields,
+  caller->Answer(status, net::ReasonPhrase(status), fields,
                  ErrorBody(code, message, ran));
 }
 
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -161,7 +161,7 @@
 net::HttpFields FieldsToForward(const net::HttpFields& fields) {
   net::HttpFields passed;
   for (const net::HttpField& field : fields) {
-    if (!net::IsOfOneConnection(field.name)) passed.push_back(field);
+    if (!net::IsHopByHopField(field.name)) passed.push_back(field);
   }
   return passed;
 }
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -76,7 +76,7 @@
   attempt.is_event_stream = IsSuccess(head.status) &&
                             metadata.is_event_stream && metadata.sealed &&
                             !metadata.encoded && !metadata.not_run;
-  return net::HeadVerdict::kTake;
+  return net::HeadVerdict::kAccept;
 }
 
 // One sample of the engine's pace each few events.
@@ -188,7 +188,7 @@
                         FieldsToForward(attempt.head.fields));
   }
   call->caller->Send(events);
-  if (call->caller->Unsent() > kMaxCallerBacklogBytes)
+  if (call->caller->UnsentBytes() > kMaxCallerBacklogBytes)
     PauseReading(proxy, call);
 }
 
@@ -198,7 +198,8 @@
   if (attempt.is_event_stream) {
     MarkAttemptStarted(proxy, call);
     ForwardEvents(proxy, call, piece);
-    const bool is_backlogged = call->caller->Unsent() > kMaxCallerBacklogBytes;
+    const bool is_backlogged =
+        call->caller->UnsentBytes() > kMaxCallerBacklogBytes;
     if (call->attempt != nullptr && routing::IsRouteRepeatable(*call->route) &&
         !is_backlogged) {
       StartSilenceTimer(proxy, call, GetStallTimeout(*call));
@@ -226,13 +227,13 @@
              is_complete ? "" : "the stream ended inside an event");
 }
 
-AttemptOutcome ClassifyExchangeError(net::ExchangeFault fault) {
+AttemptOutcome ClassifyExchangeError(net::ExchangeError fault) {
   switch (fault) {
-    case net::ExchangeFault::kNotConnected:
+    case net::ExchangeError::kNotConnected:
       return AttemptOutcome::kNotSent;
-    case net::ExchangeFault::kBroken:
+    case net::ExchangeError::kBroken:
       return AttemptOutcome::kBroken;
-    case net::ExchangeFault::kBadAnswer:
+    case net::ExchangeError::kBadAnswer:
       break;
   }
   return AttemptOutcome::kBadAnswer;
@@ -271,11 +272,12 @@
   return metadata;
 }
 
-net::Reuse GetConnectionReuse(const Call& call, Time now) {
-  if (routing::IsRouteRepeatable(*call.route)) return net::Reuse::kAny;
+net::ConnectionReuse GetConnectionReuse(const Call& call, Time now) {
+  if (routing::IsRouteRepeatable(*call.route))
+    return net::ConnectionReuse::kAny;
   return routing::IsRecentlyHeard(*call.attempt->endpoint, now)
-             ? net::Reuse::kYoung
-             : net::Reuse::kNone;
+             ? net::ConnectionReuse::kRecentlyUsed
+             : net::ConnectionReuse::kNone;
 }
 
 net::ExchangeRequest MakeExchangeRequest(const Proxy& proxy, const Call& call,
@@ -287,13 +289,13 @@
       net::CountOf(request.fields, "Transfer-Encoding") == 0;
   net::ExchangeRequest exchange;
   exchange.address = call.attempt->endpoint->entry.address;
-  exchange.head = net::RequestText(
+  exchange.head = net::FormatRequestHead(
       request.method, request.target,
       proxy.dialect->endpoint_fields(request, MakeForwardMetadata(call, now)),
       has_no_body ? net::BodyFraming::kNone : net::BodyFraming::kLength,
       request.body.size());
   exchange.body = request.body;
-  exchange.is_head = request.method == "HEAD";
+  exchange.is_head_request = request.method == "HEAD";
   exchange.reuse = GetConnectionReuse(call, now);
   return exchange;
 }
@@ -311,7 +313,7 @@
     OnBody(proxy, call, piece);
   };
   handlers.on_end = [&proxy, call] { OnEnd(proxy, call); };
-  handlers.on_fault = [&proxy, call](net::ExchangeFault fault,
+  handlers.on_error = [&proxy, call](net::ExchangeError fault,
                                      const std::string& detail) {
     EndAttempt(proxy, call, ClassifyExchangeError(fault), detail);
   };
--- a/proxy/src/content_capnp.cc
+++ b/proxy/src/content_capnp.cc
@@ -14,7 +14,7 @@
 std::size_t UnsentOf(const PeerNetwork& network) {
   return std::accumulate(network.incoming.begin(), network.incoming.end(),
                          std::size_t{0}, [](std::size_t sum, const auto& peer) {
-                           return sum + peer->stream.WaitingOutput();
+                           return sum + peer->stream.PendingOutputBytes();
                          });
 }
 
--- a/proxy/src/knowledge.cc
+++ b/proxy/src/knowledge.cc
@@ -50,8 +50,8 @@
   net::ServerLimits limits;
   limits.size = {proxy.rules->limits.head_bytes,
                  proxy.rules->limits.body_bytes};
-  limits.head_time = proxy.rules->limits.head_time;
-  limits.idle_time = proxy.rules->limits.idle_time;
+  limits.head_timeout = proxy.rules->limits.head_timeout;
+  limits.idle_timeout = proxy.rules->limits.idle_timeout;
   limits.connections = proxy.options.descriptors > 2 * kReservedDescriptors
                            ? proxy.options.descriptors - kReservedDescriptors
                            : proxy.options.descriptors / 2;
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/news_codec.cc
@@ -282,9 +282,9 @@
   builder.setStoreTroubled(IsStoreTroubled(proxy));
   const auto words = capnp::messageToFlatArray(message);
   const auto bytes = words.asBytes();
-  BOOST_OUTCOME_TRY(
-      packed,
-      net::Pack({reinterpret_cast<const char*>(bytes.begin()), bytes.size()}));
+  BOOST_OUTCOME_TRY(packed,
+                    net::Compress({reinterpret_cast<const char*>(bytes.begin()),
+                                   bytes.size()}));
   return PackedChanges{std::move(packed),
                        static_cast<std::uint32_t>(bytes.size())};
 }
@@ -292,7 +292,7 @@
 kernel::Result<ReceivedChanges> UnpackChanges(const PackedChanges& packed,
                                               routing::Feed feed) {
   constexpr std::size_t kMaxBytes = kMaxMessageWords * sizeof(capnp::word);
-  BOOST_OUTCOME_TRY(bytes, net::Unpack(packed.bytes, kMaxBytes));
+  BOOST_OUTCOME_TRY(bytes, net::Decompress(packed.bytes, kMaxBytes));
   auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.begin(), bytes.data(), words.asBytes().size());
   ReceivedChanges received;
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -76,7 +76,7 @@
     evutil_closesocket(fd);
     return;
   }
-  net::PrepareSocket(fd);
+  net::SetTcpOptions(fd);
   net::Bufferevent buffer(bufferevent_socket_new(
       network.proxy->loop->base.get(), fd, BEV_OPT_CLOSE_ON_FREE));
   network.incoming.push_back(std::make_unique<net::RpcServerConnection>(
@@ -85,7 +85,7 @@
 }
 
 bool HasFailed(const PeerConnection& peer, Time now) {
-  return peer.broken || peer.rpc.stream.IsOver() ||
+  return peer.broken || peer.rpc.stream.IsDisconnected() ||
          (peer.unanswered_calls > 0 &&
           now - peer.waiting_since > kExchangeTimeout);
 }
@@ -110,7 +110,7 @@
              : std::next(it);
   }
   std::erase_if(network.incoming, [](const auto& peer) {
-    return peer->broken || peer->stream.IsOver();
+    return peer->broken || peer->stream.IsDisconnected();
   });
   FetchMissingChanges(*network.proxy);
 }
@@ -125,7 +125,7 @@
       0) {
     return nullptr;
   }
-  net::PrepareSocket(bufferevent_getfd(buffer.get()));
+  net::SetTcpOptions(bufferevent_getfd(buffer.get()));
   return network.outgoing
       .emplace(address,
                std::make_unique<PeerConnection>(std::move(buffer), now))
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -124,7 +124,7 @@
   }
   if (phase < StopPhase::kCutting) return;
   CutCalls(proxy);
-  proxy.caller_server->RefuseHalfRead("this node is leaving");
+  proxy.caller_server->RefuseIncompleteRequests("this node is leaving");
   if (proxy.cut_at == Time{}) proxy.cut_at = NowOf(proxy);
 }
 
@@ -158,7 +158,7 @@
   const bool all_requests_read =
       proxy.stopped_listening_at != Time{} &&
       now - proxy.stopped_listening_at >= kStopSettlePeriod &&
-      proxy.caller_server->half_read() == 0;
+      proxy.caller_server->incomplete_requests() == 0;
   return policy::CanExit(phase, all_requests_read && proxy.calls.empty() &&
                                     CountUndeliveredAnswers(proxy) == 0);
 }
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -164,7 +164,7 @@
   const milliseconds wait = GetWatchTimeout(reader);
   net::ExchangeRequest request;
   request.address = proxy.options.store;
-  request.head = net::RequestText(
+  request.head = net::FormatRequestHead(
       "GET",
       reader.has_full_list
           ? proxy.dialect->watch_target(
@@ -174,13 +174,13 @@
   net::ExchangeHandlers handlers;
   handlers.on_head = [&reader](const net::HttpAnswerHead& head) {
     reader.status = head.status;
-    return net::HeadVerdict::kTake;
+    return net::HeadVerdict::kAccept;
   };
   handlers.on_body = [&reader](std::string_view piece) {
     reader.body.append(piece);
   };
   handlers.on_end = [&proxy, &reader] { OnReadEnd(proxy, reader); };
-  handlers.on_fault = [&proxy, &reader](net::ExchangeFault /*fault*/,
+  handlers.on_error = [&proxy, &reader](net::ExchangeError /*fault*/,
                                         const std::string& detail) {
     reader.timer = {};
     reader.exchange = nullptr;
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -59,7 +59,7 @@
       buffer_.get(),
       [](bufferevent* buffer, void* arg) {
         auto* self = static_cast<Wire*>(arg);
-        const std::string_view input = net::InputOf(buffer);
+        const std::string_view input = net::PendingInput(buffer);
         self->received_.append(input);
         net::Consume(buffer, input.size());
         if (self->changed_) self->changed_();
@@ -99,7 +99,7 @@
 }
 
 std::size_t Wire::unsent() const {
-  return buffer_ == nullptr ? 0 : net::WaitingOutput(buffer_.get());
+  return buffer_ == nullptr ? 0 : net::PendingOutputBytes(buffer_.get());
 }
 
 std::size_t Wire::waiting() const {
@@ -165,9 +165,9 @@
 }
 
 std::string EventBytes(int number, const std::string& data) {
-  return net::ChunkText("id: " + std::to_string(number) + "\ndata: " +
-                        (data.empty() ? "t" + std::to_string(number) : data) +
-                        "\n\n");
+  return net::FormatChunk("id: " + std::to_string(number) + "\ndata: " +
+                          (data.empty() ? "t" + std::to_string(number) : data) +
+                          "\n\n");
 }
 
 std::string EventsText(int from, int to) {
--- a/proxy/tests/news_codec_test.cc
+++ b/proxy/tests/news_codec_test.cc
@@ -46,7 +46,7 @@
 TEST(NewsCodec, WhatIsNoMessageOfTheFeedIsRefused) {
   CHECK_FALSE(ep::UnpackChanges(Packed(0), er::Feed::kRules).has_value());
   const auto refused = [](const std::string& bytes) {
-    const ep::PackedChanges packed{en::Pack(bytes).value(), 0};
+    const ep::PackedChanges packed{en::Compress(bytes).value(), 0};
     return !ep::UnpackChanges(packed, er::Feed::kEndpoints).has_value();
   };
   CHECK(refused(""));
@@ -59,6 +59,6 @@
 // Guards against a few bytes that unpack to more than a message may be.
 TEST(NewsCodec, MoreThanAMessageIsRefused) {
   const std::string large(ep::kMaxMessageWords * 8 + 8, '\0');
-  const ep::PackedChanges packed{en::Pack(large).value(), 0};
+  const ep::PackedChanges packed{en::Compress(large).value(), 0};
   CHECK_FALSE(ep::UnpackChanges(packed, er::Feed::kEndpoints).has_value());
 }
--- a/proxy/tests/slow_reader_test.cc
+++ b/proxy/tests/slow_reader_test.cc
@@ -18,7 +18,7 @@
 std::size_t UnsentOf(const ep::Proxy& proxy) {
   std::size_t bytes = 0;
   for (const auto& [number, call] : proxy.calls) {
-    bytes += call->caller->Unsent();
+    bytes += call->caller->UnsentBytes();
   }
   return bytes;
 }
