--- a/proxy/src/news_codec.cc
+++ b/proxy/src/gossip_codec.cc
@@ -7,7 +7,7 @@
 
 #include "egretladder/net/compression.h"
 #include "egretladder/net/rpc_connection.h"
-#include "news_codec_p.h"
+#include "gossip_codec_p.h"
 
 namespace egretladder::proxy {
 namespace {
--- a/proxy/src/news_codec_p.h
+++ b/proxy/src/gossip_codec_p.h
@@ -44,13 +44,13 @@
 /// Takes in what a peer told.
 PeerState ApplyGossip(Proxy& proxy, exchange::News::Reader news);
 
-// named_limits.cc
+// advertised_limits.cc
 /// Writes the limits of endpoints that a peer should hear of.
 void WriteLimits(Proxy& proxy, exchange::News::Builder news);
 /// Takes in those that a peer told.
 void ApplyLimits(Proxy& proxy, exchange::News::Reader news);
 
-// news_codec.cc
+// gossip_codec.cc
 /// Writes progress into a list of `kFeedCount`.
 void WriteProgress(const Progress& progress,
                    capnp::List<exchange::Progress>::Builder list);
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -13,7 +13,7 @@
 #include "egretladder/net/rpc_connection.h"
 #include "egretladder/net/socket.h"
 #include "egretladder/routing/feed_fetch.h"
-#include "news_codec_p.h"
+#include "gossip_codec_p.h"
 
 namespace egretladder::proxy {
 
@@ -78,7 +78,7 @@
 void CountBytes(Proxy& proxy, const char* direction, MessageKind message,
                 bool same_zone, std::uint64_t words);
 
-// content_capnp.cc
+// feed_fetch_capnp.cc
 /// Answers a peer that lacks changes.
 void AnswerFetch(Proxy& proxy, bool same_zone, std::uint8_t feed_number,
                  std::uint64_t after,
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -204,7 +204,7 @@
           Elapsed(proxy.members.started, now)};
 }
 
-// measures.cc
+// metrics.cc
 /// Counts one event under a label.
 void IncrementCounter(Proxy& proxy, const char* name, const char* help,
                       const std::string& labels);
@@ -264,7 +264,7 @@
 void EndAttempt(Proxy& proxy, const CallPtr& call, routing::AttemptOutcome end,
                 const std::string& detail);
 
-// named_limits.cc
+// advertised_limits.cc
 /// Takes what an answer says of its endpoint's limit. A success without one, or
 /// a failure of the endpoint's own, says that there is none any more.
 void UpdateEndpointLimit(Proxy& proxy, const Call& call,
@@ -293,7 +293,7 @@
 /// True when this node failed to read the store lately.
 bool IsStoreTroubled(const Proxy& proxy);
 
-// knowledge.cc
+// store_changes.cc
 /// Where news of the store come from; for the log.
 enum class ChangeSource : std::uint8_t { kList, kWatch, kPeer };
 /// Takes news of the store. `troubled`: whoever read them failed to read the
--- a/proxy/tests/news_codec_test.cc
+++ b/proxy/tests/gossip_codec_test.cc
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "egretladder/net/compression.h"
-#include "news_codec_p.h"
+#include "gossip_codec_p.h"
 
 namespace en = egretladder::net;
 namespace ep = egretladder::proxy;
