--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -23,22 +23,22 @@
 
 // One scheduler with all its slots leased, and `waiting` requests behind them.
 struct Bench {
-  ep::load::Load load;
+  ep::load::Workload load;
   const ep::SchedulerPlugin* plugin = nullptr;
   std::unique_ptr<ep::SchedulerState> state;
-  ek::PausedClock clock;
+  ek::ManualClock clock;
   ep::Actions out;
   std::deque<ep::RequestId> running;
   ep::RequestId next = 0;
 
   Bench(const char* scheduler, std::uint32_t endpoints) {
     load.fleet = {5, endpoints, kSlots, 1, kAccounts};
-    load.classes = ep::load::AbayClasses();
+    load.classes = ep::load::SampleClasses();
     for (ep::load::ClassSpec& cls : load.classes) {
       cls.first_token = cls.max_wait = std::chrono::hours(10);
     }
     ep::Limits limits;
-    limits.waiting_most = 200'000;
+    limits.max_queue_length = 200'000;
     limits.refuse_early = false;
     plugin = ek::FindPlugin<ep::SchedulerPlugin>(scheduler);
     state = plugin->create({ep::ZoneHandle{0}, 1, limits});
@@ -54,7 +54,7 @@
     request.cls.idx = static_cast<std::uint32_t>(next % load.classes.size());
     request.account.idx = static_cast<std::uint32_t>(next * 7 % kAccounts);
     request.target.idx = 0;
-    request.prefix = ek::HashOf("p", next % 500);
+    request.prefix = ek::HashBytes("p", next % 500);
     request.arrived = clock.now;
     request.deadline = clock.now + std::chrono::hours(10);
     plugin->on_arrival(*state, request, clock.now, out);
@@ -115,7 +115,7 @@
   for (std::uint32_t i = 0; i < total; ++i) bench.Arrive();
   for ([[maybe_unused]] auto _ : run) {
     bench.Step();
-    bench.plugin->on_gone(*bench.state, bench.Arrive(), bench.clock.now);
+    bench.plugin->on_caller_gone(*bench.state, bench.Arrive(), bench.clock.now);
   }
 }
 
@@ -126,7 +126,7 @@
       endpoints * kSlots + static_cast<std::uint32_t>(run.range(1));
   for (std::uint32_t i = 0; i < total; ++i) bench.Arrive();
   for ([[maybe_unused]] auto _ : run) {
-    ek::Advance(bench.clock, ep::kSchedulerTick);
+    ek::Advance(bench.clock, ep::kSchedulerTickInterval);
     bench.plugin->on_tick(*bench.state, bench.clock.now, bench.out);
     bench.out.clear();
   }
--- a/fleet/src/fleet_gossip.cc
+++ b/fleet/src/fleet_gossip.cc
@@ -20,10 +20,10 @@
   return notices;
 }
 
-std::vector<policy::Quarantined> BlamesToTell(const FleetState& state,
-                                              Time now) {
-  std::vector<policy::Quarantined> blames =
-      policy::ListBlames(state.poison, now);
+std::vector<policy::QuarantineNotice> BlamesToTell(const FleetState& state,
+                                                   Time now) {
+  std::vector<policy::QuarantineNotice> blames =
+      policy::ListQuarantineNotices(state.poison, now);
   // The newest have the longest left; older ones were told before.
   std::sort(blames.begin(), blames.end(), [](const auto& a, const auto& b) {
     return a.deaths != b.deaths ? a.deaths > b.deaths : a.left > b.left;
@@ -102,7 +102,7 @@
     if (!targets.contains(name)) names.push_back(&name);
   }
   for (std::size_t i = 0; i < count && !names.empty(); ++i) {
-    const auto at = kernel::Below(state.random, names.size());
+    const auto at = kernel::RandomBelow(state.random, names.size());
     targets.insert(*names[at]);
     names[at] = names.back();
     names.pop_back();
@@ -131,10 +131,10 @@
 }
 
 void TakeBlames(FleetState& state,
-                const std::vector<policy::Quarantined>& blames, Time now,
+                const std::vector<policy::QuarantineNotice>& blames, Time now,
                 Actions& out) {
-  for (const policy::Quarantined& told : blames) {
-    if (!policy::OnTold(state.poison, told, now)) continue;
+  for (const policy::QuarantineNotice& told : blames) {
+    if (!policy::ApplyQuarantineNotice(state.poison, told, now)) continue;
     out.emplace_back(QuarantineAdded{told.fingerprint, told.left});
   }
 }
@@ -168,7 +168,7 @@
 
 void StartRound(FleetState& state, Time now, Actions& out) {
   if (now < state.next_round) return;
-  const auto jitter = milliseconds(kernel::Below(
+  const auto jitter = milliseconds(kernel::RandomBelow(
       state.random, static_cast<std::uint64_t>(kPingEvery.count() / 5)));
   state.next_round = now + kPingEvery - kPingEvery / 10 + jitter;
   ++state.members.self.heartbeat;
--- a/policy/tests/load_model.h
+++ b/policy/tests/load_model.h
@@ -15,12 +15,12 @@
 
 namespace egretladder::policy::load {
 
-using Span = std::chrono::duration<double>;
+using DoubleSeconds = std::chrono::duration<double>;
 using namespace std::chrono_literals;
 
 inline constexpr Time kStart{std::chrono::hours(1)};
-inline constexpr Span kBetweenTokens{0.02};
-inline constexpr Span kFirstToken{0.5};
+inline constexpr DoubleSeconds kBetweenTokens{0.02};
+inline constexpr DoubleSeconds kFirstToken{0.5};
 
 /// How long the answers of a class are.
 struct Work {
@@ -28,15 +28,16 @@
   double spread = 0.5;    ///< Sigma of the logarithm.
   double long_share = 0;  ///< Part of requests that are `long_times` longer.
   double long_times = 20;
-  Span first_token = kFirstToken;  ///< Unloaded, without a cached prefix.
+  DoubleSeconds first_token =
+      kFirstToken;  ///< Unloaded, without a cached prefix.
 };
 
 /// Requests of one class from some accounts.
 struct Stream {
   std::uint32_t cls = 0;
   double load = 0;  ///< Of the fleet's slots.
-  Span from{0};
-  Span to{60};
+  DoubleSeconds from{0};
+  DoubleSeconds to{60};
   std::vector<double> accounts = {1};  ///< Weights.
   std::uint32_t prefixes = 0;          ///< 0: none.
   double hot_prefixes = 0;             ///< Part of requests with 3 prefixes.
@@ -53,19 +54,19 @@
 struct FleetSpec {
   std::uint32_t zones = 3;
   std::uint32_t endpoints = 12;
-  std::uint32_t bears = 8;
-  std::uint32_t cold_bears = 1;
+  std::uint32_t max_in_flight = 8;
+  std::uint32_t cold_max_in_flight = 1;
   std::uint32_t accounts = 10;
   bool starts_cold = false;
 };
 
-struct Load {
+struct Workload {
   std::string name;
   std::uint64_t seed = 1;
   FleetSpec fleet;
   std::vector<ClassSpec> classes;
   std::vector<Stream> streams;
-  Span length{60};
+  DoubleSeconds length{60};
   /// Each so-manieth request is one and the same body that crashes engines.
   std::uint64_t poison_every = 0;
 };
@@ -73,7 +74,7 @@
 inline constexpr std::uint64_t kPoisonBody = ~std::uint64_t{0};
 
 /// Abay's classes: buyers' questions, quotes, record checks, trace summaries.
-inline std::vector<ClassSpec> AbayClasses() {
+inline std::vector<ClassSpec> SampleClasses() {
   return {{"buyer", 1, 1800ms, 1800ms, {80, 0.5}},
           {"quote", 2, 4000ms, 4000ms, {100, 0.5}},
           {"check", 3, 10s, 30s, {60, 0.5}},
@@ -87,8 +88,8 @@
 };
 
 inline double Normal(kernel::Random& random) {
-  const double u = 1.0 - kernel::Fraction(random);
-  const double v = kernel::Fraction(random);
+  const double u = 1.0 - kernel::RandomFraction(random);
+  const double v = kernel::RandomFraction(random);
   return std::sqrt(-2 * std::log(u)) * std::cos(2 * 3.141592653589793 * v);
 }
 
@@ -96,7 +97,8 @@
   const double at_median = std::exp(work.spread * Normal(random));
   const double correction = std::exp(-work.spread * work.spread / 2);
   double tokens = work.mean_tokens * at_median * correction;
-  if (kernel::Fraction(random) < work.long_share) tokens *= work.long_times;
+  if (kernel::RandomFraction(random) < work.long_share)
+    tokens *= work.long_times;
   return static_cast<std::uint32_t>(std::clamp(tokens, 1.0, 20'000.0));
 }
 
@@ -110,7 +112,7 @@
                                  const std::vector<double>& weights) {
   double total = 0;
   for (const double weight : weights) total += weight;
-  double drawn = kernel::Fraction(random) * total;
+  double drawn = kernel::RandomFraction(random) * total;
   for (std::uint32_t i = 0; i < weights.size(); ++i) {
     if (drawn < weights[i]) return i;
     drawn -= weights[i];
@@ -120,28 +122,30 @@
 
 inline std::uint64_t DrawPrefix(kernel::Random& random, const Stream& stream) {
   if (stream.prefixes == 0) return 0;
-  const bool hot = kernel::Fraction(random) < stream.hot_prefixes;
-  const std::uint64_t number = hot ? kernel::Below(random, 3)
-                                   : 3 + kernel::Below(random, stream.prefixes);
-  return kernel::HashOf("prefix " + std::to_string(number));
+  const bool hot = kernel::RandomFraction(random) < stream.hot_prefixes;
+  const std::uint64_t number =
+      hot ? kernel::RandomBelow(random, 3)
+          : 3 + kernel::RandomBelow(random, stream.prefixes);
+  return kernel::HashBytes("prefix " + std::to_string(number));
 }
 
-inline Time At(Span since_start) {
+inline Time At(DoubleSeconds since_start) {
   return kStart +
          std::chrono::duration_cast<std::chrono::nanoseconds>(since_start);
 }
 
 /// Draws the arrivals of all streams (Poisson), in order of time.
-inline std::vector<Planned> PlanArrivals(const Load& load) {
+inline std::vector<Planned> PlanArrivals(const Workload& load) {
   kernel::Random random(load.seed);
   std::vector<Planned> planned;
-  const double slots = load.fleet.endpoints * load.fleet.bears;
+  const double slots = load.fleet.endpoints * load.fleet.max_in_flight;
   for (const Stream& stream : load.streams) {
     const ClassSpec& cls = load.classes[stream.cls];
     const double rate = stream.load * slots / SlotSeconds(cls.work);
-    Span at = stream.from;
+    DoubleSeconds at = stream.from;
     while (rate > 0) {
-      at += Span(-std::log(1.0 - kernel::Fraction(random)) / rate);
+      at +=
+          DoubleSeconds(-std::log(1.0 - kernel::RandomFraction(random)) / rate);
       if (at >= stream.to) break;
       Planned one;
       one.request.cls.idx = stream.cls;
@@ -166,7 +170,7 @@
 }
 
 /// The rules of a load, with some zones taken out.
-inline rules::RulesPtr MakeRules(const Load& load, std::uint64_t version,
+inline rules::RulesPtr MakeRules(const Workload& load, std::uint64_t version,
                                  const std::vector<std::uint32_t>& zones_out) {
   auto made = std::make_shared<rules::Rules>();
   made->version = version;
@@ -195,8 +199,8 @@
     endpoint.source = {"engine-" + std::to_string(i), "load", 1, true};
     endpoint.zone.idx = i % load.fleet.zones;
     endpoint.serves = {TargetHandle{0}};
-    endpoint.bears = load.fleet.bears;
-    endpoint.cold_bears = load.fleet.cold_bears;
+    endpoint.max_in_flight = load.fleet.max_in_flight;
+    endpoint.cold_max_in_flight = load.fleet.cold_max_in_flight;
     made->endpoints.push_back(endpoint);
   }
   return made;
--- a/routing/src/place_cost.cc
+++ b/routing/src/placement_cost.cc
@@ -1,4 +1,4 @@
-#include "egretladder/routing/place_cost.h"
+#include "egretladder/routing/placement_cost.h"
 
 #include <algorithm>
 #include <numeric>
@@ -7,7 +7,7 @@
 namespace {
 
 double RunningAt(const Endpoint& endpoint) {
-  return endpoint.in_flight + endpoint.others_in_flight;
+  return endpoint.in_flight + endpoint.peers_in_flight;
 }
 
 bool IsGeneration(const CostAsk& ask) { return ask.demand.prompt_tokens > 0; }
@@ -16,7 +16,7 @@
 // their slots are taken: until then all that waits is ahead, whatever its rank.
 double TokensAhead(const Endpoint& endpoint, Tier tier) {
   const bool by_rank = RunningAt(endpoint) >= endpoint.entry.slots;
-  double tokens = endpoint.others_tokens;
+  double tokens = endpoint.peers_waiting_tokens;
   for (std::size_t i = 0; i < kTiers && (i <= tier || !by_rank); ++i) {
     tokens += endpoint.waiting_tokens[i];
   }
@@ -30,8 +30,8 @@
     return TokensAhead(endpoint, ask.demand.tier) / kPromptTokensPerMs +
            running * kCostPerRunningMs;
   }
-  const double mean = endpoint.trust.mean_ms > 0 ? endpoint.trust.mean_ms
-                                                 : kServiceTimeUnknownMs;
+  const double mean = endpoint.health.mean_ms > 0 ? endpoint.health.mean_ms
+                                                  : kServiceTimeUnknownMs;
   return mean * running / std::max<std::uint32_t>(endpoint.entry.slots, 1);
 }
 
@@ -51,10 +51,10 @@
          EventMs(ask.endpoint.pace, ask.pace, RunningAt(ask.endpoint));
 }
 
-double Drift(const CostAsk& ask) { return ask.endpoint.trust.drift_ms; }
+double Drift(const CostAsk& ask) { return ask.endpoint.health.drift_ms; }
 
 double Failing(const CostAsk& ask) {
-  return FailingOf(ask.endpoint.trust, ask.now) * kFailingMs;
+  return FailingOf(ask.endpoint.health, ask.now) * kFailingMs;
 }
 
 double Silence(const CostAsk& ask) {
@@ -108,7 +108,7 @@
   return sum;
 }
 
-Costs CostsOf(const CostAsk& ask, const MechanismsOff& off) {
+Costs CostsOf(const CostAsk& ask, const DisabledMechanisms& off) {
   Costs costs;
   for (std::size_t i = 0; i < kMechanisms; ++i) {
     if (!off.test(i)) costs.ms[i] = kTerms[i].ms(ask);
--- a/routing/src/route_table.cc
+++ b/routing/src/route_table.cc
@@ -73,18 +73,18 @@
 
 const ClientAccount* FindAccount(const RouteTable& table,
                                  const std::string& key) {
-  const auto at = table.account_of_key.find(key);
-  return at == table.account_of_key.end() ? nullptr
+  const auto at = table.account_by_key.find(key);
+  return at == table.account_by_key.end() ? nullptr
                                           : &table.accounts[at->second];
 }
 
-Tier RankOf(const RouteTable& table, const Route& route,
-            const ClientAccount* account) {
+Tier FindRank(const RouteTable& table, const Route& route,
+              const ClientAccount* account) {
   const auto at = table.ranks.find(TiersOf(route, account));
   return at == table.ranks.end() ? route.tier : at->second;
 }
 
-ServiceHandle DrawTarget(const Route& route, double draw) {
+ServiceHandle PickTarget(const Route& route, double draw) {
   std::uint64_t sum = 0;
   for (const WeightedTarget& target : route.targets) sum += target.weight;
   double left = draw * static_cast<double>(sum);
@@ -95,7 +95,7 @@
   return route.targets.back().service;
 }
 
-bool MayRepeat(const Route& route) {
+bool IsRouteRepeatable(const Route& route) {
   return route.kind == RouteKind::kIdempotent ||
          (route.kind == RouteKind::kStream && route.resumable);
 }
