--- a/proxy/src/advertised_limits.cc
+++ b/proxy/src/advertised_limits.cc
@@ -1,5 +1,6 @@
 // Limits that endpoints name: from their answers, and from peers.
 #include "egretladder/routing/advertised_limits.h"
+
 #include "gossip_codec_p.h"
 
 namespace egretladder::proxy {
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -168,8 +168,9 @@
 
 bool TakeRetry(Proxy& proxy, const Call& call) {
   const Time now = NowOf(proxy);
-  return routing::TakeRetry(proxy.retry_shares[call.service->name],
-                            proxy.options.retries, MakeRetryFleet(proxy), now);
+  return routing::TakeRetry(proxy.retry_budgets[call.service->name],
+                            proxy.options.retries, MakeRetryBudgetFleet(proxy),
+                            now);
 }
 
 void CancelAttempt(Proxy& /*proxy*/, const CallPtr& call) {
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -331,7 +331,7 @@
   attempt.endpoint = placement.endpoint;
   attempt.placement = placement;
   attempt.sent_at = now;
-  routing::OnPlaced(proxy.side_meter, call->demand, placement, now);
+  routing::OnPlaced(proxy.split_demand_meter, call->demand, placement, now);
   routing::OnAttemptSent(*placement.endpoint, call->demand, attempt.number,
                          placement, now);
   kernel::Observe(proxy.metrics, call->class_metrics->waited,
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -87,9 +87,9 @@
 
 void Wait(Proxy& proxy, const CallPtr& call) {
   if (call->waiting) return;
-  if (proxy.waiting.size() >= routing::kMaxWaitingRequests) {
+  if (proxy.waiting_calls.size() >= routing::kMaxWaitingRequests) {
     // The least urgent that came last makes room, which may be this one.
-    const auto last = std::prev(proxy.waiting.end());
+    const auto last = std::prev(proxy.waiting_calls.end());
     if (last->first.first <= call->demand.tier) {
       AbortCall(proxy, call, kBadGateway, "overloaded", kOverloadRetryDelay);
       return;
@@ -98,7 +98,7 @@
     AbortCall(proxy, shed_call, kBadGateway, "overloaded", kOverloadRetryDelay);
   }
   call->waiting = true;
-  proxy.waiting.emplace(std::pair(call->demand.tier, call->number), call);
+  proxy.waiting_calls.emplace(std::pair(call->demand.tier, call->number), call);
   if (!proxy.waiting_timer_armed) {
     proxy.waiting_timer_armed = true;
     proxy.waiting_timer = kernel::RunEvery(
@@ -109,7 +109,7 @@
 void DequeueCall(Proxy& proxy, const CallPtr& call) {
   if (!call->waiting) return;
   call->waiting = false;
-  proxy.waiting.erase(std::pair(call->demand.tier, call->number));
+  proxy.waiting_calls.erase(std::pair(call->demand.tier, call->number));
 }
 
 bool HasRoomForBody(const Proxy& proxy, std::size_t bytes) {
@@ -226,7 +226,7 @@
                                 std::move(routed->metadata));
   proxy.body_bytes += call->body_bytes;
   proxy.calls.emplace(call->number, call);
-  routing::OnRequest(proxy.retry_shares[call->service->name],
+  routing::OnRequest(proxy.retry_budgets[call->service->name],
                      proxy.options.retries, call->arrived_at);
   caller->OnGone([&proxy, call] { OnCallerGone(proxy, call); });
   call->deadline_timer = kernel::RunAfter(
@@ -296,12 +296,12 @@
 void DispatchWaiting(Proxy& proxy) {
   // A copy: a dispatch may end other calls that wait.
   std::vector<CallPtr> waiting;
-  waiting.reserve(proxy.waiting.size());
-  for (const auto& [key, call] : proxy.waiting) waiting.push_back(call);
+  waiting.reserve(proxy.waiting_calls.size());
+  for (const auto& [key, call] : proxy.waiting_calls) waiting.push_back(call);
   for (const CallPtr& call : waiting) {
     if (call->waiting) Dispatch(proxy, call);
   }
-  if (proxy.waiting.empty()) {
+  if (proxy.waiting_calls.empty()) {
     proxy.waiting_timer_armed = false;
     proxy.waiting_timer = {};
   }
--- a/proxy/src/gossip_codec.cc
+++ b/proxy/src/gossip_codec.cc
@@ -244,8 +244,8 @@
       routing::MakeMemberGossip(proxy.members, unknown, proxy.random, now),
       news);
   WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeedCount));
-  news.setTightDemand(static_cast<float>(proxy.agreed_demand.mean.tight));
-  news.setRestDemand(static_cast<float>(proxy.agreed_demand.mean.rest));
+  news.setTightDemand(static_cast<float>(proxy.fleet_demand.mean.tight));
+  news.setRestDemand(static_cast<float>(proxy.fleet_demand.mean.rest));
   WriteLoads(proxy, news);
   WriteSuspects(proxy, news, now);
   WriteLimits(proxy, news);
@@ -257,10 +257,10 @@
   ApplyMembers(proxy, gossip, now);
   ApplySuspects(proxy, news, now);
   ApplyLimits(proxy, news);
-  routing::MergePeerDemand(proxy.agreed_demand,
+  routing::MergePeerDemand(proxy.fleet_demand,
                            {news.getTightDemand(), news.getRestDemand()});
   proxy.endpoints.tight_fraction =
-      routing::TightFraction(proxy.agreed_demand.mean);
+      routing::TightFraction(proxy.fleet_demand.mean);
   PeerState peer;
   // The first member is the sender itself.
   if (!gossip.members.empty()) {
--- a/proxy/src/metrics.cc
+++ b/proxy/src/metrics.cc
@@ -39,8 +39,8 @@
   return std::chrono::duration<double>(now - start).count();
 }
 
-const char* DescribeState(const Proxy& proxy, const routing::Endpoint& endpoint,
-                          Time now) {
+const char* EndpointStateName(const Proxy& proxy,
+                              const routing::Endpoint& endpoint, Time now) {
   if (endpoint.phase != routing::EndpointPhase::kServing) {
     return routing::NameOf(endpoint.phase);
   }
@@ -60,7 +60,7 @@
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
     const std::string labels =
         FormatLabel("service", endpoint->entry.service) + "," +
-        FormatLabel("state", DescribeState(proxy, *endpoint, now));
+        FormatLabel("state", EndpointStateName(proxy, *endpoint, now));
     ++proxy.series.endpoint_states[labels];
   }
   for (const auto& [labels, count] : proxy.series.endpoint_states) {
@@ -96,7 +96,7 @@
   SetGauge(proxy, "egretladder_calls", "Calls in progress.",
            static_cast<double>(proxy.calls.size()));
   SetGauge(proxy, "egretladder_waiting", "Calls that wait for an endpoint.",
-           static_cast<double>(proxy.waiting.size()));
+           static_cast<double>(proxy.waiting_calls.size()));
   SetGauge(proxy, "egretladder_body_bytes", "Bodies of calls in progress.",
            static_cast<double>(proxy.body_bytes));
   SetGauge(proxy, "egretladder_suspects",
@@ -105,8 +105,8 @@
   SetGauge(proxy, "egretladder_endpoint_connections_opened",
            "Connections to endpoints and the store opened since the start.",
            static_cast<double>(proxy.client->opened()));
-  const routing::RetryBudgetFleet fleet = MakeRetryFleet(proxy);
-  for (const auto& [service, share] : proxy.retry_shares) {
+  const routing::RetryBudgetFleet fleet = MakeRetryBudgetFleet(proxy);
+  for (const auto& [service, share] : proxy.retry_budgets) {
     SetGauge(proxy, "egretladder_retries_left",
              "Repeats that this node may still make in the window.",
              routing::RetriesLeft(share, proxy.options.retries, fleet, now),
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -261,9 +261,10 @@
 
 void Exchange(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  routing::FollowMeasuredDemand(proxy.agreed_demand, proxy.side_meter, now);
+  routing::FollowMeasuredDemand(proxy.fleet_demand, proxy.split_demand_meter,
+                                now);
   proxy.endpoints.tight_fraction =
-      routing::TightFraction(proxy.agreed_demand.mean);
+      routing::TightFraction(proxy.fleet_demand.mean);
   routing::IncrementHeartbeat(proxy.members, now);
   const std::size_t peers =
       routing::MaxPeersToTry(CountUnansweredExchanges(*proxy.peers, now));
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -69,7 +69,7 @@
 
 // peers_capnp.cc
 /// The connection to a peer, opened now if there is none; null: not possible.
-PeerConnection* GetOrConnectPeer(PeerNetwork& net, const std::string& address);
+PeerConnection* GetOrConnectPeer(PeerNetwork& network, const std::string& address);
 /// A call to the peer begins.
 void OnRequestSent(PeerConnection& peer, Time now);
 /// It was answered.
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -150,9 +150,9 @@
   proxy->members =
       routing::MakeMembers(MakeSelf(*proxy, peer_address), options.seeds, now);
   proxy->last_tick_at = now;
-  proxy->tick = kernel::RunEvery(loop, kTickInterval,
-                                 [raw = proxy.get()] { OnTick(*raw); });
-  proxy->exchange_tick =
+  proxy->tick_timer = kernel::RunEvery(loop, kTickInterval,
+                                       [raw = proxy.get()] { OnTick(*raw); });
+  proxy->exchange_timer =
       kernel::RunEvery(loop, routing::kExchangeInterval,
                        [raw = proxy.get()] { ExchangeWhenDue(*raw); });
   StartStoreReaders(*proxy);
@@ -180,7 +180,7 @@
   view.nodes =
       routing::MakeFleetSnapshot(proxy.members, NowOf(proxy)).names.size();
   view.calls = proxy.calls.size();
-  view.waiting = proxy.waiting.size();
+  view.waiting = proxy.waiting_calls.size();
   view.cut = proxy.cut;
   view.undelivered = CountUndeliveredAnswers(proxy);
   view.ready_now = IsReady(proxy);
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -128,7 +128,7 @@
 
 struct PeerNetwork;
 struct PeerNetworkDelete {
-  void operator()(PeerNetwork* net) const;
+  void operator()(PeerNetwork* network) const;
 };
 using PeerNetworkPtr = std::unique_ptr<PeerNetwork, PeerNetworkDelete>;
 
@@ -154,9 +154,9 @@
   routing::EndpointSet endpoints;
   routing::Members members;
   std::map<std::string, PeerLoads> peer_loads;
-  routing::SplitDemandMeter side_meter;
-  routing::FleetDemand agreed_demand;
-  std::unordered_map<std::string, routing::NodeRetryBudget> retry_shares;
+  routing::SplitDemandMeter split_demand_meter;
+  routing::FleetDemand fleet_demand;
+  std::unordered_map<std::string, routing::NodeRetryBudget> retry_budgets;
   routing::Suspects suspects;
   Time last_store_failure{};  ///< Last failed call; default: none.
 
@@ -171,15 +171,15 @@
   /// A node that knows nothing reads the store from then on.
   Time initial_read_at{};
   std::unordered_map<std::uint64_t, CallPtr> calls;
-  std::map<std::pair<routing::Tier, std::uint64_t>, CallPtr> waiting;
+  std::map<std::pair<routing::Tier, std::uint64_t>, CallPtr> waiting_calls;
   kernel::EventWatcher waiting_timer;
   bool waiting_timer_armed = false;
   std::size_t body_bytes = 0;
   std::uint64_t last_number = 0;
   Time last_tick_at{};
   Time last_exchange_at{};  ///< When the last exchange began.
-  kernel::EventWatcher tick;
-  kernel::EventWatcher exchange_tick;
+  kernel::EventWatcher tick_timer;
+  kernel::EventWatcher exchange_timer;
   kernel::EventWatcher standby_timer;  ///< While it reads the store.
   kernel::EventWatcher standby_start_timer;
   bool leaving = false;
@@ -198,7 +198,7 @@
 }
 
 /// Those among whom the allowance of repeats is shared.
-inline routing::RetryBudgetFleet MakeRetryFleet(Proxy& proxy) {
+inline routing::RetryBudgetFleet MakeRetryBudgetFleet(Proxy& proxy) {
   const Time now = NowOf(proxy);
   return {routing::EstimateFleetSize(proxy.members, now),
           Elapsed(proxy.members.started, now)};
--- a/proxy/src/store_changes.cc
+++ b/proxy/src/store_changes.cc
@@ -150,7 +150,7 @@
                                         ? routing::kRelayFanout
                                         : routing::kReaderFanout);
   }
-  if (!proxy.waiting.empty()) DispatchWaiting(proxy);
+  if (!proxy.waiting_calls.empty()) DispatchWaiting(proxy);
 }
 
 }  // namespace egretladder::proxy
--- a/proxy/tests/changes_test.cc
+++ b/proxy/tests/changes_test.cc
@@ -19,22 +19,22 @@
 }  // namespace
 
 TEST_GROUP(Changes) {
-  et::World world;
-  et::Endpoint* endpoint = nullptr;
+  et::TestEnvironment env;
+  et::FakeEndpoint* endpoint = nullptr;
   ep::Proxy* proxy = nullptr;
-  et::Wire* order = nullptr;
-  et::Wire* stream = nullptr;
+  et::TestConnection* order = nullptr;
+  et::TestConnection* stream = nullptr;
 
   // An order without an answer so far and a stream with two events.
   void StartWithRequests(int slots = kMany) {
-    endpoint = &world.AddEndpoint("e1", et::AnswersLater());
-    world.Register("e1", endpoint->address(), "a", "serving", slots);
-    proxy = &world.StartReady();
-    order = &world.Send(*proxy, {.path = "/once/a", .id = "order"});
-    stream = &world.Send(*proxy, {.path = "/tell/a", .id = "stream"});
-    world.Until([this] { return endpoint->seen().size() == 2; });
-    Seen("stream").Begin(1, 2);
-    world.Until([this] {
+    endpoint = &env.AddEndpoint("e1", et::LeaveUnanswered());
+    env.Register("e1", endpoint->address(), "a", "serving", slots);
+    proxy = &env.StartReadyNode();
+    order = &env.SendRequest(*proxy, {.path = "/once/a", .id = "order"});
+    stream = &env.SendRequest(*proxy, {.path = "/tell/a", .id = "stream"});
+    env.WaitUntil([this] { return endpoint->requests().size() == 2; });
+    FindRequest("stream").BeginStream(1, 2);
+    env.WaitUntil([this] {
       return stream->received().find("data: t2") != std::string::npos;
     });
   }
@@ -42,42 +42,47 @@
   // What the node knows of the endpoint.
   const er::Endpoint& Known() const { return *proxy->endpoints.by_id.at("e1"); }
 
-  et::Served Seen(const std::string& id) {
-    const auto& seen = endpoint->seen();
-    return *std::find_if(
-        seen.begin(), seen.end(),
-        [&id](const et::Served& served) { return served.id() == id; });
+  et::EndpointRequest FindRequest(const std::string& id) {
+    const auto& requests = endpoint->requests();
+    return *std::find_if(requests.begin(), requests.end(),
+                         [&id](const et::EndpointRequest& request) {
+                           return request.id() == id;
+                         });
   }
 
   // Of requests that come now, side by side, all reach `other`.
-  void AllReach(const et::Endpoint& other) {
-    std::vector<const et::Wire*> callers;
+  void AllReach(const et::FakeEndpoint& other) {
+    std::vector<const et::TestConnection*> callers;
     for (int i = 0; i < 6; ++i) {
-      callers.push_back(&world.Send(*proxy, {.path = "/once/b"}));
+      callers.push_back(&env.SendRequest(*proxy, {.path = "/once/b"}));
     }
-    const std::size_t before = endpoint->seen().size();
-    world.Until([&] {
-      return endpoint->seen().size() + other.seen().size() == before + 6;
+    const std::size_t before = endpoint->requests().size();
+    env.WaitUntil([&] {
+      return endpoint->requests().size() + other.requests().size() ==
+             before + 6;
     });
-    LONGS_EQUAL(6, other.seen().size());
-    for (const et::Served& served : other.seen()) served.Answer(200, "done");
-    for (const et::Wire* caller : callers) {
-      world.Until([caller] { return !et::Told(*caller).empty(); });
-      STRCMP_EQUAL("200", et::Told(*caller).c_str());
+    LONGS_EQUAL(6, other.requests().size());
+    for (const et::EndpointRequest& request : other.requests())
+      request.Answer(200, "done");
+    for (const et::TestConnection* caller : callers) {
+      env.WaitUntil([caller] { return !et::DescribeAnswer(*caller).empty(); });
+      STRCMP_EQUAL("200", et::DescribeAnswer(*caller).c_str());
     }
   }
 
   // The endpoint ends both, and their callers have them whole.
   void EndRequests() {
-    Seen("order").Answer(200, "done");
-    Seen("stream").wire->Send(et::EventBytes(3) + et::kEventsEnd);
-    world.Until([this] {
-      return !et::Told(*order).empty() && !et::Told(*stream).empty();
+    FindRequest("order").Answer(200, "done");
+    FindRequest("stream").connection->Send(et::FormatEventChunk(3) +
+                                           et::kLastChunk);
+    env.WaitUntil([this] {
+      return !et::DescribeAnswer(*order).empty() &&
+             !et::DescribeAnswer(*stream).empty();
     });
-    STRCMP_EQUAL("200", et::Told(*order).c_str());
-    const auto answers = et::AnswersIn(stream->received());
-    STRCMP_EQUAL(et::EventsText(1, 3).c_str(), answers[0].body.c_str());
-    world.Until([this] { return ep::ViewOf(*proxy).calls == 0; });
+    STRCMP_EQUAL("200", et::DescribeAnswer(*order).c_str());
+    const auto answers = et::ParseAnswers(stream->received());
+    STRCMP_EQUAL(et::FormatEvents(1, 3).c_str(), answers[0].body.c_str());
+    env.WaitUntil([this] { return ep::ViewOf(*proxy).calls == 0; });
   }
 };
 
@@ -86,35 +91,37 @@
 // away.
 TEST(Changes, RequestsOnARouteThatIsDroppedEndWhole) {
   StartWithRequests();
-  er::RouteTable table = et::StandardTable();
+  er::RouteTable table = et::MakeRouteTable();
   std::erase_if(table.routes, [](const er::Route& route) {
     return route.name == "once" || route.name == "tell";
   });
-  world.Publish(table);
-  world.UntilRules(*proxy);
-  STRCMP_EQUAL("404 no", world.AskFor(*proxy, {.path = "/once/b"}).c_str());
-  STRCMP_EQUAL("404 no", world.AskFor(*proxy, {.path = "/tell/b"}).c_str());
+  env.Publish(table);
+  env.WaitUntilRulesApplied(*proxy);
+  STRCMP_EQUAL("404 no",
+               env.SendAndDescribe(*proxy, {.path = "/once/b"}).c_str());
+  STRCMP_EQUAL("404 no",
+               env.SendAndDescribe(*proxy, {.path = "/tell/b"}).c_str());
   EndRequests();
-  LONGS_EQUAL(2, endpoint->seen().size());
+  LONGS_EQUAL(2, endpoint->requests().size());
 }
 
 // The same for a request that waits for a free place at an endpoint: it is sent
 // as the rules said when it came.
 TEST(Changes, ARequestThatWaitsOnARouteThatIsDroppedIsSent) {
   StartWithRequests(8);
-  const et::Wire& waits =
-      world.Send(*proxy, {.path = "/once/c", .id = "waits"});
-  world.Until([this] { return ep::ViewOf(*proxy).waiting == 1; });
-  er::RouteTable table = et::StandardTable();
+  const et::TestConnection& waits =
+      env.SendRequest(*proxy, {.path = "/once/c", .id = "waits"});
+  env.WaitUntil([this] { return ep::ViewOf(*proxy).waiting == 1; });
+  er::RouteTable table = et::MakeRouteTable();
   std::erase_if(table.routes,
                 [](const er::Route& route) { return route.name == "once"; });
-  world.Publish(table);
-  world.UntilRules(*proxy);
-  Seen("order").Answer(200, "done");
-  world.Until([this] { return endpoint->seen().size() == 3; });
-  Seen("waits").Answer(200, "done");
-  world.Until([&waits] { return !et::Told(waits).empty(); });
-  STRCMP_EQUAL("200", et::Told(waits).c_str());
+  env.Publish(table);
+  env.WaitUntilRulesApplied(*proxy);
+  FindRequest("order").Answer(200, "done");
+  env.WaitUntil([this] { return endpoint->requests().size() == 3; });
+  FindRequest("waits").Answer(200, "done");
+  env.WaitUntil([&waits] { return !et::DescribeAnswer(waits).empty(); });
+  STRCMP_EQUAL("200", et::DescribeAnswer(waits).c_str());
   EndRequests();
 }
 
@@ -122,24 +129,26 @@
 // when it came and ends whole; the next request is turned away.
 TEST(Changes, AStreamEndsWholeThoughItsKeyIsWithdrawn) {
   StartWithRequests();
-  er::RouteTable table = et::StandardTable();
+  er::RouteTable table = et::MakeRouteTable();
   table.account_by_key.erase("k1");
-  world.Publish(table);
-  world.UntilRules(*proxy);
-  STRCMP_EQUAL("401 no", world.AskFor(*proxy, {.path = "/tell/b"}).c_str());
+  env.Publish(table);
+  env.WaitUntilRulesApplied(*proxy);
+  STRCMP_EQUAL("401 no",
+               env.SendAndDescribe(*proxy, {.path = "/tell/b"}).c_str());
   EndRequests();
 }
 
 // The same for an account that goes as a whole.
 TEST(Changes, AStreamEndsWholeThoughItsAccountIsGone) {
   StartWithRequests();
-  er::RouteTable table = et::StandardTable();
+  er::RouteTable table = et::MakeRouteTable();
   table.account_by_key = {{"k3", 0}};
   table.accounts = {{.name = "other", .tier = {}}};
-  world.Publish(table);
-  world.UntilRules(*proxy);
-  STRCMP_EQUAL("401 no",
-               world.AskFor(*proxy, {.path = "/tell/b", .key = "k2"}).c_str());
+  env.Publish(table);
+  env.WaitUntilRulesApplied(*proxy);
+  STRCMP_EQUAL(
+      "401 no",
+      env.SendAndDescribe(*proxy, {.path = "/tell/b", .key = "k2"}).c_str());
   EndRequests();
 }
 
@@ -147,24 +156,26 @@
 // everything new goes to the other zones.
 TEST(Changes, RequestsInAZoneThatIsTakenOutEndWhole) {
   StartWithRequests();
-  const et::Endpoint& other = world.AddEndpoint("e2", et::AnswersLater(), "b");
-  world.Register("e2", other.address(), "b", "serving", kMany);
-  world.UntilKnown(*proxy, 2);
-  world.store.Put("out/a", "1");
-  world.Until([this] { return er::IsZoneOut(proxy->endpoints, "a"); });
+  const et::FakeEndpoint& other =
+      env.AddEndpoint("e2", et::LeaveUnanswered(), "b");
+  env.Register("e2", other.address(), "b", "serving", kMany);
+  env.WaitUntilReady(*proxy, 2);
+  env.store.Put("out/a", "1");
+  env.WaitUntil([this] { return er::IsZoneOut(proxy->endpoints, "a"); });
   AllReach(other);
   EndRequests();
-  LONGS_EQUAL(2, endpoint->seen().size());
+  LONGS_EQUAL(2, endpoint->requests().size());
 }
 
 // An endpoint says that it leaves. It ends what it has and gets nothing new.
 TEST(Changes, RequestsAtAnEndpointThatLeavesEndWhole) {
   StartWithRequests();
-  const et::Endpoint& other = world.AddEndpoint("e2", et::AnswersLater());
-  world.Register("e2", other.address(), "a", "serving", kMany);
-  world.UntilKnown(*proxy, 2);
-  world.Register("e1", endpoint->address(), "a", "leaving", kMany);
-  world.Until([this] { return Known().phase == er::EndpointPhase::kLeaving; });
+  const et::FakeEndpoint& other = env.AddEndpoint("e2", et::LeaveUnanswered());
+  env.Register("e2", other.address(), "a", "serving", kMany);
+  env.WaitUntilReady(*proxy, 2);
+  env.Register("e1", endpoint->address(), "a", "leaving", kMany);
+  env.WaitUntil(
+      [this] { return Known().phase == er::EndpointPhase::kLeaving; });
   AllReach(other);
   EndRequests();
 }
@@ -173,27 +184,28 @@
 // what it answers is whole.
 TEST(Changes, RequestsAtAnEndpointWhoseEntryGoesEndWhole) {
   StartWithRequests();
-  world.store.Remove("endpoints/e1");
-  world.Until([this] { return ep::ViewOf(*proxy).endpoints == 0; });
+  env.store.Remove("endpoints/e1");
+  env.WaitUntil([this] { return ep::ViewOf(*proxy).endpoints == 0; });
   EndRequests();
   // It registers again and is used again.
-  world.Register("e1", endpoint->address());
-  world.UntilKnown(*proxy, 1);
-  const et::Wire& next = world.Send(*proxy, {.path = "/once/b", .id = "next"});
-  world.Until([this] { return endpoint->seen().size() == 3; });
-  Seen("next").Answer(200, "done");
-  world.Until([&next] { return !et::Told(next).empty(); });
-  STRCMP_EQUAL("200", et::Told(next).c_str());
+  env.Register("e1", endpoint->address());
+  env.WaitUntilReady(*proxy, 1);
+  const et::TestConnection& next =
+      env.SendRequest(*proxy, {.path = "/once/b", .id = "next"});
+  env.WaitUntil([this] { return endpoint->requests().size() == 3; });
+  FindRequest("next").Answer(200, "done");
+  env.WaitUntil([&next] { return !et::DescribeAnswer(next).empty(); });
+  STRCMP_EQUAL("200", et::DescribeAnswer(next).c_str());
 }
 
 // A new process registers under an endpoint's name while the old one still
 // answers. The old one ends what it has; the new one gets what is new.
 TEST(Changes, RequestsAtAnEndpointThatIsReplacedEndWhole) {
   StartWithRequests();
-  et::Endpoint replacement(world.loop, et::AnswersDone());
-  world.Register("e1", replacement.address());
-  world.Until([&] { return Known().entry.address == replacement.address(); });
-  STRCMP_EQUAL("200", world.AskFor(*proxy, {.path = "/once/b"}).c_str());
-  LONGS_EQUAL(1, replacement.seen().size());
+  et::FakeEndpoint replacement(env.loop, et::AnswerImmediately());
+  env.Register("e1", replacement.address());
+  env.WaitUntil([&] { return Known().entry.address == replacement.address(); });
+  STRCMP_EQUAL("200", env.SendAndDescribe(*proxy, {.path = "/once/b"}).c_str());
+  LONGS_EQUAL(1, replacement.requests().size());
   EndRequests();
 }
--- a/proxy/tests/gossip_codec_test.cc
+++ b/proxy/tests/gossip_codec_test.cc
@@ -30,12 +30,14 @@
 };
 
 TEST(NewsCodec, APeerReadsWhatWasPacked) {
-  const auto whole = ep::UnpackChanges(Packed(0), er::Feed::kEndpoints).value();
+  const auto whole =
+      ep::UnpackChanges(Packed(0), er::Feed::kEndpoints).value();
   CHECK(whole.changes.whole);
   LONGS_EQUAL(9, whole.changes.revision);
   LONGS_EQUAL(1, whole.changes.items.size());
   STRCMP_EQUAL("first", whole.changes.items[0].value.c_str());
-  const auto later = ep::UnpackChanges(Packed(7), er::Feed::kEndpoints).value();
+  const auto later =
+      ep::UnpackChanges(Packed(7), er::Feed::kEndpoints).value();
   CHECK_FALSE(later.changes.whole);
   LONGS_EQUAL(1, later.changes.items.size());
   CHECK(later.changes.items[0].removed);
@@ -52,8 +54,8 @@
   CHECK(refused(""));
   CHECK(refused("short"));
   CHECK(refused(std::string(64, '\xff')));
-  CHECK_FALSE(
-      ep::UnpackChanges({"no frame", 8}, er::Feed::kEndpoints).has_value());
+  CHECK_FALSE(ep::UnpackChanges({"no frame", 8}, er::Feed::kEndpoints)
+                  .has_value());
 }
 
 // Guards against a few bytes that unpack to more than a message may be.
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -22,20 +22,22 @@
 
 namespace {
 
-kernel::Time MovedNow(const void* ahead) {
+kernel::Time OffsetNow(const void* offset) {
   return std::chrono::steady_clock::now() +
-         *static_cast<const std::chrono::nanoseconds*>(ahead);
+         *static_cast<const std::chrono::nanoseconds*>(offset);
 }
 
-std::unique_ptr<Wire> AcceptedWire(kernel::Loop& loop, evutil_socket_t fd) {
-  return std::make_unique<Wire>(loop, fd);
+std::unique_ptr<TestConnection> MakeAcceptedConnection(kernel::Loop& loop,
+                                                       evutil_socket_t fd) {
+  return std::make_unique<TestConnection>(loop, fd);
 }
 
 }  // namespace
 
 // --- Connections ---
 
-Wire::Wire(kernel::Loop& loop, const std::string& address, int receive_buffer) {
+TestConnection::TestConnection(kernel::Loop& loop, const std::string& address,
+                               int receive_buffer) {
   auto target = net::ParseAddress(address);
   const evutil_socket_t fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
   if (receive_buffer > 0) {
@@ -44,87 +46,87 @@
   }
   buffer_.reset(
       bufferevent_socket_new(loop.base.get(), fd, BEV_OPT_CLOSE_ON_FREE));
-  Open();
+  SetCallbacks();
   bufferevent_socket_connect(buffer_.get(), target->get(), target->size);
 }
 
-Wire::Wire(kernel::Loop& loop, evutil_socket_t fd) {
+TestConnection::TestConnection(kernel::Loop& loop, evutil_socket_t fd) {
   buffer_.reset(
       bufferevent_socket_new(loop.base.get(), fd, BEV_OPT_CLOSE_ON_FREE));
-  Open();
+  SetCallbacks();
 }
 
-void Wire::Open() {
+void TestConnection::SetCallbacks() {
   bufferevent_setcb(
       buffer_.get(),
       [](bufferevent* buffer, void* arg) {
-        auto* self = static_cast<Wire*>(arg);
+        auto* self = static_cast<TestConnection*>(arg);
         const std::string_view input = net::PendingInput(buffer);
         self->received_.append(input);
         net::Consume(buffer, input.size());
-        if (self->changed_) self->changed_();
+        if (self->on_change_) self->on_change_();
       },
       [](bufferevent* /*b*/, void* arg) {
-        static_cast<Wire*>(arg)->DoFinish();
+        static_cast<TestConnection*>(arg)->FinishNow();
       },
       // NOLINTNEXTLINE(google-runtime-int)
       [](bufferevent* /*b*/, short what, void* arg) {
-        auto* self = static_cast<Wire*>(arg);
+        auto* self = static_cast<TestConnection*>(arg);
         if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
         self->ended_ = true;
-        if (self->changed_) self->changed_();
+        if (self->on_change_) self->on_change_();
       },
       this);
   bufferevent_enable(buffer_.get(), EV_READ | EV_WRITE);
 }
 
-void Wire::Send(std::string_view bytes) {
+void TestConnection::Send(std::string_view bytes) {
   if (buffer_ != nullptr) net::Write(buffer_.get(), bytes);
 }
 
-void Wire::Hold(bool hold) {
+void TestConnection::PauseReading(bool paused) {
   if (buffer_ == nullptr) return;
-  if (hold) {
+  if (paused) {
     bufferevent_disable(buffer_.get(), EV_READ);
   } else {
     bufferevent_enable(buffer_.get(), EV_READ);
   }
 }
 
-void Wire::TakeSome(std::size_t most) {
-  std::string bytes(most, '\0');
+void TestConnection::ReadSome(std::size_t max_bytes) {
+  std::string bytes(max_bytes, '\0');
   const ssize_t count =
-      recv(bufferevent_getfd(buffer_.get()), bytes.data(), most, 0);
+      recv(bufferevent_getfd(buffer_.get()), bytes.data(), max_bytes, 0);
   if (count > 0) received_.append(bytes, 0, static_cast<std::size_t>(count));
 }
 
-std::size_t Wire::unsent() const {
+std::size_t TestConnection::unsent_bytes() const {
   return buffer_ == nullptr ? 0 : net::PendingOutputBytes(buffer_.get());
 }
 
-std::size_t Wire::waiting() const {
+std::size_t TestConnection::unread_bytes() const {
   int bytes = 0;
   ioctl(bufferevent_getfd(buffer_.get()), FIONREAD, &bytes);
   return static_cast<std::size_t>(bytes);
 }
 
-void Wire::FinishBy(Finish how) {
-  finish_ = how;
-  if (unsent() == 0) DoFinish();
+void TestConnection::StartFinish(Finish finish) {
+  finish_ = finish;
+  if (unsent_bytes() == 0) FinishNow();
 }
 
-void Wire::DoFinish() {
+void TestConnection::FinishNow() {
   if (buffer_ == nullptr) return;
   const evutil_socket_t fd = bufferevent_getfd(buffer_.get());
   switch (std::exchange(finish_, Finish::kNone)) {
     case Finish::kNone:
       return;
-    case Finish::kEndSending:
+    case Finish::kShutdownWrite:
       shutdown(fd, SHUT_WR);
       return;
     case Finish::kReset: {
-      const linger now{1, 0};
-      setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+      const linger no_delay{1, 0};
+      setsockopt(fd, SOL_SOCKET, SO_LINGER, &no_delay, sizeof(no_delay));
       break;
     }
     case Finish::kClose:
@@ -133,14 +135,14 @@
   buffer_.reset();
 }
 
-Port::Port(kernel::Loop& loop, Accepted accepted)
-    : loop_(loop), accepted_(std::move(accepted)) {
+TestListener::TestListener(kernel::Loop& loop, AcceptHandler on_accept)
+    : loop_(loop), on_accept_(std::move(on_accept)) {
   auto listener = net::ListenOn(
       loop.base.get(), "127.0.0.1:0", -1,
       [](evconnlistener* /*l*/, evutil_socket_t fd, sockaddr* /*a*/,
          int /*size*/, void* arg) {
-        auto* self = static_cast<Port*>(arg);
-        self->accepted_(AcceptedWire(self->loop_, fd));
+        auto* self = static_cast<TestListener*>(arg);
+        self->on_accept_(MakeAcceptedConnection(self->loop_, fd));
       },
       this);
   if (!listener) std::abort();
@@ -151,26 +153,26 @@
 
 // --- Endpoints ---
 
-std::string AnswerBytes(const std::string& id, int status,
-                        const std::string& body) {
+std::string FormatAnswer(const std::string& id, int status,
+                         const std::string& body) {
   return "HTTP/1.1 " + std::to_string(status) + " Said\r\nX-Id: " + id +
          "\r\nX-Seal: 1\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
-std::string EventsHead(const std::string& id) {
+std::string FormatStreamHead(const std::string& id) {
   return "HTTP/1.1 200 OK\r\nX-Id: " + id +
          "\r\nX-Seal: 1\r\nContent-Type: text/event-stream\r\n"
          "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-std::string EventBytes(int number, const std::string& data) {
+std::string FormatEventChunk(int number, const std::string& data) {
   return net::FormatChunk("id: " + std::to_string(number) + "\ndata: " +
                           (data.empty() ? "t" + std::to_string(number) : data) +
                           "\n\n");
 }
 
-std::string EventsText(int from, int to) {
+std::string FormatEvents(int from, int to) {
   std::string text;
   for (int i = from; i <= to; ++i) {
     text +=
@@ -179,74 +181,78 @@
   return text;
 }
 
-std::string Served::id() const {
-  return std::string(net::ValueOf(request.fields, "X-Id"));
+std::string EndpointRequest::id() const {
+  return std::string(net::ValueOf(http.fields, "X-Id"));
 }
 
-int Served::after() const {
-  return std::atoi(
-      std::string(net::ValueOf(request.fields, "X-After")).c_str());
+int EndpointRequest::last_event_id() const {
+  return std::atoi(std::string(net::ValueOf(http.fields, "X-After")).c_str());
 }
 
-void Served::Answer(int status, const std::string& body) const {
-  wire->Send(AnswerBytes(id(), status, body));
+void EndpointRequest::Answer(int status, const std::string& body) const {
+  connection->Send(FormatAnswer(id(), status, body));
 }
 
-void Served::SayNotRun() const {
-  wire->Send("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+void EndpointRequest::AnswerNotRun() const {
+  connection->Send(
+      "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
 }
 
-void Served::Begin(int from, int to) const {
-  wire->Send(EventsHead(id()));
-  for (int i = from; i <= to; ++i) wire->Send(EventBytes(i));
+void EndpointRequest::BeginStream(int from, int to) const {
+  connection->Send(FormatStreamHead(id()));
+  for (int i = from; i <= to; ++i) connection->Send(FormatEventChunk(i));
 }
 
-Endpoint::Endpoint(kernel::Loop& loop, Handler handler)
-    : handler_(std::move(handler)), port_(loop, [this](auto wire) {
-        Line& line = lines_.emplace_back();
-        line.wire = std::move(wire);
-        line.wire->OnChange([this, &line] { Read(line); });
-        line.wire->Hold(hold_);
+FakeEndpoint::FakeEndpoint(kernel::Loop& loop, Handler handler)
+    : handler_(std::move(handler)), listener_(loop, [this](auto connection) {
+        Client& client = clients_.emplace_back();
+        client.connection = std::move(connection);
+        client.connection->OnChange([this, &client] { ReadRequests(client); });
+        client.connection->PauseReading(is_reading_paused_);
       }) {}
 
-void Endpoint::Hold(bool hold) {
-  hold_ = hold;
-  for (const Line& line : lines_) line.wire->Hold(hold);
+void FakeEndpoint::PauseReading(bool paused) {
+  is_reading_paused_ = paused;
+  for (const Client& client : clients_) client.connection->PauseReading(paused);
 }
 
-std::vector<Wire*> Endpoint::wires() const {
-  std::vector<Wire*> wires;
-  for (const Line& line : lines_) wires.push_back(line.wire.get());
-  return wires;
+std::vector<TestConnection*> FakeEndpoint::connections() const {
+  std::vector<TestConnection*> connections;
+  for (const Client& client : clients_) {
+    connections.push_back(client.connection.get());
+  }
+  return connections;
 }
 
-void Endpoint::Read(Line& line) {
+void FakeEndpoint::ReadRequests(Client& client) {
   while (true) {
-    const std::string_view received = line.wire->received();
-    const std::size_t used = line.reader.Feed(received.substr(line.read));
-    line.read += used;
-    if (line.reader.state() == net::ReadState::kDone) {
-      seen_.push_back({line.wire.get(), std::move(line.reader.request())});
-      line.reader = net::RequestReader({16'384, 1U << 24U});
-      const Served served = seen_.back();
-      handler_(served);
+    const std::string_view received = client.connection->received();
+    const std::size_t used =
+        client.reader.Feed(received.substr(client.parsed_bytes));
+    client.parsed_bytes += used;
+    if (client.reader.state() == net::ReadState::kDone) {
+      requests_.push_back(
+          {client.connection.get(), std::move(client.reader.request())});
+      client.reader = net::RequestReader({16'384, 1U << 24U});
+      const EndpointRequest request = requests_.back();
+      handler_(request);
     } else if (used == 0) {
       return;
     }
   }
 }
 
-Endpoint::Handler AnswersDone() {
-  return [](const Served& served) { served.Answer(200, "done"); };
+FakeEndpoint::Handler AnswerImmediately() {
+  return [](const EndpointRequest& request) { request.Answer(200, "done"); };
 }
 
-Endpoint::Handler AnswersLater() {
-  return [](const Served& /*served*/) {};
+FakeEndpoint::Handler LeaveUnanswered() {
+  return [](const EndpointRequest& /*request*/) {};
 }
 
 // --- Answers ---
 
-std::vector<Answer> AnswersIn(const std::string& received) {
+std::vector<Answer> ParseAnswers(const std::string& received) {
   std::vector<Answer> answers;
   std::string_view rest = received;
   while (!rest.empty()) {
@@ -263,7 +269,7 @@
   return answers;
 }
 
-std::string Told(const Answer& answer) {
+std::string DescribeAnswer(const Answer& answer) {
   constexpr std::string_view kRan = R"("ran":")";
   const std::size_t at = answer.body.find(kRan);
   if (at == std::string::npos) return std::to_string(answer.status);
@@ -272,26 +278,26 @@
          answer.body.substr(from, answer.body.find('"', from) - from);
 }
 
-std::string Told(const Wire& caller) {
-  const auto answers = AnswersIn(caller.received());
-  return answers.empty() ? "" : Told(answers.front());
+std::string DescribeAnswer(const TestConnection& caller) {
+  const auto answers = ParseAnswers(caller.received());
+  return answers.empty() ? "" : DescribeAnswer(answers.front());
 }
 
-// --- The store and its dialect ---
+// --- The fake store and the test dialect ---
 
 namespace {
 
-// Tables by the version under which they were published: the store's item only
-// names it.
+// Published route tables by version. The store's item holds only the version.
 std::map<std::string, routing::RouteTablePtr>& Tables() {
   static std::map<std::string, routing::RouteTablePtr> tables;
   return tables;
 }
 
-constexpr std::string_view kEndpoints = "endpoints/";
-constexpr std::string_view kOut = "out/";
+constexpr std::string_view kEndpointPrefix = "endpoints/";
+constexpr std::string_view kZoneOutPrefix = "out/";
 
-std::string Rest(std::string_view text, std::string_view prefix) {
+// The text behind the prefix; empty if the text doesn't begin with it.
+std::string StripPrefix(std::string_view text, std::string_view prefix) {
   return text.starts_with(prefix) ? std::string(text.substr(prefix.size()))
                                   : "";
 }
@@ -310,8 +316,8 @@
          "?wait=" + std::to_string(wait.count());
 }
 
-// A revision, then a line for each item: key, revision, `-` if it is removed,
-// value.
+// Parses the store's revision, followed by one line for each item: key,
+// revision, `-` for a removed item or `+`, and value.
 kernel::Result<StorePage> ReadPage(const std::string& body) {
   std::istringstream lines(body);
   StorePage page;
@@ -334,14 +340,18 @@
 }
 
 bool IsRules(std::string_view key) { return key == "rules"; }
-std::string ZoneOut(std::string_view key) { return Rest(key, kOut); }
-std::string EndpointId(std::string_view key) { return Rest(key, kEndpoints); }
+std::string ZoneOut(std::string_view key) {
+  return StripPrefix(key, kZoneOutPrefix);
+}
+std::string EndpointId(std::string_view key) {
+  return StripPrefix(key, kEndpointPrefix);
+}
 
 kernel::Result<routing::RouteTablePtr> ReadRules(const std::string& value) {
   return Tables().at(value);
 }
 
-// `ADDRESS ZONE STATE SLOTS`
+// Parses `ADDRESS ZONE STATE SLOTS`.
 kernel::Result<routing::EndpointEntry> ReadEndpoint(const routing::Item& item) {
   routing::EndpointEntry entry;
   entry.id = EndpointId(item.key);
@@ -384,7 +394,7 @@
 }
 
 bool IsDirectory(std::string_view target, std::string* zone) {
-  *zone = Rest(target, "/nodes/");
+  *zone = StripPrefix(target, "/nodes/");
   return !zone->empty();
 }
 
@@ -395,9 +405,9 @@
   return body;
 }
 
-bool IsReadyPage(std::string_view target) { return target == "/ready"; }
+bool IsReadinessRequest(std::string_view target) { return target == "/ready"; }
 
-constexpr Dialect kPlain = {
+constexpr Dialect kTestDialect = {
     .list_target = ListTarget,
     .watch_target = WatchTarget,
     .read_page = ReadPage,
@@ -413,48 +423,50 @@
     .read_answer = ReadAnswer,
     .is_directory_request = IsDirectory,
     .directory_body = DirectoryBody,
-    .is_readiness_request = IsReadyPage,
+    .is_readiness_request = IsReadinessRequest,
 };
-const kernel::PluginRegistrar<Dialect> kRegistrar("plain", kPlain);
+const kernel::PluginRegistrar<Dialect> kRegistrar("plain", kTestDialect);
 
 bool IsOfFeed(const std::string& key, std::string_view feed) {
-  return key.starts_with(kEndpoints) == (feed == "endpoints");
+  return key.starts_with(kEndpointPrefix) == (feed == "endpoints");
 }
 
 }  // namespace
 
-Store::Store(kernel::Loop& loop)
+FakeStore::FakeStore(kernel::Loop& loop)
     : server_(loop, {.on_request =
-                         [this](const net::HttpCallPtr& call) { Take(call); },
+                         [this](const net::HttpCallPtr& call) {
+                           HandleRequest(call);
+                         },
                      .on_refused = {},
                      .refusal_body = {},
                      .make_buffer = {}}) {
   if (!server_.Listen("127.0.0.1:0")) std::abort();
-  watch_end_ = kernel::RunEvery(loop, 2s, [this] { EndWatches(); });
+  watch_end_timer_ = kernel::RunEvery(loop, 2s, [this] { EndWatches(); });
 }
 
-void Store::Put(const std::string& key, const std::string& value) {
+void FakeStore::Put(const std::string& key, const std::string& value) {
   items_[key] = {value, ++revision_, false};
-  Wake();
+  AnswerChangedWatches();
 }
 
-void Store::Remove(const std::string& key) {
+void FakeStore::Remove(const std::string& key) {
   items_[key] = {"", ++revision_, true};
-  Wake();
+  AnswerChangedWatches();
 }
 
-void Store::SetAway(bool away) {
-  away_ = away;
-  Wake();
+void FakeStore::SetUnavailable(bool unavailable) {
+  is_unavailable_ = unavailable;
+  AnswerChangedWatches();
 }
 
-void Store::SetSilent(bool silent) {
-  silent_ = silent;
+void FakeStore::SetSilent(bool silent) {
+  is_silent_ = silent;
   watches_.clear();
 }
 
-void Store::Take(const net::HttpCallPtr& call) {
-  ++calls_;
+void FakeStore::HandleRequest(const net::HttpCallPtr& call) {
+  ++call_count_;
   const std::string& target = call->request().target;
   const std::size_t wait = target.find("?wait=");
   last_wait_ = milliseconds(
@@ -462,16 +474,16 @@
           ? 0
           : std::strtol(target.c_str() + wait + std::strlen("?wait="), nullptr,
                         10));
-  if (silent_) {
+  if (is_silent_) {
     ++unanswered_;
   } else if (!TryAnswer(call)) {
     watches_.push_back(call);
   }
 }
 
-bool Store::TryAnswer(const net::HttpCallPtr& call) {
+bool FakeStore::TryAnswer(const net::HttpCallPtr& call) {
   if (call->over()) return true;
-  if (away_) {
+  if (is_unavailable_) {
     call->Answer(503, "Away", {}, "");
     return true;
   }
@@ -494,21 +506,21 @@
   return true;
 }
 
-void Store::Wake() {
+void FakeStore::AnswerChangedWatches() {
   watches_.remove_if(
       [this](const net::HttpCallPtr& call) { return TryAnswer(call); });
 }
 
-void Store::EndWatches() {
+void FakeStore::EndWatches() {
   for (const net::HttpCallPtr& call : watches_) {
     call->Answer(200, "OK", {}, std::to_string(revision_) + "\n");
   }
   watches_.clear();
 }
 
-// --- All of it ---
+// --- The environment ---
 
-routing::RouteTable StandardTable() {
+routing::RouteTable MakeRouteTable() {
   using routing::RouteKind;
   routing::RouteTable table;
   table.services = {{.name = "all"}};
@@ -536,22 +548,23 @@
   return table;
 }
 
-std::string RequestBytes(const Ask& ask) {
-  return "POST " + ask.path + " HTTP/1.1\r\nHost: h\r\nX-Id: " + ask.id +
-         "\r\nX-Key: " + ask.key +
-         "\r\nX-Wait-Ms: " + std::to_string(ask.wait_ms) +
-         "\r\nContent-Length: " + std::to_string(ask.body.size()) + "\r\n\r\n" +
-         ask.body;
+std::string FormatRequest(const TestRequest& request) {
+  return "POST " + request.path +
+         " HTTP/1.1\r\nHost: h\r\nX-Id: " + request.id +
+         "\r\nX-Key: " + request.key +
+         "\r\nX-Wait-Ms: " + std::to_string(request.timeout_ms) +
+         "\r\nContent-Length: " + std::to_string(request.body.size()) +
+         "\r\n\r\n" + request.body;
 }
 
-World::World() : loop(kernel::CreateLoop()), store(loop) {
-  // As in the program: a connection that ended is written to.
+TestEnvironment::TestEnvironment() : loop(kernel::CreateLoop()), store(loop) {
+  // As in the daemon: writes to closed connections must not end the process.
   std::signal(SIGPIPE, SIG_IGN);
-  loop.clock = {MovedNow, &ahead_};
-  wake_ = kernel::RunEvery(loop, 2ms, [] {});
+  loop.clock = {OffsetNow, &clock_offset_};
+  loop_timer_ = kernel::RunEvery(loop, 2ms, [] {});
 }
 
-void World::Publish(routing::RouteTable table) {
+void TestEnvironment::Publish(routing::RouteTable table) {
   table.version = ++version_;
   routing::IndexTable(table);
   const std::string name = std::to_string(version_);
@@ -559,22 +572,24 @@
   store.Put("rules", name);
 }
 
-Endpoint& World::AddEndpoint(const std::string& id, Endpoint::Handler handler,
-                             const std::string& zone) {
+FakeEndpoint& TestEnvironment::AddEndpoint(const std::string& id,
+                                           FakeEndpoint::Handler handler,
+                                           const std::string& zone) {
   auto& endpoint = endpoints_[id];
-  endpoint = std::make_unique<Endpoint>(loop, std::move(handler));
+  endpoint = std::make_unique<FakeEndpoint>(loop, std::move(handler));
   Register(id, endpoint->address(), zone);
   return *endpoint;
 }
 
-void World::Register(const std::string& id, const std::string& address,
-                     const std::string& zone, const std::string& state,
-                     int slots) {
-  store.Put(std::string(kEndpoints) + id,
+void TestEnvironment::Register(const std::string& id,
+                               const std::string& address,
+                               const std::string& zone,
+                               const std::string& state, int slots) {
+  store.Put(std::string(kEndpointPrefix) + id,
             address + " " + zone + " " + state + " " + std::to_string(slots));
 }
 
-ProxyOptions World::OptionsOf(const std::string& node) const {
+ProxyOptions TestEnvironment::MakeOptions(const std::string& node) const {
   ProxyOptions options;
   options.node = node;
   options.zone = "a";
@@ -584,72 +599,77 @@
   return options;
 }
 
-Proxy& World::Start(const ProxyOptions& options) {
+Proxy& TestEnvironment::StartNode(const ProxyOptions& options) {
   auto started = StartProxy(loop, options);
   if (!started) std::abort();
   proxies_.push_back(std::move(started).value());
   return *proxies_.back();
 }
 
-Proxy& World::StartReady() {
+Proxy& TestEnvironment::StartReadyNode() {
   Publish();
-  Proxy& proxy = Start(OptionsOf("n1"));
-  UntilKnown(proxy, endpoints_.size());
+  Proxy& proxy = StartNode(MakeOptions("n1"));
+  WaitUntilReady(proxy, endpoints_.size());
   return proxy;
 }
 
-void World::Kill(Proxy& proxy) {
+void TestEnvironment::KillNode(Proxy& proxy) {
   proxies_.remove_if(
-      [&proxy](const ProxyPtr& one) { return one.get() == &proxy; });
+      [&proxy](const ProxyPtr& node) { return node.get() == &proxy; });
 }
 
-void World::Until(const std::function<bool()>& done) {
+void TestEnvironment::WaitUntil(const std::function<bool()>& done) {
   const auto limit = std::chrono::steady_clock::now() + 20s;
   while (!done()) {
     if (std::chrono::steady_clock::now() > limit) {
-      FAIL("what the test waits for never came");
+      FAIL("the awaited condition did not hold within 20 s");
     }
     event_base_loop(loop.base.get(), EVLOOP_ONCE);
   }
 }
 
-void World::Turn(std::chrono::milliseconds time) {
+void TestEnvironment::RunLoopFor(std::chrono::milliseconds time) {
   const auto end = std::chrono::steady_clock::now() + time;
-  Until([end] { return std::chrono::steady_clock::now() >= end; });
+  WaitUntil([end] { return std::chrono::steady_clock::now() >= end; });
 }
 
-void World::UntilKnown(Proxy& proxy, std::size_t endpoints) {
-  Until([&proxy, endpoints] {
+void TestEnvironment::WaitUntilReady(Proxy& proxy, std::size_t endpoints) {
+  WaitUntil([&proxy, endpoints] {
     const ProxyView view = ViewOf(proxy);
     return view.ready_now && view.endpoints == endpoints;
   });
 }
 
-void World::UntilRules(Proxy& proxy) {
-  Until([&] { return ViewOf(proxy).rules_version == version_; });
+void TestEnvironment::WaitUntilRulesApplied(Proxy& proxy) {
+  WaitUntil([&] { return ViewOf(proxy).rules_version == version_; });
 }
 
-Wire& World::Connect(const std::string& address, int receive_buffer) {
-  wires_.push_back(std::make_unique<Wire>(loop, address, receive_buffer));
-  return *wires_.back();
+TestConnection& TestEnvironment::Connect(const std::string& address,
+                                         int receive_buffer) {
+  connections_.push_back(
+      std::make_unique<TestConnection>(loop, address, receive_buffer));
+  return *connections_.back();
 }
 
-Wire& World::Send(Proxy& proxy, const Ask& ask) {
-  Wire& caller = Connect(ViewOf(proxy).callers);
-  caller.Send(RequestBytes(ask));
+TestConnection& TestEnvironment::SendRequest(Proxy& proxy,
+                                             const TestRequest& request) {
+  TestConnection& caller = Connect(ViewOf(proxy).callers);
+  caller.Send(FormatRequest(request));
   return caller;
 }
 
-Answer World::Get(Proxy& proxy, const Ask& ask) {
-  Wire& caller = Send(proxy, ask);
-  Until([&caller] { return !Told(caller).empty() || caller.ended(); });
-  const auto answers = AnswersIn(caller.received());
+Answer TestEnvironment::SendAndWait(Proxy& proxy, const TestRequest& request) {
+  TestConnection& caller = SendRequest(proxy, request);
+  WaitUntil(
+      [&caller] { return !DescribeAnswer(caller).empty() || caller.ended(); });
+  const auto answers = ParseAnswers(caller.received());
   caller.Close();
   return answers.empty() ? Answer{} : answers.front();
 }
 
-std::string World::AskFor(Proxy& proxy, const Ask& ask) {
-  return Told(Get(proxy, ask));
+std::string TestEnvironment::SendAndDescribe(Proxy& proxy,
+                                             const TestRequest& request) {
+  return DescribeAnswer(SendAndWait(proxy, request));
 }
 
 }  // namespace egretladder::proxy::test
--- a/proxy/tests/harness.h
+++ b/proxy/tests/harness.h
@@ -1,5 +1,5 @@
-// Nodes among stand-ins on loopback: a store, endpoints and callers whose every
-// byte a test writes, and a dialect that names everything plainly.
+// Test harness: proxy nodes on loopback with a fake store, fake endpoints and
+// callers whose every byte a test controls, and a minimal platform dialect.
 #pragma once
 
 #include <chrono>
@@ -21,152 +21,165 @@
 
 namespace egretladder::proxy::test {
 
-/// One end of a connection.
-class Wire {
+/// One side of a TCP connection.
+class TestConnection {
  public:
-  /// Opens a connection; `receive_buffer` in bytes, 0: the system's.
-  Wire(kernel::Loop& loop, const std::string& address, int receive_buffer = 0);
-  /// Takes one that was accepted.
-  Wire(kernel::Loop& loop, evutil_socket_t fd);
+  /// Connects to `address`. `receive_buffer` is the size of the socket's
+  /// receive buffer in bytes; 0 keeps the system's default.
+  TestConnection(kernel::Loop& loop, const std::string& address,
+                 int receive_buffer = 0);
+  /// Takes ownership of an accepted socket.
+  TestConnection(kernel::Loop& loop, evutil_socket_t fd);
 
   void Send(std::string_view bytes);
-  /// Reads nothing more, or reads on.
-  void Hold(bool hold);
-  /// Reads `most` bytes at most while it is held.
-  void TakeSome(std::size_t most);
-  /// Once all that was sent has left: sends nothing more and reads on.
-  void EndSending() { FinishBy(Finish::kEndSending); }
-  /// The same, and ends the connection.
-  void Close() { FinishBy(Finish::kClose); }
-  /// The same with a reset.
-  void Reset() { FinishBy(Finish::kReset); }
-
-  /// All that came.
+  /// Stops or resumes reading from the socket.
+  void PauseReading(bool paused);
+  /// Reads up to `max_bytes` from the socket while reading is paused.
+  void ReadSome(std::size_t max_bytes);
+  /// Shuts down the sending side once all sent bytes were written. Reading
+  /// continues.
+  void ShutdownWrite() { StartFinish(Finish::kShutdownWrite); }
+  /// Closes the connection once all sent bytes were written.
+  void Close() { StartFinish(Finish::kClose); }
+  /// Resets the connection once all sent bytes were written.
+  void Reset() { StartFinish(Finish::kReset); }
+
+  /// All bytes received so far.
   const std::string& received() const { return received_; }
-  /// The other side ended the connection.
+  /// True once the other side has ended the connection.
   bool ended() const { return ended_; }
-  /// Bytes that the system has not taken yet.
-  std::size_t unsent() const;
-  /// Bytes that came while it was held.
-  std::size_t waiting() const;
-  /// Called whenever something came or the other side ended it.
-  void OnChange(std::function<void()> action) { changed_ = std::move(action); }
+  /// Bytes that are not yet written to the socket.
+  std::size_t unsent_bytes() const;
+  /// Bytes in the socket's receive buffer that are not yet read.
+  std::size_t unread_bytes() const;
+  /// Sets the function that is called after bytes were received or the other
+  /// side ended the connection.
+  void OnChange(std::function<void()> action) {
+    on_change_ = std::move(action);
+  }
 
  private:
-  enum class Finish : std::uint8_t { kNone, kEndSending, kClose, kReset };
-  void Open();
-  void FinishBy(Finish how);
-  void DoFinish();
+  enum class Finish : std::uint8_t { kNone, kShutdownWrite, kClose, kReset };
+  void SetCallbacks();
+  void StartFinish(Finish finish);
+  void FinishNow();
 
   net::Bufferevent buffer_;
   std::string received_;
-  std::function<void()> changed_;
+  std::function<void()> on_change_;
   Finish finish_ = Finish::kNone;
   bool ended_ = false;
 };
 
-/// Accepts connections; `accepted` owns them.
-class Port {
+/// Listens on a free loopback port and passes accepted connections to a
+/// handler, which owns them.
+class TestListener {
  public:
-  using Accepted = std::function<void(std::unique_ptr<Wire>)>;
-  Port(kernel::Loop& loop, Accepted accepted);
+  using AcceptHandler = std::function<void(std::unique_ptr<TestConnection>)>;
+  TestListener(kernel::Loop& loop, AcceptHandler on_accept);
   const std::string& address() const { return address_; }
 
  private:
   kernel::Loop& loop_;
-  Accepted accepted_;
+  AcceptHandler on_accept_;
   std::string address_;
   net::Listener listener_;
 };
 
-/// An endpoint's whole answer to the request `id`.
-std::string AnswerBytes(const std::string& id, int status,
-                        const std::string& body);
-/// Head of its stream of events, one event (`data`: its text), and the end.
-std::string EventsHead(const std::string& id);
-std::string EventBytes(int number, const std::string& data = "");
-inline constexpr const char* kEventsEnd = "0\r\n\r\n";
-/// What a caller gets of events `from` to `to`.
-std::string EventsText(int from, int to);
-
-/// A request at an endpoint, and the connection that brought it.
-struct Served {
-  Wire* wire = nullptr;
-  net::HttpRequest request;
+/// An endpoint's complete HTTP answer to the request `id`.
+std::string FormatAnswer(const std::string& id, int status,
+                         const std::string& body);
+/// The head of an endpoint's event stream that answers the request `id`.
+std::string FormatStreamHead(const std::string& id);
+/// One event as a chunk of the HTTP body. The event id is `number`; an empty
+/// `data` stands for "t" and the number.
+std::string FormatEventChunk(int number, const std::string& data = "");
+/// The chunk that ends a stream.
+inline constexpr const char* kLastChunk = "0\r\n\r\n";
+/// The events `from` to `to` without chunk framing, as a caller decodes them.
+std::string FormatEvents(int from, int to);
+
+/// A request that an endpoint received, and its connection.
+struct EndpointRequest {
+  TestConnection* connection = nullptr;
+  net::HttpRequest http;
 
   std::string id() const;
-  /// Last event that its caller got; 0: it begins anew.
-  int after() const;
+  /// Id of the last event that the caller got; 0 for a stream from its start.
+  int last_event_id() const;
   void Answer(int status, const std::string& body) const;
-  /// Says that it did not run it.
-  void SayNotRun() const;
-  /// The events `from` to `to` of a stream, with its head.
-  void Begin(int from, int to) const;
+  /// Answers 503 with the statement that the request was not run.
+  void AnswerNotRun() const;
+  /// Sends the head of a stream and the events `from` to `to`.
+  void BeginStream(int from, int to) const;
 };
 
-/// An endpoint whose every answer a test writes.
-class Endpoint {
+/// An endpoint whose answers a test writes.
+class FakeEndpoint {
  public:
-  using Handler = std::function<void(const Served&)>;
-  Endpoint(kernel::Loop& loop, Handler handler);
+  using Handler = std::function<void(const EndpointRequest&)>;
+  FakeEndpoint(kernel::Loop& loop, Handler handler);
 
-  const std::string& address() const { return port_.address(); }
-  /// Connections read nothing from the start, or read on.
-  void Hold(bool hold);
-  /// Requests that came whole.
-  const std::vector<Served>& seen() const { return seen_; }
-  /// Connections so far, in their order.
-  std::vector<Wire*> wires() const;
+  const std::string& address() const { return listener_.address(); }
+  /// Stops or resumes reading on all connections, later ones included.
+  void PauseReading(bool paused);
+  /// Requests that were received completely, in order of arrival.
+  const std::vector<EndpointRequest>& requests() const { return requests_; }
+  /// All accepted connections, in order.
+  std::vector<TestConnection*> connections() const;
 
  private:
-  struct Line {
-    std::unique_ptr<Wire> wire;
+  struct Client {
+    std::unique_ptr<TestConnection> connection;
     net::RequestReader reader{{16'384, 1U << 24U}};
-    std::size_t read = 0;
+    std::size_t parsed_bytes = 0;
   };
-  void Read(Line& line);
+  void ReadRequests(Client& client);
 
   Handler handler_;
-  std::list<Line> lines_;
-  std::vector<Served> seen_;
-  bool hold_ = false;
-  Port port_;
+  std::list<Client> clients_;
+  std::vector<EndpointRequest> requests_;
+  bool is_reading_paused_ = false;
+  TestListener listener_;
 };
 
-/// Handlers that answer `done`, or leave it to the test.
-Endpoint::Handler AnswersDone();
-Endpoint::Handler AnswersLater();
+/// A handler that answers each request with 200 and the body "done".
+FakeEndpoint::Handler AnswerImmediately();
+/// A handler that sends nothing; the test answers.
+FakeEndpoint::Handler LeaveUnanswered();
 
-/// An answer as its caller reads it.
+/// An answer as its caller parses it.
 struct Answer {
-  int status = 0;  ///< 0: none came.
+  int status = 0;  ///< 0: no complete answer was received.
   std::string body;
   bool keep_alive = true;
 };
-/// Those that are complete.
-std::vector<Answer> AnswersIn(const std::string& received);
-/// `200`, or `503 no` with what the node said of whether it ran.
-std::string Told(const Answer& answer);
-/// What the first complete answer tells; empty: there is none.
-std::string Told(const Wire& caller);
-
-/// A store in the form of the test dialect.
-class Store {
+/// The complete answers in `received`.
+std::vector<Answer> ParseAnswers(const std::string& received);
+/// The status, followed by the node's statement whether the request ran if the
+/// answer has one: `200`, or for example `503 no`.
+std::string DescribeAnswer(const Answer& answer);
+/// Describes the first complete answer that `caller` received; empty if there
+/// is none.
+std::string DescribeAnswer(const TestConnection& caller);
+
+/// A fake store in the format of the test dialect.
+class FakeStore {
  public:
-  explicit Store(kernel::Loop& loop);
+  explicit FakeStore(kernel::Loop& loop);
   const std::string& address() const { return server_.address(); }
   void Put(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
-  /// Answers 503 to everything, or goes on.
-  void SetAway(bool away);
-  /// Takes requests and answers none of them any more, those that wait
-  /// included, or goes on.
+  /// While unavailable, answers 503 to all requests, pending watches included.
+  void SetUnavailable(bool unavailable);
+  /// While silent, accepts requests and answers none. Pending watches are never
+  /// answered.
   void SetSilent(bool silent);
-  /// Requests that came while it was silent.
+  /// Number of requests received while silent.
   int unanswered() const { return unanswered_; }
-  /// All requests.
-  int calls() const { return calls_; }
-  /// How long the last request would wait for changes; a list doesn't.
+  /// Number of all requests.
+  int call_count() const { return call_count_; }
+  /// How long the last request asked to wait for changes; 0 for a list.
   std::chrono::milliseconds last_wait() const { return last_wait_; }
 
  private:
@@ -175,89 +188,95 @@
     std::uint64_t rev = 0;
     bool removed = false;
   };
-  void Take(const net::HttpCallPtr& call);
-  /// True when it is answered.
+  void HandleRequest(const net::HttpCallPtr& call);
+  /// Answers the request unless it is a watch without changes. Returns true if
+  /// it was answered.
   bool TryAnswer(const net::HttpCallPtr& call);
-  void Wake();
-  /// Ends the watches that nothing changed for.
+  void AnswerChangedWatches();
+  /// Answers all pending watches without changes.
   void EndWatches();
 
   net::HttpServer server_;
-  kernel::EventWatcher watch_end_;
+  kernel::EventWatcher watch_end_timer_;
   std::map<std::string, Item> items_;
   std::list<net::HttpCallPtr> watches_;
   std::uint64_t revision_ = 100;
-  bool away_ = false;
-  bool silent_ = false;
+  bool is_unavailable_ = false;
+  bool is_silent_ = false;
   int unanswered_ = 0;
-  int calls_ = 0;
+  int call_count_ = 0;
   std::chrono::milliseconds last_wait_{};
 };
 
-/// Routes of host `h` to the service `all`: `/read/` may run twice, `/once/`
-/// may not; streams of `/talk/` go on elsewhere, those of `/tell/` don't. The
-/// account `t` holds the keys `k1` and `k2`.
-routing::RouteTable StandardTable();
+/// Routes of host `h` to the service `all`. Requests to `/read/` are
+/// idempotent, those to `/once/` are not; streams of `/talk/` can be resumed at
+/// another endpoint, those of `/tell/` can't. The account `t` holds the keys
+/// `k1` and `k2`.
+routing::RouteTable MakeRouteTable();
 
-/// A request of a caller that waits `wait_ms`.
-struct Ask {
+/// A request of a caller. The caller waits `timeout_ms` for its answer.
+struct TestRequest {
   std::string path;
   std::string id = "r";
   std::string body = "";
   std::string key = "k1";
-  int wait_ms = 8000;
+  int timeout_ms = 8000;
 };
-std::string RequestBytes(const Ask& ask);
+std::string FormatRequest(const TestRequest& request);
 
-/// All of it.
-class World {
+/// An event loop with a fake store, fake endpoints, nodes and callers.
+class TestEnvironment {
  public:
-  World();
-
-  /// Publishes a table under a version of its own.
-  void Publish(routing::RouteTable table = StandardTable());
-  /// Starts an endpoint of the service `all` and registers it.
-  Endpoint& AddEndpoint(const std::string& id, Endpoint::Handler handler,
-                        const std::string& zone = "a");
-  /// Registers what listens at `address`; `state`: `serving` or `leaving`.
-  /// A node alone sends two requests at a time to eight slots.
+  TestEnvironment();
+
+  /// Publishes a route table under the next version number.
+  void Publish(routing::RouteTable table = MakeRouteTable());
+  /// Starts an endpoint of the service `all` and registers it in the store.
+  FakeEndpoint& AddEndpoint(const std::string& id,
+                            FakeEndpoint::Handler handler,
+                            const std::string& zone = "a");
+  /// Registers an endpoint of the service `all` at `address`. `state` is
+  /// `serving` or `leaving`. With eight slots, a node without peers has at most
+  /// two requests in flight there.
   void Register(const std::string& id, const std::string& address,
                 const std::string& zone = "a",
                 const std::string& state = "serving", int slots = 8);
 
-  ProxyOptions OptionsOf(const std::string& node) const;
-  Proxy& Start(const ProxyOptions& options);
-  /// A node that knows the standard table and all endpoints so far.
-  Proxy& StartReady();
-  /// Ends a node at once, as when its process is killed.
-  void Kill(Proxy& proxy);
-
-  /// Turns the loop until `done` holds; fails the test when it never does.
-  void Until(const std::function<bool()>& done);
-  void Turn(std::chrono::milliseconds time);
-  void UntilKnown(Proxy& proxy, std::size_t endpoints);
-  /// Until the rules published last are in force.
-  void UntilRules(Proxy& proxy);
-  void MoveClock(std::chrono::milliseconds step) { ahead_ += step; }
-
-  /// Sends a request on a connection of its own, which stays open.
-  Wire& Send(Proxy& proxy, const Ask& ask);
-  /// A connection without a request.
-  Wire& Connect(const std::string& address, int receive_buffer = 0);
-  /// Sends it and waits for its answer or the connection's end.
-  Answer Get(Proxy& proxy, const Ask& ask);
-  /// What the answer tells.
-  std::string AskFor(Proxy& proxy, const Ask& ask);
+  ProxyOptions MakeOptions(const std::string& node) const;
+  Proxy& StartNode(const ProxyOptions& options);
+  /// Publishes the default route table and starts the node `n1`, which is ready
+  /// and knows all endpoints added so far.
+  Proxy& StartReadyNode();
+  /// Destroys a node at once, as when its process is killed.
+  void KillNode(Proxy& proxy);
+
+  /// Runs the loop until `done` returns true. Fails the test after 20 s.
+  void WaitUntil(const std::function<bool()>& done);
+  void RunLoopFor(std::chrono::milliseconds time);
+  /// Runs the loop until the node is ready and knows so many endpoints.
+  void WaitUntilReady(Proxy& proxy, std::size_t endpoints);
+  /// Runs the loop until the rules published last are in force at the node.
+  void WaitUntilRulesApplied(Proxy& proxy);
+  void AdvanceClock(std::chrono::milliseconds step) { clock_offset_ += step; }
+
+  /// Sends a request on a new connection and leaves the connection open.
+  TestConnection& SendRequest(Proxy& proxy, const TestRequest& request);
+  /// Opens a connection without sending a request.
+  TestConnection& Connect(const std::string& address, int receive_buffer = 0);
+  /// Sends a request and waits for its answer or the end of the connection.
+  Answer SendAndWait(Proxy& proxy, const TestRequest& request);
+  /// Sends a request, waits, and describes the answer; see `DescribeAnswer`.
+  std::string SendAndDescribe(Proxy& proxy, const TestRequest& request);
 
   kernel::Loop loop;
-  Store store;
+  FakeStore store;
 
  private:
-  std::chrono::nanoseconds ahead_{};
+  std::chrono::nanoseconds clock_offset_{};
   std::uint64_t version_ = 0;
-  kernel::EventWatcher wake_;
-  std::map<std::string, std::unique_ptr<Endpoint>> endpoints_;
-  std::list<std::unique_ptr<Wire>> wires_;
+  kernel::EventWatcher loop_timer_;
+  std::map<std::string, std::unique_ptr<FakeEndpoint>> endpoints_;
+  std::list<std::unique_ptr<TestConnection>> connections_;
   std::list<ProxyPtr> proxies_;
 };
 
--- a/proxy/tests/peers_test.cc
+++ b/proxy/tests/peers_test.cc
@@ -28,10 +28,10 @@
 // Stands between a node that connects and one that answers.
 class Relay {
  public:
-  Relay(et::World& world, const std::string& target)
-      : world_(world),
-        target_(target),
-        port_(world.loop, [this](auto wire) { Accept(std::move(wire)); }) {}
+  Relay(et::TestEnvironment& env, const std::string& target)
+      : env_(env), target_(target), port_(env.loop, [this](auto connection) {
+          Accept(std::move(connection));
+        }) {}
 
   const std::string& address() const { return port_.address(); }
   /// Ends the next connection on which so many bytes of answers came, before
@@ -41,7 +41,7 @@
     by_reset_ = by_reset;
   }
   /// Passes nothing on, and ends nothing, on connections that come now.
-  void SetSilent(bool silent) { silent_ = silent; }
+  void SetSilent(bool silent) { is_silent_ = silent; }
   /// The same on those that stand.
   void SilenceAll() {
     for (Pair& pair : pairs_) pair.silent = true;
@@ -55,18 +55,18 @@
 
  private:
   struct Pair {
-    std::unique_ptr<et::Wire> front;
-    std::unique_ptr<et::Wire> back;
+    std::unique_ptr<et::TestConnection> front;
+    std::unique_ptr<et::TestConnection> back;
     std::size_t front_passed = 0;
     std::size_t back_passed = 0;
     bool silent = false;
   };
 
-  void Accept(std::unique_ptr<et::Wire> wire) {
+  void Accept(std::unique_ptr<et::TestConnection> connection) {
     Pair& pair = pairs_.emplace_back();
-    pair.front = std::move(wire);
-    pair.silent = silent_;
-    pair.back = std::make_unique<et::Wire>(world_.loop, target_);
+    pair.front = std::move(connection);
+    pair.silent = is_silent_;
+    pair.back = std::make_unique<et::TestConnection>(env_.loop, target_);
     pair.front->OnChange([this, &pair] { Pass(pair); });
     pair.back->OnChange([this, &pair] { Pass(pair); });
   }
@@ -83,40 +83,42 @@
     PassOn(*pair.back, *pair.front, pair.back_passed);
   }
 
-  static void PassOn(const et::Wire& from, et::Wire& to, std::size_t& passed) {
+  static void PassOn(const et::TestConnection& from, et::TestConnection& to,
+                     std::size_t& passed) {
     const std::string_view received = from.received();
     to.Send(received.substr(passed));
     passed = from.received().size();
     if (from.ended()) to.Close();
   }
 
-  et::World& world_;
+  et::TestEnvironment& env_;
   std::string target_;
   std::size_t cut_at_ = 0;
   bool by_reset_ = false;
-  bool silent_ = false;
+  bool is_silent_ = false;
   std::list<Pair> pairs_;
-  et::Port port_;
+  et::TestListener port_;
 };
 
 }  // namespace
 
 TEST_GROUP(Peers) {
-  et::World world;
+  et::TestEnvironment env;
 
   std::string Directory(ep::Proxy & proxy) {
-    et::Wire& asker = world.Connect(ep::ViewOf(proxy).directory);
+    et::TestConnection& asker = env.Connect(ep::ViewOf(proxy).directory);
     asker.Send("GET /nodes/a HTTP/1.1\r\nHost: h\r\n\r\n");
-    world.Until([&asker] { return !et::Told(asker).empty(); });
-    return et::AnswersIn(asker.received())[0].body;
+    env.WaitUntil([&asker] { return !et::DescribeAnswer(asker).empty(); });
+    return et::ParseAnswers(asker.received())[0].body;
   }
 
   // A node that can't read the store and learns all from `seed`.
-  ep::Proxy& StartAt(const std::string& name, const std::string& seed) {
-    ep::ProxyOptions options = world.OptionsOf(name);
+  ep::Proxy& StartNodeWithSeed(const std::string& name,
+                               const std::string& seed) {
+    ep::ProxyOptions options = env.MakeOptions(name);
     options.store = "127.0.0.1:1";
     options.seeds = {seed};
-    return world.Start(options);
+    return env.StartNode(options);
   }
 };
 
@@ -125,26 +127,29 @@
 // any other, and callers notice nothing.
 TEST(Peers, AConnectionThatEndsUnderAnAnswerHarmsNeitherNode) {
   constexpr std::size_t kNote = std::size_t{4} << 20U;
-  world.AddEndpoint("e1", et::AnswersDone());
-  world.store.Put("note", Letters(kNote));
-  ep::Proxy& first = world.StartReady();
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  env.store.Put("note", Letters(kNote));
+  ep::Proxy& first = env.StartReadyNode();
   int started = 0;
   for (const std::size_t bytes : {1U, 1000U, 100'000U, 2'000'000U}) {
     for (const bool by_reset : {false, true}) {
-      Relay relay(world, ep::ViewOf(first).peers);
+      Relay relay(env, ep::ViewOf(first).peers);
       relay.CutAt(bytes, by_reset);
-      ep::Proxy& second =
-          StartAt("n" + std::to_string(2 + started++), relay.address());
-      world.Until([&relay] { return relay.has_cut(); });
-      STRCMP_EQUAL("200", world.AskFor(first, {.path = "/once/a"}).c_str());
-      world.Until(
+      ep::Proxy& second = StartNodeWithSeed("n" + std::to_string(2 + started++),
+                                            relay.address());
+      env.WaitUntil([&relay] { return relay.has_cut(); });
+      STRCMP_EQUAL("200",
+                   env.SendAndDescribe(first, {.path = "/once/a"}).c_str());
+      env.WaitUntil(
           [&relay] { return relay.connections() > 1 && relay.answered() > 0; });
-      world.UntilKnown(second, 1);
-      STRCMP_EQUAL("200", world.AskFor(second, {.path = "/once/b"}).c_str());
-      world.Publish();
-      world.UntilRules(second);
-      STRCMP_EQUAL("200", world.AskFor(first, {.path = "/once/c"}).c_str());
-      world.Kill(second);
+      env.WaitUntilReady(second, 1);
+      STRCMP_EQUAL("200",
+                   env.SendAndDescribe(second, {.path = "/once/b"}).c_str());
+      env.Publish();
+      env.WaitUntilRulesApplied(second);
+      STRCMP_EQUAL("200",
+                   env.SendAndDescribe(first, {.path = "/once/c"}).c_str());
+      env.KillNode(second);
     }
   }
 }
@@ -153,16 +158,16 @@
 // which in a large fleet it does several times a second.
 TEST(Peers, ANewConnectionCarriesNothingThatThePeerKnows) {
   constexpr std::size_t kNote = std::size_t{1} << 20U;
-  world.AddEndpoint("e1", et::AnswersDone());
-  world.store.Put("note", Letters(kNote));
-  ep::Proxy& first = world.StartReady();
-  Relay relay(world, ep::ViewOf(first).peers);
-  ep::Proxy& second = StartAt("n2", relay.address());
-  world.UntilKnown(second, 1);
-  world.UntilRules(second);
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  env.store.Put("note", Letters(kNote));
+  ep::Proxy& first = env.StartReadyNode();
+  Relay relay(env, ep::ViewOf(first).peers);
+  ep::Proxy& second = StartNodeWithSeed("n2", relay.address());
+  env.WaitUntilReady(second, 1);
+  env.WaitUntilRulesApplied(second);
   relay.CutAt(1, false);
-  world.Until([&relay] { return relay.has_cut(); });
-  world.Until(
+  env.WaitUntil([&relay] { return relay.has_cut(); });
+  env.WaitUntil(
       [&relay] { return relay.connections() > 1 && relay.answered() > 2000; });
   CHECK(relay.asked() < kNote / 10);
   CHECK(relay.answered() < kNote / 10);
@@ -172,80 +177,82 @@
 // answers. A node that waited for the answer would learn nothing through that
 // address again, and without the store serve nobody.
 TEST(Peers, APeerThatFellSilentIsAskedAgainOnAnotherConnection) {
-  world.AddEndpoint("e1", et::AnswersDone());
-  ep::Proxy& first = world.StartReady();
-  Relay relay(world, ep::ViewOf(first).peers);
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  ep::Proxy& first = env.StartReadyNode();
+  Relay relay(env, ep::ViewOf(first).peers);
   relay.SetSilent(true);
-  ep::Proxy& second = StartAt("n2", relay.address());
-  world.Until([&relay] { return relay.connections() == 1; });
-  STRCMP_EQUAL("503 no", world.AskFor(second, {.path = "/once/a"}).c_str());
+  ep::Proxy& second = StartNodeWithSeed("n2", relay.address());
+  env.WaitUntil([&relay] { return relay.connections() == 1; });
+  STRCMP_EQUAL("503 no",
+               env.SendAndDescribe(second, {.path = "/once/a"}).c_str());
   relay.SetSilent(false);
-  world.UntilKnown(second, 1);
+  env.WaitUntilReady(second, 1);
   LONGS_EQUAL(2, relay.connections());
-  STRCMP_EQUAL("200", world.AskFor(second, {.path = "/once/b"}).c_str());
+  STRCMP_EQUAL("200", env.SendAndDescribe(second, {.path = "/once/b"}).c_str());
 }
 
 // Guards against a fleet in which every restart of a node calls the store,
 // although its peers know all that is published.
 TEST(Peers, ANodeThatStartsLearnsFromItsPeersBeforeItAsksTheStore) {
-  world.AddEndpoint("e1", et::AnswersDone());
-  ep::Proxy& first = world.StartReady();
-  world.Turn(50ms);
-  const int calls = world.store.calls();
-  ep::ProxyOptions options = world.OptionsOf("n2");
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  ep::Proxy& first = env.StartReadyNode();
+  env.RunLoopFor(50ms);
+  const int calls = env.store.call_count();
+  ep::ProxyOptions options = env.MakeOptions("n2");
   options.seeds = {ep::ViewOf(first).peers};
-  ep::Proxy& second = world.Start(options);
-  world.UntilKnown(second, 1);
-  world.UntilRules(second);
-  LONGS_EQUAL(calls, world.store.calls());
-  STRCMP_EQUAL("200", world.AskFor(second, {.path = "/once/a"}).c_str());
+  ep::Proxy& second = env.StartNode(options);
+  env.WaitUntilReady(second, 1);
+  env.WaitUntilRulesApplied(second);
+  LONGS_EQUAL(calls, env.store.call_count());
+  STRCMP_EQUAL("200", env.SendAndDescribe(second, {.path = "/once/a"}).c_str());
 }
 
 // Guards against a node that waits for seeds that are gone.
 TEST(Peers, ANodeWhoseSeedsAreGoneAsksTheStore) {
-  world.AddEndpoint("e1", et::AnswersDone());
-  world.Publish();
-  ep::ProxyOptions options = world.OptionsOf("n1");
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  env.Publish();
+  ep::ProxyOptions options = env.MakeOptions("n1");
   options.seeds = {"127.0.0.1:1"};
   for (const bool is_new_fleet : {false, true}) {
     options.is_new_fleet = is_new_fleet;
-    ep::Proxy& proxy = world.Start(options);
-    world.UntilKnown(proxy, 1);
-    STRCMP_EQUAL("200", world.AskFor(proxy, {.path = "/once/a"}).c_str());
-    world.Kill(proxy);
+    ep::Proxy& proxy = env.StartNode(options);
+    env.WaitUntilReady(proxy, 1);
+    STRCMP_EQUAL("200",
+                 env.SendAndDescribe(proxy, {.path = "/once/a"}).c_str());
+    env.KillNode(proxy);
   }
 }
 
 // Guards against two nodes that start together and wait for each other.
 TEST(Peers, NodesThatStartTogetherAskTheStoreAtOnce) {
-  world.AddEndpoint("e1", et::AnswersDone());
-  world.Publish();
-  ep::ProxyOptions options = world.OptionsOf("n1");
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  env.Publish();
+  ep::ProxyOptions options = env.MakeOptions("n1");
   options.seeds = {"127.0.0.1:1"};
-  ep::Proxy& first = world.Start(options);
-  options = world.OptionsOf("n2");
+  ep::Proxy& first = env.StartNode(options);
+  options = env.MakeOptions("n2");
   options.seeds = {ep::ViewOf(first).peers};
-  ep::Proxy& second = world.Start(options);
-  world.UntilKnown(second, 1);
-  world.UntilKnown(first, 1);
+  ep::Proxy& second = env.StartNode(options);
+  env.WaitUntilReady(second, 1);
+  env.WaitUntilReady(first, 1);
 }
 
 // Guards against a reader that goes on waiting on a watch whose connection is
 // silent while its peers have the news.
 TEST(Peers, AWatchThatMissesWhatPeersTellIsOpenedAgain) {
-  world.AddEndpoint("e1", et::AnswersDone());
-  ep::Proxy& first = world.StartReady();
-  Relay relay(world, world.store.address());
-  ep::ProxyOptions options = world.OptionsOf("n2");
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  ep::Proxy& first = env.StartReadyNode();
+  Relay relay(env, env.store.address());
+  ep::ProxyOptions options = env.MakeOptions("n2");
   options.seeds = {ep::ViewOf(first).peers};
   options.store = relay.address();
-  ep::Proxy& second = world.Start(options);
-  world.UntilKnown(second, 1);
-  world.Until([&relay] { return relay.connections() == 2; });
+  ep::Proxy& second = env.StartNode(options);
+  env.WaitUntilReady(second, 1);
+  env.WaitUntil([&relay] { return relay.connections() == 2; });
   relay.SilenceAll();
-  world.AddEndpoint("e2", et::AnswersDone());
-  world.UntilKnown(second, 2);
-  world.Until([&relay] { return relay.connections() > 2; });
+  env.AddEndpoint("e2", et::AnswerImmediately());
+  env.WaitUntilReady(second, 2);
+  env.WaitUntil([&relay] { return relay.connections() > 2; });
   STRCMP_CONTAINS("egretladder_store_failures_total{feed=\"endpoints\"} 1",
                   ek::PrometheusText(ep::MetricsOf(second)).c_str());
 }
@@ -253,24 +260,24 @@
 // All other nodes are killed. The one that is left serves alone, names no
 // address at which nobody answers, and finds a node that starts.
 TEST(Peers, TheLastNodeServesAloneAndNamesOnlyItself) {
-  world.AddEndpoint("e1", et::AnswersDone());
-  ep::Proxy& last = world.StartReady();
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  ep::Proxy& last = env.StartReadyNode();
   const std::string seed = ep::ViewOf(last).peers;
-  ep::Proxy& second = StartAt("n2", seed);
-  ep::Proxy& third = StartAt("n3", seed);
-  world.UntilKnown(second, 1);
-  world.UntilKnown(third, 1);
-  world.Until([&last] { return ep::ViewOf(last).nodes == 3; });
-  world.Kill(second);
-  world.Kill(third);
-  world.Until([&last] { return ep::ViewOf(last).nodes == 1; });
+  ep::Proxy& second = StartNodeWithSeed("n2", seed);
+  ep::Proxy& third = StartNodeWithSeed("n3", seed);
+  env.WaitUntilReady(second, 1);
+  env.WaitUntilReady(third, 1);
+  env.WaitUntil([&last] { return ep::ViewOf(last).nodes == 3; });
+  env.KillNode(second);
+  env.KillNode(third);
+  env.WaitUntil([&last] { return ep::ViewOf(last).nodes == 1; });
   const std::string own = ep::ViewOf(last).callers + "\n";
   STRCMP_EQUAL(own.c_str(), Directory(last).c_str());
   CHECK(ep::ViewOf(last).ready_now);
-  STRCMP_EQUAL("200", world.AskFor(last, {.path = "/once/a"}).c_str());
-  ep::Proxy& again = StartAt("n2", seed);
-  world.UntilKnown(again, 1);
-  world.Until([&last] { return ep::ViewOf(last).nodes == 2; });
+  STRCMP_EQUAL("200", env.SendAndDescribe(last, {.path = "/once/a"}).c_str());
+  ep::Proxy& again = StartNodeWithSeed("n2", seed);
+  env.WaitUntilReady(again, 1);
+  env.WaitUntil([&last] { return ep::ViewOf(last).nodes == 2; });
   const std::string named = Directory(last);
   CHECK(named.find(ep::ViewOf(again).callers) != std::string::npos);
 }
--- a/proxy/tests/pipelined_test.cc
+++ b/proxy/tests/pipelined_test.cc
@@ -9,22 +9,22 @@
 namespace ep = egretladder::proxy;
 namespace et = egretladder::proxy::test;
 
-TEST_GROUP(Pipelined) { et::World world; };
+TEST_GROUP(Pipelined) { et::TestEnvironment env; };
 
 // A caller has sent a long request behind the one that runs, more than the node
 // reads ahead, and leaves. The node reads nothing of it meanwhile and has to
 // notice all the same: its endpoint would work on for nobody.
 TEST(Pipelined, ACallerThatLeavesWhileItIsNotReadIsNoticed) {
-  et::Endpoint& endpoint = world.AddEndpoint("e1", et::AnswersLater());
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = world.Connect(ep::ViewOf(proxy).callers);
+  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller = env.Connect(ep::ViewOf(proxy).callers);
   caller.Send(
-      et::RequestBytes({.path = "/read/a", .id = "r1", .wait_ms = 20'000}) +
-      et::RequestBytes(
+      et::FormatRequest({.path = "/read/a", .id = "r1", .timeout_ms = 20'000}) +
+      et::FormatRequest(
           {.path = "/read/b", .id = "r2", .body = std::string(300'000, 'x')}));
-  world.Until([&endpoint] { return endpoint.seen().size() == 1; });
-  world.Turn(100ms);
+  env.WaitUntil([&endpoint] { return endpoint.requests().size() == 1; });
+  env.RunLoopFor(100ms);
   caller.Reset();
-  world.Turn(500ms);
-  CHECK(endpoint.wires().at(0)->ended());
+  env.RunLoopFor(500ms);
+  CHECK(endpoint.connections().at(0)->ended());
 }
--- a/proxy/tests/slow_reader_test.cc
+++ b/proxy/tests/slow_reader_test.cc
@@ -32,7 +32,7 @@
   return events;
 }
 
-std::string EventsText(int from, int to) {
+std::string FormatEvents(int from, int to) {
   std::string events;
   for (int i = from; i <= to; ++i) {
     events += "id: " + std::to_string(i) + "\ndata: " + kData + "\n\n";
@@ -43,13 +43,13 @@
 }  // namespace
 
 TEST_GROUP(SlowReader) {
-  et::World world;
+  et::TestEnvironment env;
 
   // A caller with little room that has asked for a stream and takes nothing.
-  et::Wire& AskAndHold(ep::Proxy & proxy, const std::string& path) {
-    et::Wire& caller = world.Connect(ep::ViewOf(proxy).callers, 8192);
-    caller.Hold(true);
-    caller.Send(et::RequestBytes({.path = path, .wait_ms = 20'000}));
+  et::TestConnection& AskAndHold(ep::Proxy & proxy, const std::string& path) {
+    et::TestConnection& caller = env.Connect(ep::ViewOf(proxy).callers, 8192);
+    caller.PauseReading(true);
+    caller.Send(et::FormatRequest({.path = path, .timeout_ms = 20'000}));
     return caller;
   }
 };
@@ -58,48 +58,48 @@
 // to wait for it, and it gets each event once and in order.
 TEST(SlowReader, HoldsItsEndpointBackAndGetsAllEvents) {
   constexpr int kEvents = 12'000;
-  et::Endpoint& endpoint =
-      world.AddEndpoint("e1", [](const et::Served& served) {
-        served.Begin(1, 0);
+  et::FakeEndpoint& endpoint =
+      env.AddEndpoint("e1", [](const et::EndpointRequest& request) {
+        request.BeginStream(1, 0);
         for (int i = 1; i <= kEvents; ++i) {
-          served.wire->Send(et::EventBytes(i, kData));
+          request.connection->Send(et::FormatEventChunk(i, kData));
         }
-        served.wire->Send(et::kEventsEnd);
+        request.connection->Send(et::kLastChunk);
       });
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = AskAndHold(proxy, "/tell/a");
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller = AskAndHold(proxy, "/tell/a");
   for (int i = 0; i < 100; ++i) {
-    caller.TakeSome(4096);
-    world.Turn(2ms);
+    caller.ReadSome(4096);
+    env.RunLoopFor(2ms);
   }
-  CHECK(endpoint.wires().at(0)->unsent() > 0);
-  caller.Hold(false);
-  world.Until([&caller] {
-    return caller.received().ends_with(et::kEventsEnd) || caller.ended();
+  CHECK(endpoint.connections().at(0)->unsent_bytes() > 0);
+  caller.PauseReading(false);
+  env.WaitUntil([&caller] {
+    return caller.received().ends_with(et::kLastChunk) || caller.ended();
   });
-  const auto answers = et::AnswersIn(caller.received());
+  const auto answers = et::ParseAnswers(caller.received());
   LONGS_EQUAL(1, answers.size());
-  CHECK(answers[0].body == EventsText(1, kEvents));
+  CHECK(answers[0].body == FormatEvents(1, kEvents));
 }
 
 // A caller takes nothing of its stream any more, as behind a link that broke.
 // What the node reads of its endpoint stays in the node; some hundred such
 // callers cost it its memory unless it stops reading.
 TEST(SlowReader, WhatIsHeldForACallerThatTakesNothingDoesNotGrow) {
-  world.AddEndpoint("e1", [](const et::Served& served) {
-    served.Begin(1, 0);
+  env.AddEndpoint("e1", [](const et::EndpointRequest& request) {
+    request.BeginStream(1, 0);
     for (int i = 1; i <= 12'000; ++i) {
-      served.wire->Send(et::EventBytes(i, kData));
+      request.connection->Send(et::FormatEventChunk(i, kData));
     }
   });
-  ep::Proxy& proxy = world.StartReady();
+  ep::Proxy& proxy = env.StartReadyNode();
   AskAndHold(proxy, "/tell/a");
-  world.Until(
+  env.WaitUntil(
       [&proxy] { return UnsentOf(proxy) > ep::kMaxCallerBacklogBytes; });
   // The system takes some of it first.
-  world.Turn(500ms);
+  env.RunLoopFor(500ms);
   const std::size_t held = UnsentOf(proxy);
-  world.Turn(1200ms);
+  env.RunLoopFor(1200ms);
   LONGS_EQUAL(1, ep::ViewOf(proxy).calls);
   CHECK_COMPARE(UnsentOf(proxy), <=, held + kOneRead);
 }
@@ -108,40 +108,42 @@
 // catches up and waits; the stream goes on at another engine, as it would for a
 // caller that had read at once.
 TEST(SlowReader, AStreamThatStallsMeanwhileGoesOnElsewhere) {
-  const auto handler = [](const et::Served& served) {
-    served.Begin(1, 0);
-    if (served.after() == 0) return;
-    served.wire->Send(et::EventBytes(served.after() + 1, kData));
-    served.wire->Send(et::kEventsEnd);
+  const auto handler = [](const et::EndpointRequest& request) {
+    request.BeginStream(1, 0);
+    if (request.last_event_id() == 0) return;
+    request.connection->Send(
+        et::FormatEventChunk(request.last_event_id() + 1, kData));
+    request.connection->Send(et::kLastChunk);
   };
-  const et::Endpoint& first = world.AddEndpoint("e1", handler);
-  const et::Endpoint& second = world.AddEndpoint("e2", handler);
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = AskAndHold(proxy, "/talk/a");
-  world.Until([&] { return first.seen().size() + second.seen().size() == 1; });
-  const et::Served served =
-      (first.seen().empty() ? second : first).seen().at(0);
+  const et::FakeEndpoint& first = env.AddEndpoint("e1", handler);
+  const et::FakeEndpoint& second = env.AddEndpoint("e2", handler);
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller = AskAndHold(proxy, "/talk/a");
+  env.WaitUntil(
+      [&] { return first.requests().size() + second.requests().size() == 1; });
+  const et::EndpointRequest request =
+      (first.requests().empty() ? second : first).requests().at(0);
   int sent = 0;
   // The node has read all that the engine said when it falls silent.
-  world.Until([&] {
+  env.WaitUntil([&] {
     if (EventsOf(proxy) < sent) return false;
     if (UnsentOf(proxy) > ep::kMaxCallerBacklogBytes) return true;
-    served.wire->Send(et::EventBytes(++sent, kData));
+    request.connection->Send(et::FormatEventChunk(++sent, kData));
     return false;
   });
-  caller.Hold(false);
-  world.Until([&] {
+  caller.PauseReading(false);
+  env.WaitUntil([&] {
     return caller.received().find("id: " + std::to_string(sent)) !=
            std::string::npos;
   });
   const auto limit = std::chrono::steady_clock::now() + 4s;
-  world.Until([&] {
-    return !et::Told(caller).empty() ||
+  env.WaitUntil([&] {
+    return !et::DescribeAnswer(caller).empty() ||
            std::chrono::steady_clock::now() > limit;
   });
-  const auto answers = et::AnswersIn(caller.received());
+  const auto answers = et::ParseAnswers(caller.received());
   LONGS_EQUAL(1, answers.size());
-  CHECK(answers[0].body == EventsText(1, sent + 1));
+  CHECK(answers[0].body == FormatEvents(1, sent + 1));
 }
 
 // A caller stops reading for some seconds, as one whose link is away for a
@@ -150,13 +152,15 @@
 // of work that ran.
 TEST(SlowReader, ACallerThatPausesGetsTheRestOfItsAnswer) {
   const std::string body(7U << 20U, 'x');
-  world.AddEndpoint(
-      "e1", [&body](const et::Served& served) { served.Answer(200, body); });
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = AskAndHold(proxy, "/once/a");
-  world.Turn(6000ms);
-  caller.Hold(false);
-  world.Until(
-      [&caller] { return !et::Told(caller).empty() || caller.ended(); });
-  STRCMP_EQUAL("200", et::Told(caller).c_str());
+  env.AddEndpoint("e1", [&body](const et::EndpointRequest& request) {
+    request.Answer(200, body);
+  });
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller = AskAndHold(proxy, "/once/a");
+  env.RunLoopFor(6000ms);
+  caller.PauseReading(false);
+  env.WaitUntil([&caller] {
+    return !et::DescribeAnswer(caller).empty() || caller.ended();
+  });
+  STRCMP_EQUAL("200", et::DescribeAnswer(caller).c_str());
 }
--- a/proxy/tests/stop_begin_test.cc
+++ b/proxy/tests/stop_begin_test.cc
@@ -8,12 +8,12 @@
 namespace et = egretladder::proxy::test;
 
 TEST_GROUP(StopBegin) {
-  et::World world;
+  et::TestEnvironment env;
 
   // Callers that kept the node's address have let it go by then.
   void UntilMayEnd(const ep::Proxy& proxy) {
-    world.MoveClock(3300ms);
-    world.Until([&proxy] { return ep::CanShutDown(proxy); });
+    env.AdvanceClock(3300ms);
+    env.WaitUntil([&proxy] { return ep::CanShutDown(proxy); });
   }
 };
 
@@ -21,12 +21,14 @@
 // Requests that reach it are told that nothing ran, and it may end as any
 // other.
 TEST(StopBegin, BeforeTheRulesAreKnownRefusesAndEnds) {
-  world.store.SetSilent(true);
-  ep::Proxy& proxy = world.Start(world.OptionsOf("n1"));
+  env.store.SetSilent(true);
+  ep::Proxy& proxy = env.StartNode(env.MakeOptions("n1"));
   ep::Leave(proxy);
-  STRCMP_EQUAL("503 no", world.AskFor(proxy, {.path = "/once/a"}).c_str());
-  world.Turn(50ms);
-  STRCMP_EQUAL("503 no", world.AskFor(proxy, {.path = "/read/a"}).c_str());
+  STRCMP_EQUAL("503 no",
+               env.SendAndDescribe(proxy, {.path = "/once/a"}).c_str());
+  env.RunLoopFor(50ms);
+  STRCMP_EQUAL("503 no",
+               env.SendAndDescribe(proxy, {.path = "/read/a"}).c_str());
   CHECK_FALSE(ep::ViewOf(proxy).ready_now);
   UntilMayEnd(proxy);
 }
@@ -34,12 +36,12 @@
 // The rules come only after the stop began. A node that leaves must not call
 // itself ready because of them.
 TEST(StopBegin, RulesThatComeLaterMakeNoLeavingNodeReady) {
-  world.AddEndpoint("e1", et::AnswersDone());
-  ep::Proxy& proxy = world.Start(world.OptionsOf("n1"));
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  ep::Proxy& proxy = env.StartNode(env.MakeOptions("n1"));
   ep::Leave(proxy);
-  world.Publish();
-  world.UntilRules(proxy);
-  world.Until([&proxy] { return ep::ViewOf(proxy).endpoints == 1; });
+  env.Publish();
+  env.WaitUntilRulesApplied(proxy);
+  env.WaitUntil([&proxy] { return ep::ViewOf(proxy).endpoints == 1; });
   CHECK_FALSE(ep::ViewOf(proxy).ready_now);
   UntilMayEnd(proxy);
 }
@@ -49,45 +51,52 @@
 // that still come.
 TEST(StopBegin, DuringAnOutageOfTheStoreServesWhatItHas) {
   for (const bool silent : {false, true}) {
-    et::World outage;
-    et::Endpoint& endpoint = outage.AddEndpoint("e1", et::AnswersLater());
-    ep::Proxy& proxy = outage.StartReady();
-    et::Wire& begun = outage.Send(proxy, {.path = "/once/a", .id = "begun"});
-    outage.Until([&endpoint] { return endpoint.seen().size() == 1; });
-    silent ? outage.store.SetSilent(true) : outage.store.SetAway(true);
-    outage.Turn(100ms);
+    et::TestEnvironment local_env;
+    et::FakeEndpoint& endpoint =
+        local_env.AddEndpoint("e1", et::LeaveUnanswered());
+    ep::Proxy& proxy = local_env.StartReadyNode();
+    et::TestConnection& begun =
+        local_env.SendRequest(proxy, {.path = "/once/a", .id = "begun"});
+    local_env.WaitUntil(
+        [&endpoint] { return endpoint.requests().size() == 1; });
+    silent ? local_env.store.SetSilent(true)
+           : local_env.store.SetUnavailable(true);
+    local_env.RunLoopFor(100ms);
     ep::Leave(proxy);
-    et::Wire& late =
-        outage.Send(proxy, {.path = "/once/b", .id = "late", .wait_ms = 2000});
-    outage.Until([&endpoint] { return endpoint.seen().size() == 2; });
-    for (const et::Served& served : endpoint.seen()) {
-      served.Answer(200, "done");
+    et::TestConnection& late = local_env.SendRequest(
+        proxy, {.path = "/once/b", .id = "late", .timeout_ms = 2000});
+    local_env.WaitUntil(
+        [&endpoint] { return endpoint.requests().size() == 2; });
+    for (const et::EndpointRequest& request : endpoint.requests()) {
+      request.Answer(200, "done");
     }
-    outage.Until(
-        [&] { return !et::Told(begun).empty() && !et::Told(late).empty(); });
-    STRCMP_EQUAL("200", et::Told(begun).c_str());
-    STRCMP_EQUAL("200", et::Told(late).c_str());
+    local_env.WaitUntil([&] {
+      return !et::DescribeAnswer(begun).empty() &&
+             !et::DescribeAnswer(late).empty();
+    });
+    STRCMP_EQUAL("200", et::DescribeAnswer(begun).c_str());
+    STRCMP_EQUAL("200", et::DescribeAnswer(late).c_str());
     begun.Close();
     late.Close();
-    outage.MoveClock(3300ms);
-    outage.Until([&proxy] { return ep::CanShutDown(proxy); });
+    local_env.AdvanceClock(3300ms);
+    local_env.WaitUntil([&proxy] { return ep::CanShutDown(proxy); });
   }
 }
 
 // The node is told a second time that it is to stop. What is in progress is not
 // cut, and the node may end when it is done.
 TEST(StopBegin, ASecondTimeCutsNothing) {
-  et::Endpoint& endpoint = world.AddEndpoint("e1", et::AnswersLater());
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = world.Send(proxy, {.path = "/once/a"});
-  world.Until([&endpoint] { return endpoint.seen().size() == 1; });
+  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller = env.SendRequest(proxy, {.path = "/once/a"});
+  env.WaitUntil([&endpoint] { return endpoint.requests().size() == 1; });
   ep::Leave(proxy);
-  world.Turn(20ms);
+  env.RunLoopFor(20ms);
   ep::Leave(proxy);
   CHECK_FALSE(ep::CanShutDown(proxy));
-  endpoint.seen()[0].Answer(200, "done");
-  world.Until([&caller] { return !et::Told(caller).empty(); });
-  STRCMP_EQUAL("200", et::Told(caller).c_str());
+  endpoint.requests()[0].Answer(200, "done");
+  env.WaitUntil([&caller] { return !et::DescribeAnswer(caller).empty(); });
+  STRCMP_EQUAL("200", et::DescribeAnswer(caller).c_str());
   caller.Close();
   UntilMayEnd(proxy);
 }
@@ -97,15 +106,15 @@
 // the grace is over since the first time: counted from the second, the node
 // would be killed with its requests.
 TEST(StopBegin, ASecondTimeDoesNotPutOffTheEnd) {
-  et::Endpoint& endpoint = world.AddEndpoint("e1", et::AnswersLater());
-  ep::Proxy& proxy = world.StartReady();
-  world.Send(proxy, {.path = "/once/a", .wait_ms = 20'000});
-  world.Until([&endpoint] { return endpoint.seen().size() == 1; });
+  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
+  ep::Proxy& proxy = env.StartReadyNode();
+  env.SendRequest(proxy, {.path = "/once/a", .timeout_ms = 20'000});
+  env.WaitUntil([&endpoint] { return endpoint.requests().size() == 1; });
   ep::Leave(proxy);
-  world.MoveClock(world.OptionsOf("n1").grace / 2);
-  world.Turn(20ms);
+  env.AdvanceClock(env.MakeOptions("n1").grace / 2);
+  env.RunLoopFor(20ms);
   ep::Leave(proxy);
-  world.MoveClock(world.OptionsOf("n1").grace / 2 - 100ms);
-  world.Turn(100ms);
+  env.AdvanceClock(env.MakeOptions("n1").grace / 2 - 100ms);
+  env.RunLoopFor(100ms);
   CHECK(ep::CanShutDown(proxy));
 }
--- a/proxy/tests/stop_end_test.cc
+++ b/proxy/tests/stop_end_test.cc
@@ -42,11 +42,11 @@
 }  // namespace
 
 TEST_GROUP(StopEnd) {
-  et::World world;
+  et::TestEnvironment env;
 
   // As the program does at one of its looks.
   void EndIfItMay(ep::Proxy & proxy) {
-    if (ep::CanShutDown(proxy)) world.Kill(proxy);
+    if (ep::CanShutDown(proxy)) env.KillNode(proxy);
   }
 };
 
@@ -55,18 +55,21 @@
 // has ended its calls, and ends the process: the caller sees a connection that
 // closes, though there was time to tell it that the outcome is unknown.
 TEST(StopEnd, AProcessThatStoodStillTellsItsCallersBeforeItEnds) {
-  const et::Endpoint& endpoint = world.AddEndpoint("e1", et::AnswersLater());
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = world.Send(proxy, {.path = "/once/a", .wait_ms = 20'000});
-  world.Until([&endpoint] { return endpoint.seen().size() == 1; });
+  const et::FakeEndpoint& endpoint =
+      env.AddEndpoint("e1", et::LeaveUnanswered());
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller =
+      env.SendRequest(proxy, {.path = "/once/a", .timeout_ms = 20'000});
+  env.WaitUntil([&endpoint] { return endpoint.requests().size() == 1; });
   ep::Leave(proxy);
-  world.Turn(20ms);
-  world.MoveClock(world.OptionsOf("n1").grace - 180ms);
-  world.Until([&proxy] { return ep::CanShutDown(proxy); });
-  world.Kill(proxy);
-  world.Until(
-      [&caller] { return !et::Told(caller).empty() || caller.ended(); });
-  STRCMP_EQUAL("502 unknown", et::Told(caller).c_str());
+  env.RunLoopFor(20ms);
+  env.AdvanceClock(env.MakeOptions("n1").grace - 180ms);
+  env.WaitUntil([&proxy] { return ep::CanShutDown(proxy); });
+  env.KillNode(proxy);
+  env.WaitUntil([&caller] {
+    return !et::DescribeAnswer(caller).empty() || caller.ended();
+  });
+  STRCMP_EQUAL("502 unknown", et::DescribeAnswer(caller).c_str());
 }
 
 // A caller on a slow link is still sending its order when callers no longer
@@ -74,38 +77,39 @@
 // connection that closes promises nothing: the caller may not send the order
 // again, though nothing of it ran.
 TEST(StopEnd, ACallerThatIsStillSendingIsToldThatNothingRan) {
-  world.AddEndpoint("e1", et::AnswersDone());
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = world.Connect(ep::ViewOf(proxy).callers);
-  const std::string bytes = et::RequestBytes(
-      {.path = "/once/a", .body = std::string(1000, 'x'), .wait_ms = 2000});
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller = env.Connect(ep::ViewOf(proxy).callers);
+  const std::string bytes = et::FormatRequest(
+      {.path = "/once/a", .body = std::string(1000, 'x'), .timeout_ms = 2000});
   ep::Leave(proxy);
-  world.MoveClock(kNoMoreTaken - 200ms);
+  env.AdvanceClock(kNoMoreTaken - 200ms);
   caller.Send(bytes.substr(0, 600));
-  world.Turn(50ms);
-  world.MoveClock(200ms);
-  world.Turn(150ms);
+  env.RunLoopFor(50ms);
+  env.AdvanceClock(200ms);
+  env.RunLoopFor(150ms);
   EndIfItMay(proxy);
   caller.Send(bytes.substr(600));
-  world.Until(
-      [&caller] { return !et::Told(caller).empty() || caller.ended(); });
-  STRCMP_EQUAL("503 no", et::Told(caller).c_str());
+  env.WaitUntil([&caller] {
+    return !et::DescribeAnswer(caller).empty() || caller.ended();
+  });
+  STRCMP_EQUAL("503 no", et::DescribeAnswer(caller).c_str());
 }
 
 // A whole request waits in a connection that the kernel has accepted while the
 // process's loop is late. The program looks first and ends the process: the
 // connection is reset, and the caller doesn't know whether its order ran.
 TEST(StopEnd, AWholeRequestThatIsNotReadYetIsToldThatNothingRan) {
-  world.AddEndpoint("e1", et::AnswersDone());
-  ep::Proxy& proxy = world.StartReady();
+  env.AddEndpoint("e1", et::AnswerImmediately());
+  ep::Proxy& proxy = env.StartReadyNode();
   ep::Leave(proxy);
-  world.Turn(20ms);
+  env.RunLoopFor(20ms);
   const int fd = SendAside(ep::ViewOf(proxy).callers,
-                           et::RequestBytes({.path = "/once/a"}));
+                           et::FormatRequest({.path = "/once/a"}));
   CHECK(fd >= 0);
-  world.MoveClock(kNoMoreTaken);
+  env.AdvanceClock(kNoMoreTaken);
   EndIfItMay(proxy);
-  world.Turn(200ms);
+  env.RunLoopFor(200ms);
   const std::string received = ReadAside(fd);
   close(fd);
   STRCMP_CONTAINS("503", received.c_str());
@@ -115,44 +119,48 @@
 // busy. It will be refused whatever becomes free; held until then, its caller
 // loses up to half of the time that its route promises.
 TEST(StopEnd, ARequestThatIsNotTakenIsRefusedWhileItWaits) {
-  const et::Endpoint& endpoint = world.AddEndpoint("e1", et::AnswersLater());
-  ep::Proxy& proxy = world.StartReady();
+  const et::FakeEndpoint& endpoint =
+      env.AddEndpoint("e1", et::LeaveUnanswered());
+  ep::Proxy& proxy = env.StartReadyNode();
   for (const char* id : {"r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8"}) {
-    world.Send(proxy, {.path = "/once/a", .id = id, .wait_ms = 20'000});
+    env.SendRequest(proxy, {.path = "/once/a", .id = id, .timeout_ms = 20'000});
   }
-  world.Until([&] {
-    return ep::ViewOf(proxy).waiting > 0 && endpoint.seen().size() == 2;
+  env.WaitUntil([&] {
+    return ep::ViewOf(proxy).waiting > 0 && endpoint.requests().size() == 2;
   });
   ep::Leave(proxy);
-  world.Turn(20ms);
-  world.MoveClock(3050ms);
-  const et::Wire& late = world.Send(
-      proxy, {.path = "/once/late", .id = "late", .wait_ms = 20'000});
-  world.Turn(250ms);
-  STRCMP_EQUAL("503 no", et::Told(late).c_str());
+  env.RunLoopFor(20ms);
+  env.AdvanceClock(3050ms);
+  const et::TestConnection& late = env.SendRequest(
+      proxy, {.path = "/once/late", .id = "late", .timeout_ms = 20'000});
+  env.RunLoopFor(250ms);
+  STRCMP_EQUAL("503 no", et::DescribeAnswer(late).c_str());
 }
 
 // A node that is alone stops and finishes what it has. Its directory goes on to
 // name its address, and callers that follow meet a closed port.
 TEST(StopEnd, ItsDirectoryNamesNoClosedPort) {
-  const et::Endpoint& endpoint = world.AddEndpoint("e1", et::AnswersLater());
-  ep::Proxy& proxy = world.StartReady();
-  world.Send(proxy, {.path = "/once/a", .wait_ms = 20'000});
-  world.Until([&endpoint] { return endpoint.seen().size() == 1; });
+  const et::FakeEndpoint& endpoint =
+      env.AddEndpoint("e1", et::LeaveUnanswered());
+  ep::Proxy& proxy = env.StartReadyNode();
+  env.SendRequest(proxy, {.path = "/once/a", .timeout_ms = 20'000});
+  env.WaitUntil([&endpoint] { return endpoint.requests().size() == 1; });
   ep::Leave(proxy);
-  world.MoveClock(kNoMoreTaken);
-  world.Turn(200ms);
+  env.AdvanceClock(kNoMoreTaken);
+  env.RunLoopFor(200ms);
   const ep::ProxyView view = ep::ViewOf(proxy);
-  et::Wire& asker = world.Connect(view.directory);
+  et::TestConnection& asker = env.Connect(view.directory);
   asker.Send("GET /nodes/a HTTP/1.1\r\nHost: h\r\n\r\n");
-  world.Until([&asker] { return !et::Told(asker).empty() || asker.ended(); });
-  const std::string named = et::AnswersIn(asker.received()).at(0).body;
+  env.WaitUntil(
+      [&asker] { return !et::DescribeAnswer(asker).empty() || asker.ended(); });
+  const std::string named = et::ParseAnswers(asker.received()).at(0).body;
   if (named.find(view.callers) == std::string::npos) return;
-  et::Wire& caller = world.Connect(view.callers);
-  caller.Send(et::RequestBytes({.path = "/once/b", .id = "b"}));
-  world.Until(
-      [&caller] { return !et::Told(caller).empty() || caller.ended(); });
-  STRCMP_EQUAL("503 no", et::Told(caller).c_str());
+  et::TestConnection& caller = env.Connect(view.callers);
+  caller.Send(et::FormatRequest({.path = "/once/b", .id = "b"}));
+  env.WaitUntil([&caller] {
+    return !et::DescribeAnswer(caller).empty() || caller.ended();
+  });
+  STRCMP_EQUAL("503 no", et::DescribeAnswer(caller).c_str());
 }
 
 // A caller on a slow link has not taken its answer, which waits in the kernel
@@ -160,21 +168,22 @@
 // switched off: the caller loses an answer of work that ran.
 TEST(StopEnd, AnAnswerThatWaitsInTheKernelIsNotTakenYet) {
   const std::string body(100'000, 'x');
-  world.AddEndpoint(
-      "e1", [&body](const et::Served& served) { served.Answer(200, body); });
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = world.Connect(ep::ViewOf(proxy).callers, 8192);
-  caller.Hold(true);
-  caller.Send(et::RequestBytes({.path = "/once/a"}));
-  world.Until([&proxy] { return ep::ViewOf(proxy).calls == 1; });
-  world.Until([&proxy] {
+  env.AddEndpoint("e1", [&body](const et::EndpointRequest& request) {
+    request.Answer(200, body);
+  });
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller = env.Connect(ep::ViewOf(proxy).callers, 8192);
+  caller.PauseReading(true);
+  caller.Send(et::FormatRequest({.path = "/once/a"}));
+  env.WaitUntil([&proxy] { return ep::ViewOf(proxy).calls == 1; });
+  env.WaitUntil([&proxy] {
     const ep::ProxyView view = ep::ViewOf(proxy);
     return view.calls == 0 && view.undelivered == 0;
   });
   ep::Leave(proxy);
-  world.MoveClock(kNoMoreTaken);
-  world.Turn(150ms);
-  CHECK(caller.waiting() < body.size());
+  env.AdvanceClock(kNoMoreTaken);
+  env.RunLoopFor(150ms);
+  CHECK(caller.unread_bytes() < body.size());
   CHECK_FALSE(ep::CanShutDown(proxy));
 }
 
@@ -182,40 +191,43 @@
 // counts the grace from the signal; counted from the end of the pause, the
 // process is killed before it has told its callers anything.
 TEST(StopEnd, ASignalDuringAPauseCountsFromThePause) {
-  const et::Endpoint& endpoint = world.AddEndpoint("e1", et::AnswersLater());
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = world.Send(proxy, {.path = "/once/a", .wait_ms = 20'000});
-  world.Until([&endpoint] { return endpoint.seen().size() == 1; });
-  world.MoveClock(2000ms);
+  const et::FakeEndpoint& endpoint =
+      env.AddEndpoint("e1", et::LeaveUnanswered());
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller =
+      env.SendRequest(proxy, {.path = "/once/a", .timeout_ms = 20'000});
+  env.WaitUntil([&endpoint] { return endpoint.requests().size() == 1; });
+  env.AdvanceClock(2000ms);
   ep::Leave(proxy);
-  world.Turn(20ms);
-  world.MoveClock(world.OptionsOf("n1").grace - 2000ms - 500ms);
-  world.Turn(300ms);
-  STRCMP_EQUAL("502 unknown", et::Told(caller).c_str());
+  env.RunLoopFor(20ms);
+  env.AdvanceClock(env.MakeOptions("n1").grace - 2000ms - 500ms);
+  env.RunLoopFor(300ms);
+  STRCMP_EQUAL("502 unknown", et::DescribeAnswer(caller).c_str());
 }
 
 // Orders take five seconds at their endpoint, which is idle. One that comes
 // when the node has four left is cut in the middle, and its caller doesn't know
 // whether it ran; refused as not run, it would be served by another node.
 TEST(StopEnd, AnOrderThatItsGraceCantHoldIsRefused) {
-  const et::Endpoint& endpoint = world.AddEndpoint("e1", et::AnswersLater());
-  ep::Proxy& proxy = world.StartReady();
+  const et::FakeEndpoint& endpoint =
+      env.AddEndpoint("e1", et::LeaveUnanswered());
+  ep::Proxy& proxy = env.StartReadyNode();
   for (std::size_t i = 0; i < 20; ++i) {
-    et::Wire& caller =
-        world.Send(proxy, {.path = "/once/a", .wait_ms = 20'000});
-    world.Until([&] { return endpoint.seen().size() == i + 1; });
-    world.MoveClock(5000ms);
-    endpoint.seen()[i].Answer(200, "done");
-    world.Until([&caller] { return !et::Told(caller).empty(); });
-    STRCMP_EQUAL("200", et::Told(caller).c_str());
+    et::TestConnection& caller =
+        env.SendRequest(proxy, {.path = "/once/a", .timeout_ms = 20'000});
+    env.WaitUntil([&] { return endpoint.requests().size() == i + 1; });
+    env.AdvanceClock(5000ms);
+    endpoint.requests()[i].Answer(200, "done");
+    env.WaitUntil([&caller] { return !et::DescribeAnswer(caller).empty(); });
+    STRCMP_EQUAL("200", et::DescribeAnswer(caller).c_str());
     caller.Close();
   }
   ep::Leave(proxy);
-  world.Turn(20ms);
-  world.MoveClock(2900ms);
-  const et::Wire& late = world.Send(
-      proxy, {.path = "/once/late", .id = "late", .wait_ms = 20'000});
-  world.Turn(100ms);
-  LONGS_EQUAL(20, endpoint.seen().size());
-  STRCMP_EQUAL("503 no", et::Told(late).c_str());
+  env.RunLoopFor(20ms);
+  env.AdvanceClock(2900ms);
+  const et::TestConnection& late = env.SendRequest(
+      proxy, {.path = "/once/late", .id = "late", .timeout_ms = 20'000});
+  env.RunLoopFor(100ms);
+  LONGS_EQUAL(20, endpoint.requests().size());
+  STRCMP_EQUAL("503 no", et::DescribeAnswer(late).c_str());
 }
