--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -16,7 +16,7 @@
 constexpr int kUnavailable = 503;
 
 void PassOn(Proxy& proxy, const CallPtr& call, const Attempt& attempt) {
-  call->caller->OnGone(nullptr);
+  call->caller->OnDisconnect(nullptr);
   call->caller->Answer(attempt.head.status, attempt.head.reason,
                        FieldsToForward(attempt.head.fields), attempt.body);
   call->succeeded = IsSuccess(attempt.head.status);
@@ -86,7 +86,7 @@
       return;
     case NextStep::kPassOn:
       if (attempt->is_event_stream) {
-        call->caller->OnGone(nullptr);
+        call->caller->OnDisconnect(nullptr);
         call->caller->End();
         call->succeeded = true;
         routing::OnStreamEnded(
@@ -107,7 +107,7 @@
       RefuseCall(proxy, call, kBadGateway, "outcome_unknown", {});
       return;
     case NextStep::kBreakOff:
-      call->caller->Break();
+      call->caller->Abort();
       EndCall(proxy, call, "broke-off");
       return;
   }
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -285,8 +285,8 @@
   const net::HttpRequest& request = call.caller->request();
   const bool has_no_body =
       request.body.empty() &&
-      net::CountOf(request.fields, "Content-Length") == 0 &&
-      net::CountOf(request.fields, "Transfer-Encoding") == 0;
+      net::CountFields(request.fields, "Content-Length") == 0 &&
+      net::CountFields(request.fields, "Transfer-Encoding") == 0;
   net::ExchangeRequest exchange;
   exchange.address = call.attempt->endpoint->entry.address;
   exchange.head = net::FormatRequestHead(
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -152,8 +152,8 @@
   const routing::RouteTable& rules = *proxy.rules;
   const net::HttpRequest& request = caller->request();
   RoutedRequest routed;
-  routed.route = routing::FindRoute(rules, net::ValueOf(request.fields, "Host"),
-                                    request.target);
+  routed.route = routing::FindRoute(
+      rules, net::FirstFieldValue(request.fields, "Host"), request.target);
   if (routed.route == nullptr) {
     Reject(proxy, caller, kNotFound, "unknown_route", "no route matches", {});
     return std::nullopt;
@@ -181,7 +181,7 @@
 void RefuseOrAbort(Proxy& proxy, const CallPtr& call, const char* code,
                    milliseconds retry_after) {
   if (call->caller->begun()) {
-    call->caller->Break();
+    call->caller->Abort();
     EndCall(proxy, call, "broke-off");
     return;
   }
@@ -228,7 +228,7 @@
   proxy.calls.emplace(call->number, call);
   routing::OnRequest(proxy.retry_budgets[call->service->name],
                      proxy.options.retries, call->arrived_at);
-  caller->OnGone([&proxy, call] { OnCallerGone(proxy, call); });
+  caller->OnDisconnect([&proxy, call] { OnCallerGone(proxy, call); });
   call->deadline_timer = kernel::RunAfter(
       *proxy.loop,
       std::chrono::ceil<milliseconds>(call->deadline - call->arrived_at) +
@@ -325,7 +325,7 @@
   const bool sent = WasSent(*call);
   CancelAttempt(proxy, call);
   if (call->caller->begun()) {
-    call->caller->Break();
+    call->caller->Abort();
     EndCall(proxy, call, code);
     return;
   }
@@ -338,7 +338,7 @@
   if (proxy.calls.erase(call->number) == 0) return;
   call->deadline_timer = {};
   call->silence_timer = {};
-  call->caller->OnGone(nullptr);
+  call->caller->OnDisconnect(nullptr);
   proxy.body_bytes -= call->body_bytes;
   const Time now = NowOf(proxy);
   kernel::Observe(proxy.metrics, call->class_metrics->whole_answer,
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -116,8 +116,8 @@
   const auto calls = proxy->calls;
   for (const auto& [number, call] : calls) {
     CancelAttempt(*proxy, call);
-    call->caller->OnGone(nullptr);
-    call->caller->Break();
+    call->caller->OnDisconnect(nullptr);
+    call->caller->Abort();
   }
   for (StoreReader& reader : proxy->readers) net::Cancel(reader.exchange);
   delete proxy;
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -182,11 +182,12 @@
 }
 
 std::string EndpointRequest::id() const {
-  return std::string(net::ValueOf(http.fields, "X-Id"));
+  return std::string(net::FirstFieldValue(http.fields, "X-Id"));
 }
 
 int EndpointRequest::last_event_id() const {
-  return std::atoi(std::string(net::ValueOf(http.fields, "X-After")).c_str());
+  return std::atoi(
+      std::string(net::FirstFieldValue(http.fields, "X-After")).c_str());
 }
 
 void EndpointRequest::Answer(int status, const std::string& body) const {
@@ -364,15 +365,15 @@
 }
 
 std::string RequestId(const net::HttpRequest& request) {
-  return std::string(net::ValueOf(request.fields, "X-Id"));
+  return std::string(net::FirstFieldValue(request.fields, "X-Id"));
 }
 
 kernel::Result<RequestMetadata> ReadCall(const net::HttpRequest& request) {
   RequestMetadata metadata;
   metadata.id = RequestId(request);
-  metadata.key = net::ValueOf(request.fields, "X-Key");
+  metadata.key = net::FirstFieldValue(request.fields, "X-Key");
   metadata.deadline = milliseconds(std::atoi(
-      std::string(net::ValueOf(request.fields, "X-Wait-Ms")).c_str()));
+      std::string(net::FirstFieldValue(request.fields, "X-Wait-Ms")).c_str()));
   return metadata;
 }
 
@@ -385,11 +386,11 @@
 
 AnswerMetadata ReadAnswer(const net::HttpAnswerHead& head) {
   AnswerMetadata metadata;
-  metadata.id = net::ValueOf(head.fields, "X-Id");
-  metadata.not_run = net::CountOf(head.fields, "X-Not-Run") > 0;
-  metadata.sealed = net::CountOf(head.fields, "X-Seal") > 0;
+  metadata.id = net::FirstFieldValue(head.fields, "X-Id");
+  metadata.not_run = net::CountFields(head.fields, "X-Not-Run") > 0;
+  metadata.sealed = net::CountFields(head.fields, "X-Seal") > 0;
   metadata.is_event_stream =
-      net::ValueOf(head.fields, "Content-Type") == "text/event-stream";
+      net::FirstFieldValue(head.fields, "Content-Type") == "text/event-stream";
   return metadata;
 }
 
