--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -221,7 +221,8 @@
     EndAttempt(proxy, call, ClassifyWholeAnswer(attempt), "");
     return;
   }
-  const bool is_complete = attempt.splitter.rest.empty() && call->events > 0;
+  const bool is_complete =
+      attempt.splitter.incomplete_event.empty() && call->events > 0;
   EndAttempt(proxy, call,
              is_complete ? AttemptOutcome::kSucceeded : AttemptOutcome::kBroken,
              is_complete ? "" : "the stream ended inside an event");
