--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -134,7 +134,7 @@
   ProxyPtr proxy(new Proxy);
   proxy->loop = &loop;
   proxy->options = options;
-  proxy->endpoints.off = options.disabled_mechanisms;
+  proxy->endpoints.disabled_mechanisms = options.disabled_mechanisms;
   proxy->dialect = kernel::FindPlugin<Dialect>(options.dialect);
   if (proxy->dialect == nullptr) {
     return kernel::MakeError(kernel::ErrorCode::kInvalidInput, "start",
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -119,7 +119,7 @@
   if (phase < StopPhase::kFinishing) return;
   if (proxy.stopped_listening_at == Time{}) {
     proxy.caller_server->StopListening();
-    proxy.members.listens = false;
+    proxy.members.is_listening = false;
     proxy.stopped_listening_at = NowOf(proxy);
   }
   if (phase < StopPhase::kCutting) return;
