--- a/proxy/src/gossip_codec.cc
+++ b/proxy/src/gossip_codec.cc
@@ -178,7 +178,7 @@
   for (unsigned i = 0; i < pulses.size(); ++i) {
     const routing::MemberHeartbeat& pulse = gossip.pulses[i];
     pulses[i].setNode(pulse.node);
-    pulses[i].setLife(pulse.life);
+    pulses[i].setLife(pulse.short_incarnation);
     pulses[i].setHeartbeat(static_cast<std::uint32_t>(pulse.heartbeat));
     pulses[i].setLeaving(pulse.leaving);
     pulses[i].setStoreTroubled(pulse.store_troubled);
--- a/proxy/src/metrics.cc
+++ b/proxy/src/metrics.cc
@@ -104,7 +104,7 @@
            static_cast<double>(proxy.suspects.by_request.size()));
   SetGauge(proxy, "egretladder_endpoint_connections_opened",
            "Connections to endpoints and the store opened since the start.",
-           static_cast<double>(proxy.client->opened()));
+           static_cast<double>(proxy.client->connections_opened()));
   const routing::RetryBudgetFleet fleet = MakeRetryBudgetFleet(proxy);
   for (const auto& [service, share] : proxy.retry_budgets) {
     SetGauge(proxy, "egretladder_retries_left",
