--- a/proxy/include/egretladder/proxy/dialect.h
+++ b/proxy/include/egretladder/proxy/dialect.h
@@ -1,5 +1,6 @@
-// How one platform spells what the proxy reads and writes. A plug-in
-// translates; nothing else knows its names.
+// The interface of a platform's dialect: a plug-in that translates between the
+// proxy and the platform's store, headers and pages. Only the dialect knows the
+// platform's own names.
 #pragma once
 
 #include <chrono>
@@ -27,82 +28,93 @@
   std::uint64_t revision = 0;
 };
 
-/// What a caller's request says of itself.
+/// Metadata of a caller's request, from its headers.
 struct RequestMetadata {
-  std::string id;   ///< The caller's own, for logs and matching answers.
-  std::string key;  ///< Of its client account; empty: none.
-  std::optional<milliseconds> deadline;  ///< From now.
+  std::string id;   ///< Set by the caller; for logs and to match answers.
+  std::string key;  ///< Key of the client account; empty: none.
+  std::optional<milliseconds> deadline;  ///< From the arrival.
   std::vector<routing::PromptPart> parts;
   std::uint32_t prompt_tokens = 0;
-  std::string last_event_id;  ///< It wants to go on after this event.
+  std::string last_event_id;  ///< The caller resumes a stream after this event.
 };
 
-/// What the system itself says to an endpoint about a request.
+/// Metadata that the proxy adds when it forwards a request to an endpoint.
 struct ForwardMetadata {
-  std::string endpoint_id;   ///< Another process must not run it.
-  std::string account;       ///< Empty: none.
+  std::string endpoint_id;   ///< Any other process must refuse the request.
+  std::string account;       ///< Name of the client account; empty: none.
   milliseconds time_left{};  ///< Until the caller stops waiting.
   std::optional<std::uint8_t> priority;
-  std::string resume_after;  ///< Last event that the caller got.
+  std::string resume_after;  ///< Id of the last event that the caller got.
 };
 
-/// What an endpoint's answer says beside its status.
+/// Metadata of an endpoint's answer, from its status and headers.
 struct AnswerMetadata {
-  std::string id;        ///< Of the request that it answers; empty: not said.
-  bool not_run = false;  ///< The endpoint certainly did not run it.
-  bool sealed = false;   ///< Signed by the endpoint, as each success is.
-  bool encoded = false;  ///< The body isn't the endpoint's own bytes.
-  bool is_event_stream = false;  ///< The body is a stream of events.
-  /// Requests a second that the endpoint takes from all nodes together;
-  /// nothing: it names no limit.
+  std::string id;        ///< Id of the answered request; empty: not stated.
+  bool not_run = false;  ///< The endpoint certainly did not run the request.
+  bool sealed = false;   ///< Signed by the endpoint, as every success must be.
+  bool encoded = false;  ///< The body has a content encoding, so its bytes are
+                         ///< not the endpoint's own.
+  bool is_event_stream = false;
+  /// Requests per second that the endpoint accepts from all nodes together;
+  /// unset: the answer states no limit.
   std::optional<double> limit;
-  bool is_limit_invalid = false;  ///< It names one that can't be read.
+  bool is_limit_invalid = false;  ///< The stated limit can't be parsed.
 };
 
-/// The functions of one platform.
+/// The functions of one platform's dialect.
 struct Dialect {
   static constexpr std::string_view kKind = "dialect";
 
-  // --- What is published ---
+  // --- The store ---
 
-  /// Target of a read of one page of a feed, after `after` (empty: the first).
+  /// Request target that reads one page of a feed, beginning after the key
+  /// `after`; empty: the first page.
   std::string (*list_target)(routing::Feed feed, std::string_view after);
-  /// Target of a read that waits for changes after `revision`.
+  /// Request target that waits up to `wait` for changes after `revision`.
   std::string (*watch_target)(routing::Feed feed, std::uint64_t revision,
                               milliseconds wait);
+  /// Parses the answer to a list request.
   kernel::Result<StorePage> (*read_page)(const std::string& body);
+  /// Parses the answer to a watch request.
   kernel::Result<routing::Changes> (*read_changes)(routing::Feed feed,
                                                    const std::string& body);
-  /// True for the item that holds the routes.
+  /// Returns true for the key of the item that holds the route table.
   bool (*is_rules_key)(std::string_view key);
-  /// The zone that an item takes out; empty: none.
+  /// Returns the zone that the item with this key takes out of service; empty:
+  /// none.
   std::string (*zone_out)(std::string_view key);
-  /// Reads the routes. Fails as a whole on anything unclear.
+  /// Parses the route table. Any invalid part fails the whole table.
   kernel::Result<routing::RouteTablePtr> (*read_rules)(
       const std::string& value);
-  /// The endpoint's name in a key.
+  /// Returns the endpoint id that a key contains.
   std::string (*endpoint_id)(std::string_view key);
+  /// Parses an endpoint's entry.
   kernel::Result<routing::EndpointEntry> (*read_endpoint)(
       const routing::Item& item);
 
   // --- Requests and answers ---
 
-  /// The caller's id of a request that may be anything; empty: none.
+  /// Returns the request id that the caller set; empty if it has none. The
+  /// request need not be valid.
   std::string (*request_id)(const net::HttpRequest& request);
-  /// Fails on a request that no endpoint may get.
+  /// Parses the metadata of a request. Fails if the request must not be
+  /// forwarded to any endpoint.
   kernel::Result<RequestMetadata> (*read_call)(const net::HttpRequest& request);
-  /// The fields that an endpoint gets.
+  /// Returns the header fields of the forwarded request.
   net::HttpFields (*endpoint_fields)(const net::HttpRequest& request,
-                                     const ForwardMetadata& facts);
+                                     const ForwardMetadata& metadata);
+  /// Parses the metadata of an endpoint's answer.
   AnswerMetadata (*read_answer)(const net::HttpAnswerHead& head);
 
-  // --- Callers that ask for addresses ---
+  // --- Pages of the node ---
 
-  /// True for a request for addresses, and the caller's zone.
+  /// Returns true for a request for the addresses of nodes, and stores the
+  /// caller's zone in `zone`.
   bool (*is_directory_request)(std::string_view target, std::string* zone);
+  /// Formats the directory page. Callers may keep the addresses for `keep_for`.
   std::string (*directory_body)(const std::vector<std::string>& addresses,
                                 milliseconds keep_for);
-  /// True for a request whether this node is ready.
+  /// Returns true for a request for the node's readiness.
   bool (*is_readiness_request)(std::string_view target);
 };
 
--- a/proxy/include/egretladder/proxy/limits.h
+++ b/proxy/include/egretladder/proxy/limits.h
@@ -1,4 +1,4 @@
-// Limits of the proxy that are not settings: unit, and where each comes from.
+// Limits and timeouts of the proxy that are not settings.
 #pragma once
 
 #include <chrono>
@@ -11,115 +11,132 @@
 
 // --- The platform's store ---
 
-/// How long a watch may wait for changes. A connection may fall silent without
-/// a reset: what the node knows is then older than it thinks by this and
-/// `kWatchMargin` at most. Shorter costs calls, which are counted.
+/// How long a watch asks the store to wait for changes. A connection may fall
+/// silent without a reset. The node's data is then stale without its knowledge
+/// for up to this time plus `kWatchTimeoutMargin`. A shorter wait costs more
+/// calls, and the platform counts calls.
 inline constexpr milliseconds kWatchTimeout{5000};
-/// The same after a failed call. A change that came meanwhile has to be in
-/// force within seconds of the store's return.
+/// The wait for changes after a failed call. It is short because a change made
+/// during an outage must be in force within seconds of the store's return.
 inline constexpr milliseconds kWatchRetryTimeout{400};
-/// Beyond either, before the watch counts as lost.
+/// How long after the requested wait a watch without an answer counts as lost.
 inline constexpr milliseconds kWatchTimeoutMargin{800};
-/// After a watch that told of changes, before the next: more changes may come
-/// with it.
+/// Delay between a watch that returned changes and the next one. Changes often
+/// come in groups, and the next watch returns those made during the delay
+/// together.
 inline constexpr milliseconds kWatchBatchDelay{100};
-/// A watch that hasn't told this long what peers know is lost.
+/// A watch counts as lost when a peer sent changes this long ago that the watch
+/// has not returned.
 inline constexpr milliseconds kLostWatchTimeout{1000};
-/// A node that starts leaves its peers this long to tell what is published
-/// before it reads the store.
+/// How long a starting node waits for data from its peers before it reads the
+/// store.
 inline constexpr milliseconds kInitialStoreReadDelay{150};
-/// The same while the whole fleet starts for the first time, with no callers
-/// yet; nodes that are seeds read at once.
+/// The same delay for a node that is not a seed while the whole fleet starts
+/// for the first time. There are no callers yet, and seeds read the store at
+/// once.
 inline constexpr milliseconds kNewFleetStoreReadDelay{2000};
-/// A node that reads the store for the first time leaves it this long to answer
-/// before it asks a peer for the same.
+/// How long a node that reads the store for the first time waits for the
+/// store's answer before it fetches the same data from a peer.
 inline constexpr milliseconds kInitialPeerFetchDelay{300};
-/// For a read of one page.
+/// Timeout for reading one page of a list.
 inline constexpr milliseconds kListTimeout{2000};
-/// Wait after a failed call; doubles, jittered by half.
+/// Delay after the first failed call. It doubles with each further failure, and
+/// is randomized by up to half of it in either direction.
 inline constexpr milliseconds kInitialStoreBackoff{100};
-/// Longest such wait. Several nodes try, each at its own moment, and what one
-/// of them reads reaches the others: together they notice the store's return
-/// well within a second.
+/// Maximum delay after a failed call. Several nodes retry independently and
+/// share what they read, so that together they notice the store's return well
+/// within a second.
 inline constexpr milliseconds kMaxStoreBackoff{1600};
 
 // --- Calls ---
 
-/// Beyond a call's deadline, for the endpoint's own last word to arrive.
+/// How long after a call's deadline the node still waits for the endpoint's own
+/// final answer.
 inline constexpr milliseconds kDeadlineMargin{30};
-/// Between two looks at the requests that wait for an endpoint.
+/// Interval between two attempts to dispatch the calls that wait for an
+/// endpoint.
 inline constexpr milliseconds kQueuePollInterval{10};
-/// A silent endpoint is left for another one after this times the expected time
-/// to a first event, and the promised time at least: earlier, a mere queue
-/// would double the load.
+/// An endpoint that sends nothing is abandoned for another one after the
+/// expected time to the first event times this factor, but not before the
+/// route's target time. A shorter timeout would abandon endpoints that merely
+/// have a queue, and the retries would double the load.
 inline constexpr double kFirstEventTimeoutFactor = 2.5;
-/// For generations with short prompts, this part of the promised time: what is
-/// left is for the other endpoint, which is late for certain if the whole time
-/// is waited. Long prompts wait the whole time, since the second engine reads
-/// them anew.
+/// For generations with short prompts, the timeout is at least this part of the
+/// target time instead of all of it. The rest of the target time is for the
+/// other endpoint, which would certainly be late after the whole target time.
+/// Long prompts wait the whole target time, since a second engine has to
+/// prefill them again.
 inline constexpr double kShortPromptTargetRatio = 0.5;
-/// A stream that pauses for this times the longest pause in time, and
-/// `kStallLeast` at least, goes on elsewhere.
+/// A stream moves to another endpoint after a pause of the route's gap target
+/// times this factor, but not before `kMinStallTimeout`.
 inline constexpr double kStallTimeoutFactor = 4;
-/// As above.
+/// Minimum pause after which a stream moves to another endpoint.
 inline constexpr milliseconds kMinStallTimeout{1000};
-/// Largest answer that is held whole, in bytes.
+/// Maximum size of an answer that is buffered completely before it is
+/// forwarded.
 inline constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{8} << 20U;
-/// Unread output of one caller above which its endpoint is not read.
+/// When a caller has more unread output than this, the node stops reading from
+/// the endpoint.
 inline constexpr std::size_t kMaxCallerBacklogBytes = std::size_t{256} << 10U;
-/// Bodies of all calls in progress, as part of the memory that the node may
-/// use. The rest is for answers, connections and the program itself.
+/// Maximum size of the bodies of all calls in progress, as a part of the
+/// node's memory limit. The rest is for answers, connections and the program
+/// itself.
 inline constexpr double kBodyMemoryRatio = 0.3;
-/// Descriptors kept from callers, for endpoints, peers and files.
+/// File descriptors that are reserved for endpoints, peers and files, and not
+/// available for connections of callers.
 inline constexpr std::size_t kReservedDescriptors = 1200;
 
 // --- The node ---
 
-/// Times as long as told that some callers keep the list of addresses.
+/// Some callers keep the list of addresses for this multiple of the time that
+/// the directory states.
 inline constexpr int kDirectoryTtlFactor = 3;
-/// After that, for what callers sent last to arrive at a node that stops.
+/// How long a stopping node waits for the callers' last requests to arrive
+/// after no caller should have its address any more.
 inline constexpr milliseconds kStopSettlePeriod{200};
-/// Before the end of the grace time, when requests in progress are ended and
-/// told so. Their answers need time to reach callers.
+/// How long before the end of the grace period a stopping node ends the
+/// requests in progress. Their final answers need this time to reach callers.
 inline constexpr milliseconds kStopCutMargin{700};
-/// Before the end of the grace time, when the process ends itself. A loop that
-/// is late must not be killed first.
+/// How long before the end of the grace period the process exits. The margin
+/// keeps a process whose loop is late from being killed first.
 inline constexpr milliseconds kStopExitMargin{200};
-/// For the last answers of a process that was too late to end its calls in
-/// time.
+/// How long a process that ended its calls too late still runs to deliver their
+/// final answers.
 inline constexpr milliseconds kLastAnswersTimeout{50};
-/// When a caller should come back that is sent to another node.
+/// Retry delay for callers that a stopping node sends to another node.
 inline constexpr milliseconds kLeavingRetryDelay{20};
-/// Housekeeping, and how a pause of the process is noticed.
+/// Interval of the housekeeping tick, which also detects pauses of the process.
 inline constexpr milliseconds kTickInterval{100};
-/// Longer between two ticks: the process was paused.
+/// Minimum time between two ticks that means that the process was paused.
 inline constexpr milliseconds kMinProcessPause{700};
 
 // --- Metrics ---
 
-/// Classes with times of their own, each in four histograms of about 200
-/// bytes; the others share one.
+/// Maximum number of classes with histograms of their own. Each has four
+/// histograms of about 200 bytes; all other classes share one set.
 inline constexpr std::size_t kMaxMeasuredClasses = 256;
-/// Series of ended calls, by class, account, outcome and reason; about 300
-/// bytes each. 240 accounts with 5 classes and 3 outcomes take 3,600.
+/// Maximum number of series of ended calls by class, account, outcome and
+/// reason. A series takes about 300 bytes; 240 accounts with 5 classes and 3
+/// outcomes need 3,600 series.
 inline constexpr std::size_t kMaxCallSeries = 4096;
-/// Class under which the rest is counted.
+/// Label of the class that counts all classes beyond these limits.
 inline constexpr const char* kOtherClass = "other";
 
 // --- Peers ---
 
-/// An exchange unanswered for this long ends its connection.
+/// A connection to a peer is closed when a request on it has been unanswered
+/// for this long.
 inline constexpr milliseconds kExchangeTimeout{1000};
-/// A connection that ends this soon after it began was refused: nothing listens
-/// there.
+/// A connection that fails within this time after it was opened, without any
+/// answer, was refused: no process listens at the address.
 inline constexpr milliseconds kMaxRefusalTime{250};
-/// A connection to a peer without an exchange for this long is closed.
+/// A connection to a peer is closed after this long without a request.
 inline constexpr std::chrono::seconds kPeerIdleTimeout{30};
-/// Connections that peers may hold open here; each of the fleet's nodes holds
-/// one or two.
+/// Maximum number of connections that peers may open to this node. Each node of
+/// the fleet opens one or two.
 inline constexpr std::size_t kMaxPeerConnections = 512;
-/// Size of one message, in words of eight bytes: the store's largest value and
-/// the lists beside it.
+/// Maximum size of one message between nodes, in words of eight bytes. It holds
+/// the largest value of the store and the lists that come with it.
 inline constexpr std::uint64_t kMaxMessageWords = std::uint64_t{1} << 20U;
 
 }  // namespace egretladder::proxy
--- a/proxy/include/egretladder/proxy/settings.h
+++ b/proxy/include/egretladder/proxy/settings.h
@@ -1,4 +1,4 @@
-// The settings file of a proxy (INI).
+// The settings file (INI) of a proxy.
 #pragma once
 
 #include <string>
@@ -11,18 +11,20 @@
 
 namespace egretladder::proxy {
 
-/// What the binary needs besides the proxy's own options.
+/// The options of the proxy and those of the process that runs it.
 struct ProxyConfig {
   ProxyOptions proxy;
   kernel::LogLevel log_level = kernel::LogLevel::kInfo;
 };
 
-/// One line for each setting: section, key, what is expected, standard value.
+/// Returns one line per setting: section, key, expected value and default.
 std::string DescribeSettings();
 
-/// Checks the whole text; `faults` gets every fault found.
+/// Parses and validates the settings in `text`; `file` is named in errors.
+/// Returns the first error, and stores all errors in `errors` if it is not
+/// null.
 kernel::Result<ProxyConfig> ReadProxyConfig(
     const std::string& text, std::string_view file,
-    std::vector<kernel::Error>* faults = nullptr);
+    std::vector<kernel::Error>* errors = nullptr);
 
 }  // namespace egretladder::proxy
--- a/proxy/schema/exchange.capnp
+++ b/proxy/schema/exchange.capnp
@@ -1,66 +1,69 @@
-# What nodes that find each other through seeds tell each other. The values are
-# in routing/members.h and routing/catalog.h.
+# Messages between the nodes of a fleet: gossip about members, load and limits,
+# and the data of the platform's store. The values are explained in
+# routing/members.h and routing/catalog.h.
 @0xb7d2f1c04e8a9635;
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("egretladder::exchange");
 
 interface Peer {
-  # Both sides tell what they know, in one round trip.
+  # Exchanges gossip: both sides send what they know, in one round trip.
   exchange @0 (news :News) -> (news :News);
 
-  # What the asked node has of a feed beyond a revision. Busy: nothing is sent,
-  # another peer may have it.
+  # Returns the changes of a feed after a revision. If `busy` is true, nothing is
+  # sent, and another peer may have the changes.
   fetch @1 (feed :UInt8, after :UInt64) -> (busy :Bool, packed :PackedChanges);
 
-  # The sender has news, which may be fetched from it.
+  # Announces up to which revisions the sender has the feeds; the changes can be
+  # fetched from it.
   announce @2 (peers :Text, zone :Text, progress :List(Progress));
 }
 
 struct PackedChanges {
-  # A message whose root is `Changes`, compressed (Zstandard, with checksum).
+  # A serialized message with the root `Changes`, compressed with Zstandard and
+  # with a checksum.
   bytes @0 :Data;
-  # Size of the message.
+  # Size of the message before compression, in bytes.
   unpacked @1 :UInt32;
 }
 
 struct News {
   members @0 :List(Member);
-  # Not sent any more.
+  # No longer sent.
   retired1 @1 :List(UInt64);
-  # Not sent any more.
+  # No longer sent.
   retired2 @2 :List(Changes);
   loads @3 :List(Load);
   retired4 @4 :Bool;
-  # Requests under which connections broke.
+  # Requests during which connections broke.
   suspects @5 :List(Suspect);
-  # Of members that the other side knows.
+  # Heartbeats of members that the other side knows.
   pulses @6 :List(Pulse);
-  # Nodes of which the sender heard a pulse and doesn't know who they are.
+  # Nodes of which the sender got a pulse and lacks the description.
   unknown @7 :List(UInt32);
-  # The sender's figure of how many engines the requests of one node keep busy, on
-  # which nodes agree by averaging: tight streams, and long prompts.
+  # How many engines the requests of one node keep busy, for tight streams and
+  # for long prompts. Nodes agree on both figures by averaging.
   tightDemand @8 :Float32;
   restDemand @9 :Float32;
-  # How far the sender knows each feed, so that the other side can fetch what it
-  # lacks.
+  # Up to which revision the sender knows each feed, so that the other side can
+  # fetch the changes that it lacks.
   progress @10 :List(Progress);
-  # Limits that endpoints name.
+  # Rate limits that endpoints state.
   limits @11 :List(Limit);
 }
 
 struct Limit {
   endpoint @0 :Text;
-  # Requests a second from all nodes together; 0: it ended.
+  # Requests per second from all nodes together; 0: the limit ended.
   perSecond @1 :Float64;
-  # Since the endpoint said so.
+  # Time since the endpoint stated the limit.
   namedAgoMs @2 :UInt32;
 }
 
 struct Progress {
-  # All changes up to here.
+  # The sender knows all changes up to this revision.
   known @0 :UInt64;
-  # The last of them.
+  # Revision of the last of these changes.
   changed @1 :UInt64;
 }
 
@@ -79,7 +82,7 @@
 struct Pulse {
   # Low half of the hash of the node's name.
   node @0 :UInt32;
-  # Low half of its incarnation.
+  # Low half of the node's incarnation.
   life @1 :UInt32;
   heartbeat @2 :UInt32;
   leaving @3 :Bool;
@@ -91,8 +94,8 @@
   whole @1 :Bool;
   revision @2 :UInt64;
   items @3 :List(Item);
-  # The sender failed to read the store lately: removals that it tells of may be
-  # leases that nobody could renew.
+  # The sender recently failed to read the store, so that removals among the
+  # changes may be leases that could not be renewed.
   storeTroubled @4 :Bool;
 }
 
@@ -106,7 +109,8 @@
 struct Suspect {
   request @0 :UInt64;
   breaks @1 :List(Break);
-  # Longer than anything is remembered: never.
+  # Time since the request was last cleared. Longer than suspects are remembered:
+  # it never was.
   clearedAgoMs @2 :UInt32;
 }
 
@@ -116,7 +120,7 @@
   brokeAgoMs @2 :UInt32;
 }
 
-# Of the sender itself.
+# The sender's load at one endpoint.
 struct Load {
   endpoint @0 :Text;
   inFlight @1 :UInt32;
--- a/proxy/src/advertised_limits.cc
+++ b/proxy/src/advertised_limits.cc
@@ -1,4 +1,5 @@
-// Limits that endpoints name: from their answers, and from peers.
+// Rate limits that endpoints state in their answers, and their exchange with
+// peers.
 #include "egretladder/routing/advertised_limits.h"
 
 #include "gossip_codec_p.h"
--- a/proxy/src/answers.cc
+++ b/proxy/src/answers.cc
@@ -1,3 +1,4 @@
+// Answers of the node itself: errors, the directory, readiness and metrics.
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -1,4 +1,4 @@
-// What follows an attempt at an endpoint that ended.
+// The end of an attempt: records the outcome and decides what follows.
 #include <string>
 #include <utility>
 
@@ -15,7 +15,7 @@
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 
-void PassOn(Proxy& proxy, const CallPtr& call, const Attempt& attempt) {
+void ForwardAnswer(Proxy& proxy, const CallPtr& call, const Attempt& attempt) {
   call->caller->OnDisconnect(nullptr);
   call->caller->Answer(attempt.head.status, attempt.head.reason,
                        FieldsToForward(attempt.head.fields), attempt.body);
@@ -23,11 +23,12 @@
   EndCall(proxy, call, call->succeeded ? "answered" : "endpoint-failure");
 }
 
-// What the end says of the endpoint.
-void RecordEndpointResult(Proxy& proxy, const Call& call, AttemptOutcome end) {
+// Records what the outcome says about the endpoint.
+void RecordEndpointResult(Proxy& proxy, const Call& call,
+                          AttemptOutcome outcome) {
   routing::Endpoint& endpoint = *call.attempt->endpoint;
   const Time now = NowOf(proxy);
-  switch (end) {
+  switch (outcome) {
     case AttemptOutcome::kNotSent:
       routing::OnConnectFailed(endpoint, now);
       break;
@@ -53,19 +54,19 @@
   }
 }
 
-// What the end says of the request: one that crashes endpoints shows by breaks
-// at one after the other.
-void RecordSuspect(Proxy& proxy, Call& call, AttemptOutcome end) {
+// Records what the outcome says about the request. A request that crashes
+// endpoints shows as connections that break at one endpoint after the other.
+void RecordSuspect(Proxy& proxy, Call& call, AttemptOutcome outcome) {
   const Attempt& attempt = *call.attempt;
   const Time now = NowOf(proxy);
-  if (end == AttemptOutcome::kBroken) {
+  if (outcome == AttemptOutcome::kBroken) {
     routing::OnConnectionBroke(
         proxy.suspects, GetFingerprint(call),
         {kernel::HashBytes(attempt.endpoint->entry.id), attempt.sent_at, now});
     return;
   }
-  const bool has_run =
-      end == AttemptOutcome::kSucceeded || end == AttemptOutcome::kFailed;
+  const bool has_run = outcome == AttemptOutcome::kSucceeded ||
+                       outcome == AttemptOutcome::kFailed;
   if (has_run && !proxy.suspects.by_request.empty()) {
     routing::OnRequestRan(proxy.suspects, GetFingerprint(call), now);
   }
@@ -95,7 +96,7 @@
             Elapsed(call->first_event_at, NowOf(proxy)));
         EndCall(proxy, call, "answered");
       } else {
-        PassOn(proxy, call, *attempt);
+        ForwardAnswer(proxy, call, *attempt);
       }
       return;
     case NextStep::kRefuse:
@@ -113,11 +114,12 @@
   }
 }
 
-// What follows an attempt that ended, with room in the retry share taken where
-// it is sent again.
-NextStep ChooseNextStep(Proxy& proxy, const Call& call, AttemptOutcome end) {
+// Returns what follows an attempt that ended. Takes a retry from the budget if
+// the request is sent again.
+NextStep ChooseNextStep(Proxy& proxy, const Call& call,
+                        AttemptOutcome outcome) {
   routing::NextStepInput input;
-  input.end = end;
+  input.end = outcome;
   input.is_repeatable = routing::IsRouteRepeatable(*call.route);
   input.resumable = call.route->resumable && !call.last_event_id.empty();
   input.is_answer_started = call.caller->begun();
@@ -129,8 +131,8 @@
   const NextStep step = routing::DecideNextStep(input);
   const bool is_retry =
       step == NextStep::kSendAgain || step == NextStep::kResume;
-  // Impatience took its retry before it gave the attempt up.
-  if (!is_retry || end == AttemptOutcome::kSilent ||
+  // For a silent endpoint, `OnSilenceTimeout` has already taken the retry.
+  if (!is_retry || outcome == AttemptOutcome::kSilent ||
       call.delivered_attempts == 0)
     return step;
   if (TakeRetry(proxy, call)) {
@@ -140,15 +142,16 @@
   return routing::DecideNextStep(input);
 }
 
-void CountAttempt(Call& call, AttemptOutcome end,
+void CountAttempt(Call& call, AttemptOutcome outcome,
                   const routing::EndpointPtr& endpoint) {
-  if (end == AttemptOutcome::kNotSent) {
+  if (outcome == AttemptOutcome::kNotSent) {
     ++call.not_sent;
     return;
   }
   ++call.delivered_attempts;
-  if (routing::IsNotRun(end)) {
-    // It may come back there once the endpoint's own pause is over.
+  if (routing::IsNotRun(outcome)) {
+    // The endpoint stays eligible for later attempts, once the pause after its
+    // refusal is over.
     ++call.not_run;
   } else {
     ++call.may_have_run;
@@ -159,11 +162,11 @@
 }  // namespace
 
 net::HttpFields FieldsToForward(const net::HttpFields& fields) {
-  net::HttpFields passed;
+  net::HttpFields forwarded;
   for (const net::HttpField& field : fields) {
-    if (!net::IsHopByHopField(field.name)) passed.push_back(field);
+    if (!net::IsHopByHopField(field.name)) forwarded.push_back(field);
   }
-  return passed;
+  return forwarded;
 }
 
 bool TakeRetry(Proxy& proxy, const Call& call) {
@@ -180,24 +183,24 @@
   ReleaseEndpoint(call, *attempt);
 }
 
-void EndAttempt(Proxy& proxy, const CallPtr& call, AttemptOutcome end,
+void EndAttempt(Proxy& proxy, const CallPtr& call, AttemptOutcome outcome,
                 const std::string& detail) {
   if (call->attempt == nullptr) return;
   call->silence_timer = {};
-  RecordEndpointResult(proxy, *call, end);
-  RecordSuspect(proxy, *call, end);
+  RecordEndpointResult(proxy, *call, outcome);
+  RecordSuspect(proxy, *call, outcome);
   auto attempt = std::move(call->attempt);
   ReleaseEndpoint(call, *attempt);
-  CountAttempt(*call, end, attempt->endpoint);
-  const NextStep step = ChooseNextStep(proxy, *call, end);
+  CountAttempt(*call, outcome, attempt->endpoint);
+  const NextStep step = ChooseNextStep(proxy, *call, outcome);
   IncrementCounter(proxy, "egretladder_attempts_total",
-                   "Attempts ended, by how.",
-                   std::string("end=\"") + routing::NameOf(end) + "\"");
-  if (end != AttemptOutcome::kSucceeded) {
+                   "Attempts ended, by outcome.",
+                   std::string("end=\"") + routing::NameOf(outcome) + "\"");
+  if (outcome != AttemptOutcome::kSucceeded) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "attempt-ended",
                      {{"req", call->metadata.id},
                       {"endpoint", attempt->endpoint->entry.id},
-                      {"end", routing::NameOf(end)},
+                      {"end", routing::NameOf(outcome)},
                       {"status", attempt->head.status},
                       {"detail", detail},
                       {"ms", Elapsed(attempt->sent_at, NowOf(proxy))},
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -1,4 +1,4 @@
-// One attempt of a call at an endpoint: sending and reading.
+// Attempts of calls at endpoints: sends the request and reads the answer.
 #include <algorithm>
 
 #include "attempts_p.h"
@@ -14,11 +14,12 @@
 constexpr int kUnavailable = 503;
 constexpr int kMisdirected = 421;
 constexpr int kMinServerError = 500;
-// Endpoints tell ten steps apart.
+// Endpoints distinguish ten priorities, 0 to 9.
 constexpr std::uint8_t kLowestPriority = 9;
 
-// Statuses by which callers are told that nothing ran. From an endpoint they
-// promise that only beside its own word for it.
+// Returns true for the statuses by which this node tells callers that a request
+// has not run. An endpoint's answer with such a status is forwarded only if the
+// endpoint also states that it did not run the request.
 bool ImpliesNotRun(int status) {
   constexpr std::array<int, 4> kNotRunStatuses = {408, kMisdirected, 429,
                                                   kUnavailable};
@@ -79,7 +80,7 @@
   return net::HeadVerdict::kAccept;
 }
 
-// One sample of the engine's pace each few events.
+// Adds a sample to the engine's pace every `kEventsPerPaceSample` events.
 void RecordPace(Proxy& proxy, const Call& call, std::uint64_t events) {
   Attempt& attempt = *call.attempt;
   const Time now = NowOf(proxy);
@@ -113,8 +114,9 @@
   call.last_event_at = now;
 }
 
-// Whether the wait for this endpoint is worth ending: only work that may run
-// twice, with attempts, time and retries left.
+// Abandons an endpoint that has sent nothing for too long, if the call has an
+// attempt and the service a retry left. The timer is set only for calls that
+// may run twice.
 void OnSilenceTimeout(Proxy& proxy, const CallPtr& call) {
   if (call->attempt == nullptr) return;
   const bool has_attempts_left = call->may_have_run + 1 < call->route->attempts;
@@ -126,9 +128,9 @@
 }
 
 void StartSilenceTimer(Proxy& proxy, const CallPtr& call,
-                       milliseconds patience) {
+                       milliseconds timeout) {
   call->silence_timer = kernel::RunAfter(
-      *proxy.loop, patience, [&proxy, weak_call = std::weak_ptr<Call>(call)] {
+      *proxy.loop, timeout, [&proxy, weak_call = std::weak_ptr<Call>(call)] {
         if (const auto locked = weak_call.lock()) {
           OnSilenceTimeout(proxy, locked);
         }
@@ -154,10 +156,10 @@
   return std::max(max_pause, kMinStallTimeout);
 }
 
-// A caller that reads slowly holds back its endpoint, not this node: events
-// that it hasn't taken would pile up here, and some hundred such callers cost
-// the node its memory. Read on once it has taken all; until then its endpoint
-// can't be called silent.
+// Stops reading from the endpoint until the caller has received all that was
+// sent to it. Otherwise the events for slow callers pile up in this node, and a
+// few hundred such callers exhaust its memory. The endpoint does not count as
+// silent meanwhile.
 void PauseReading(Proxy& proxy, const CallPtr& call) {
   net::SetReading(call->attempt->exchange, false);
   call->silence_timer = {};
@@ -228,8 +230,8 @@
              is_complete ? "" : "the stream ended inside an event");
 }
 
-AttemptOutcome ClassifyExchangeError(net::ExchangeError fault) {
-  switch (fault) {
+AttemptOutcome ClassifyExchangeError(net::ExchangeError error) {
+  switch (error) {
     case net::ExchangeError::kNotConnected:
       return AttemptOutcome::kNotSent;
     case net::ExchangeError::kBroken:
@@ -314,9 +316,9 @@
     OnBody(proxy, call, piece);
   };
   handlers.on_end = [&proxy, call] { OnEnd(proxy, call); };
-  handlers.on_error = [&proxy, call](net::ExchangeError fault,
+  handlers.on_error = [&proxy, call](net::ExchangeError error,
                                      const std::string& detail) {
-    EndAttempt(proxy, call, ClassifyExchangeError(fault), detail);
+    EndAttempt(proxy, call, ClassifyExchangeError(error), detail);
   };
   return handlers;
 }
--- a/proxy/src/attempts_p.h
+++ b/proxy/src/attempts_p.h
@@ -1,4 +1,4 @@
-// What the files on attempts share.
+// Functions shared by the sources that run attempts.
 #pragma once
 
 #include "state_p.h"
@@ -7,10 +7,12 @@
 
 inline bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
-/// The endpoint's fields that its caller gets.
+/// Returns the fields of an endpoint's answer that are forwarded to the caller;
+/// hop-by-hop fields are not.
 net::HttpFields FieldsToForward(const net::HttpFields& fields);
 
-/// True when the call's service may get one more repeat; counts it then.
+/// Returns true if the retry budget of the call's service allows one more
+/// retry, and takes it from the budget then.
 bool TakeRetry(Proxy& proxy, const Call& call);
 
 }  // namespace egretladder::proxy
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -1,4 +1,4 @@
-// The life of a caller's request, from its arrival to its end.
+// Calls: routes, dispatches, queues and ends the requests of callers.
 #include <algorithm>
 #include <optional>
 
@@ -18,12 +18,12 @@
 constexpr int kGatewayTimeout = 504;
 constexpr milliseconds kOverloadRetryDelay{300};
 
-// A request that ends before it is a call.
+// Answers a request with an error before a call is created for it.
 void Reject(Proxy& proxy, const net::HttpCallPtr& caller, int status,
             const char* code, const std::string& reason,
             milliseconds retry_after) {
   IncrementCounter(proxy, "egretladder_rejected_total",
-                   "Requests ended before they were routed.",
+                   "Requests rejected before they were routed.",
                    std::string("code=\"") + code + "\"");
   kernel::LogEvent(LogPart::kRoute, LogLevel::kWarning, "rejected",
                    {{"req", proxy.dialect->request_id(caller->request())},
@@ -75,7 +75,7 @@
   return call;
 }
 
-void OnTimeout(Proxy& proxy, const CallPtr& call) {
+void OnDeadline(Proxy& proxy, const CallPtr& call) {
   AbortCall(proxy, call, kGatewayTimeout,
             call->caller->begun() ? "cut-at-deadline" : "timeout", {});
 }
@@ -85,10 +85,11 @@
   EndCall(proxy, call, "caller-gone");
 }
 
-void Wait(Proxy& proxy, const CallPtr& call) {
+void EnqueueCall(Proxy& proxy, const CallPtr& call) {
   if (call->waiting) return;
   if (proxy.waiting_calls.size() >= routing::kMaxWaitingRequests) {
-    // The least urgent that came last makes room, which may be this one.
+    // The queue is full. The newest call of the least urgent tier is rejected,
+    // which may be this call.
     const auto last = std::prev(proxy.waiting_calls.end());
     if (last->first.first <= call->demand.tier) {
       AbortCall(proxy, call, kBadGateway, "overloaded", kOverloadRetryDelay);
@@ -118,7 +119,7 @@
   return static_cast<double>(proxy.body_bytes + bytes) <= max_bytes;
 }
 
-// Whether this node takes requests now; else the caller has its answer.
+// Returns true if this node accepts the request; otherwise rejects it.
 bool AcceptRequest(Proxy& proxy, const net::HttpCallPtr& caller) {
   if (!CanAcceptRequests(proxy)) {
     Reject(proxy, caller, kUnavailable, "leaving", "this node is leaving",
@@ -139,14 +140,15 @@
   return true;
 }
 
-// What the rules in force make of a request.
+// A request with its route, as the rules in force define it.
 struct RoutedRequest {
   const routing::Route* route = nullptr;
-  const routing::ClientAccount* account = nullptr;  // Null: none is needed.
+  const routing::ClientAccount* account = nullptr;  // Null if none is needed.
   RequestMetadata metadata;
 };
 
-// Nothing when the request may not be routed; its caller has its answer then.
+// Finds the route of a request. Rejects the request and returns nothing if it
+// can't be routed.
 std::optional<RoutedRequest> RouteRequest(Proxy& proxy,
                                           const net::HttpCallPtr& caller) {
   const routing::RouteTable& rules = *proxy.rules;
@@ -177,7 +179,7 @@
   return routed;
 }
 
-// Ends a call that gets no endpoint any more.
+// Ends a call that is sent to no further endpoint.
 void RefuseOrAbort(Proxy& proxy, const CallPtr& call, const char* code,
                    milliseconds retry_after) {
   if (call->caller->begun()) {
@@ -189,8 +191,9 @@
              code, retry_after);
 }
 
-// How much longer the request gets no endpoint, since it crashes them.
-milliseconds HeldFor(const Proxy& proxy, Call& call, Time now) {
+// Returns how much longer the call must not be sent since its request seems to
+// crash endpoints; 0: it may be sent.
+milliseconds GetHoldTime(const Proxy& proxy, Call& call, Time now) {
   if (proxy.suspects.by_request.empty()) return {};
   return routing::HeldFor(proxy.suspects, GetFingerprint(call), now);
 }
@@ -234,14 +237,14 @@
       std::chrono::ceil<milliseconds>(call->deadline - call->arrived_at) +
           kDeadlineMargin,
       [&proxy, weak_call = std::weak_ptr<Call>(call)] {
-        if (const auto locked = weak_call.lock()) OnTimeout(proxy, locked);
+        if (const auto locked = weak_call.lock()) OnDeadline(proxy, locked);
       });
   Dispatch(proxy, call);
 }
 
 void Dispatch(Proxy& proxy, const CallPtr& call) {
   const Time now = NowOf(proxy);
-  if (const auto hold_time = HeldFor(proxy, *call, now);
+  if (const auto hold_time = GetHoldTime(proxy, *call, now);
       hold_time.count() > 0) {
     RefuseSuspect(proxy, call, hold_time);
     return;
@@ -259,8 +262,8 @@
   input.was_sent_before = call->delivered_attempts > 0;
   const routing::AdmissionVerdict verdict =
       routing::DecideAdmission(input, placement, now);
-  // A stopping node refuses what it can't finish before it waits for a free
-  // endpoint: its caller's time is for another node.
+  // A stopping node refuses a call that it can't finish before the call waits
+  // for a free endpoint, so that the caller has time left for another node.
   const bool may_proceed =
       verdict == routing::AdmissionVerdict::kSend ||
       (verdict == routing::AdmissionVerdict::kWait && !call->waiting);
@@ -270,7 +273,7 @@
     return;
   }
   if (verdict == routing::AdmissionVerdict::kWait) {
-    Wait(proxy, call);
+    EnqueueCall(proxy, call);
     return;
   }
   DequeueCall(proxy, call);
@@ -294,11 +297,11 @@
 }
 
 void DispatchWaiting(Proxy& proxy) {
-  // A copy: a dispatch may end other calls that wait.
-  std::vector<CallPtr> waiting;
-  waiting.reserve(proxy.waiting_calls.size());
-  for (const auto& [key, call] : proxy.waiting_calls) waiting.push_back(call);
-  for (const CallPtr& call : waiting) {
+  // Iterates over a copy, since a dispatch may end other waiting calls.
+  std::vector<CallPtr> queued;
+  queued.reserve(proxy.waiting_calls.size());
+  for (const auto& [key, call] : proxy.waiting_calls) queued.push_back(call);
+  for (const CallPtr& call : queued) {
     if (call->waiting) Dispatch(proxy, call);
   }
   if (proxy.waiting_calls.empty()) {
@@ -322,14 +325,14 @@
 
 void AbortCall(Proxy& proxy, const CallPtr& call, int status_if_sent,
                const char* code, milliseconds retry_after) {
-  const bool sent = WasSent(*call);
+  const bool was_sent = WasSent(*call);
   CancelAttempt(proxy, call);
   if (call->caller->begun()) {
     call->caller->Abort();
     EndCall(proxy, call, code);
     return;
   }
-  RefuseCall(proxy, call, sent ? status_if_sent : kUnavailable, code,
+  RefuseCall(proxy, call, was_sent ? status_if_sent : kUnavailable, code,
              retry_after);
 }
 
--- a/proxy/src/feed_fetch_capnp.cc
+++ b/proxy/src/feed_fetch_capnp.cc
@@ -1,4 +1,5 @@
-// What a node lacks of the platform's store, asked of one peer at a time.
+// Fetches the data of the platform's store that this node lacks, from one peer
+// at a time, and serves it to peers.
 #include <numeric>
 
 #include "peers_p.h"
@@ -10,8 +11,8 @@
 using kernel::LogPart;
 using routing::Feed;
 
-// What waits to be sent to peers that asked.
-std::size_t UnsentOf(const PeerNetwork& network) {
+// Returns the size of the output to peers that is not sent yet, in bytes.
+std::size_t CountUnsentBytes(const PeerNetwork& network) {
   return std::accumulate(network.incoming.begin(), network.incoming.end(),
                          std::size_t{0}, [](std::size_t sum, const auto& peer) {
                            return sum + peer->stream.PendingOutputBytes();
@@ -36,14 +37,14 @@
 
 void CountFetch(Proxy& proxy, const char* outcome) {
   IncrementCounter(proxy, "egretladder_peer_fetches_total",
-                   "Changes asked of peers, by outcome.",
+                   "Fetches of changes from peers, by outcome.",
                    std::string("outcome=\"") + outcome + "\"");
 }
 
-// A small change is logged when it is taken.
+// Logs a large transfer. Small changes are logged when they are applied.
 void LogFetched(const Proxy& proxy, Feed feed, const std::string& from,
                 const PackedChanges& packed, std::uint64_t revision,
-                Time asked) {
+                Time requested_at) {
   if (packed.bytes.size() <= routing::kSmallChangesBytes) return;
   kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "fetched",
                    {{"feed", routing::NameOf(feed)},
@@ -51,13 +52,13 @@
                     {"bytes", packed.bytes.size()},
                     {"unpacked", packed.unpacked_bytes},
                     {"rev", revision},
-                    {"ms", Elapsed(asked, NowOf(proxy))}});
+                    {"ms", Elapsed(requested_at, NowOf(proxy))}});
 }
 
 void OnChangesReceived(Proxy& proxy, Feed feed, const std::string& from,
-                       const PackedChanges& packed, Time asked) {
+                       const PackedChanges& packed, Time requested_at) {
   auto received = UnpackChanges(packed, feed);
-  routing::FeedFetch& pull =
+  routing::FeedFetch& fetch =
       routing::GetFeedFetch(proxy.peers->feed_fetches, feed);
   if (!received) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kWarning, "fetch-refused",
@@ -65,20 +66,20 @@
                       {"from", from},
                       {"why", kernel::Describe(received.error())}});
     CountFetch(proxy, "refused");
-    routing::OnFetchFailed(pull, from, routing::kFetchTimeoutBackoff,
+    routing::OnFetchFailed(fetch, from, routing::kFetchTimeoutBackoff,
                            NowOf(proxy));
     return;
   }
   CountFetch(proxy, "taken");
-  routing::OnFetchDone(pull, from);
+  routing::OnFetchDone(fetch, from);
   LogFetched(proxy, feed, from, packed, received.value().changes.revision,
-             asked);
+             requested_at);
   ApplyChanges(proxy, received.value().changes, ChangeSource::kPeer,
                received.value().store_troubled);
 }
 
 void OnFetchReply(Proxy& proxy, Feed feed, const std::string& from,
-                  bool same_zone, Time asked,
+                  bool same_zone, Time requested_at,
                   capnp::Response<exchange::Peer::FetchResults>&& answer) {
   CountBytes(proxy, "in", MessageKind::kContent, same_zone,
              answer.totalSize().wordCount);
@@ -93,16 +94,16 @@
   const PackedChanges packed{
       std::string(reinterpret_cast<const char*>(bytes.begin()), bytes.size()),
       answer.getPacked().getUnpacked()};
-  OnChangesReceived(proxy, feed, from, packed, asked);
+  OnChangesReceived(proxy, feed, from, packed, requested_at);
 }
 
 void FetchFeed(Proxy& proxy, Feed feed, const std::string& from) {
   PeerConnection* peer = GetOrConnectPeer(*proxy.peers, from);
   const Time now = NowOf(proxy);
-  routing::FeedFetch& pull =
+  routing::FeedFetch& fetch =
       routing::GetFeedFetch(proxy.peers->feed_fetches, feed);
   if (peer == nullptr) {
-    routing::OnFetchFailed(pull, from, routing::kFetchTimeoutBackoff, now);
+    routing::OnFetchFailed(fetch, from, routing::kFetchTimeoutBackoff, now);
     return;
   }
   auto request = peer->client.fetchRequest();
@@ -118,8 +119,8 @@
       }));
 }
 
-// A node that has just started hears of everything from peers while the store
-// is about to answer the same.
+// Returns true while a node that has just started waits for the store's answer.
+// Peers announce the same data meanwhile, which need not be fetched twice.
 bool ShouldWaitForStore(const Proxy& proxy, Feed feed) {
   return proxy.reads_store && !IsStoreTroubled(proxy) &&
          routing::GetFeedState(proxy.catalog, feed).revision == 0 &&
@@ -131,21 +132,22 @@
 void AnswerFetch(Proxy& proxy, bool same_zone, std::uint8_t feed_number,
                  std::uint64_t after,
                  exchange::Peer::FetchResults::Builder results) {
-  if (feed_number >= routing::kFeedCount) {  // Of a newer node.
+  if (feed_number >= routing::kFeedCount) {  // Sent by a newer node.
     results.setBusy(true);
     return;
   }
   const auto feed = static_cast<Feed>(feed_number);
-  auto content = GetPackedChanges(proxy, feed, after);
-  if (!content) {
+  auto packed_changes = GetPackedChanges(proxy, feed, after);
+  if (!packed_changes) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kError, "fetch-unserved",
                      {{"feed", routing::NameOf(feed)},
-                      {"why", kernel::Describe(content.error())}});
+                      {"why", kernel::Describe(packed_changes.error())}});
     results.setBusy(true);
     return;
   }
-  const PackedChanges& packed = *content.value();
-  if (!routing::CanSendChanges(packed.bytes.size(), UnsentOf(*proxy.peers))) {
+  const PackedChanges& packed = *packed_changes.value();
+  if (!routing::CanSendChanges(packed.bytes.size(),
+                               CountUnsentBytes(*proxy.peers))) {
     results.setBusy(true);
     return;
   }
--- a/proxy/src/gossip_codec.cc
+++ b/proxy/src/gossip_codec.cc
@@ -1,3 +1,4 @@
+// Encodes and decodes gossip messages and packed changes.
 #include <capnp/serialize.h>
 #include <kj/exception.h>
 
@@ -75,27 +76,29 @@
   return changes;
 }
 
-// Load: many nodes that send to the same endpoints. Without the others' load
-// each would count its own part as the whole. In a large fleet it comes too
-// rarely to be worth its bytes.
+// Writes this node's load at its endpoints. Several nodes send to the same
+// endpoints, and without the load of the others each node would take its own
+// part for the whole. In a large fleet a peer's load arrives too rarely to be
+// worth its size.
 void WriteLoads(Proxy& proxy, exchange::News::Builder news) {
   if (!routing::IsSmallFleet(proxy.members)) return;
-  std::vector<const routing::Endpoint*> busy;
+  std::vector<const routing::Endpoint*> busy_endpoints;
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
-    if (endpoint->in_flight > 0) busy.push_back(endpoint.get());
+    if (endpoint->in_flight > 0) busy_endpoints.push_back(endpoint.get());
   }
-  auto loads = news.initLoads(static_cast<unsigned>(busy.size()));
+  auto loads = news.initLoads(static_cast<unsigned>(busy_endpoints.size()));
   for (unsigned i = 0; i < loads.size(); ++i) {
     double tokens = 0;
-    for (const double tokens_of_class : busy[i]->waiting_tokens)
-      tokens += tokens_of_class;
-    loads[i].setEndpoint(busy[i]->entry.id);
-    loads[i].setInFlight(busy[i]->in_flight);
+    for (const double tier_tokens : busy_endpoints[i]->waiting_tokens)
+      tokens += tier_tokens;
+    loads[i].setEndpoint(busy_endpoints[i]->entry.id);
+    loads[i].setInFlight(busy_endpoints[i]->in_flight);
     loads[i].setWaitingTokens(static_cast<std::uint32_t>(tokens));
   }
 }
 
-// Sums up anew what peers said; what is too old no longer counts.
+// Recomputes the load of peers at each endpoint from the reports that are not
+// older than `kPeerLoadRetention`.
 void SumLoads(Proxy& proxy, Time now) {
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
     endpoint->peers_in_flight = 0;
@@ -116,7 +119,8 @@
 
 void ApplyLoads(Proxy& proxy, const std::string& node,
                 exchange::News::Reader news, Time now) {
-  // In a large fleet nobody tells, and adding up goes over all endpoints.
+  // In a large fleet no node reports its load, and the sum would iterate over
+  // all endpoints in vain.
   if (!routing::IsSmallFleet(proxy.members)) {
     if (proxy.peer_loads.empty()) return;
     proxy.peer_loads.clear();
@@ -176,12 +180,12 @@
   }
   auto pulses = news.initPulses(static_cast<unsigned>(gossip.pulses.size()));
   for (unsigned i = 0; i < pulses.size(); ++i) {
-    const routing::MemberHeartbeat& pulse = gossip.pulses[i];
-    pulses[i].setNode(pulse.node);
-    pulses[i].setLife(pulse.short_incarnation);
-    pulses[i].setHeartbeat(static_cast<std::uint32_t>(pulse.heartbeat));
-    pulses[i].setLeaving(pulse.leaving);
-    pulses[i].setStoreTroubled(pulse.store_troubled);
+    const routing::MemberHeartbeat& heartbeat = gossip.pulses[i];
+    pulses[i].setNode(heartbeat.node);
+    pulses[i].setLife(heartbeat.short_incarnation);
+    pulses[i].setHeartbeat(static_cast<std::uint32_t>(heartbeat.heartbeat));
+    pulses[i].setLeaving(heartbeat.leaving);
+    pulses[i].setStoreTroubled(heartbeat.store_troubled);
   }
   auto unknown = news.initUnknown(static_cast<unsigned>(gossip.unknown.size()));
   for (unsigned i = 0; i < unknown.size(); ++i) {
@@ -194,10 +198,10 @@
   for (const auto member : news.getMembers()) {
     gossip.members.push_back(ReadMember(member));
   }
-  for (const auto pulse : news.getPulses()) {
-    gossip.pulses.push_back({pulse.getNode(), pulse.getLife(),
-                             pulse.getHeartbeat(), pulse.getLeaving(),
-                             pulse.getStoreTroubled()});
+  for (const auto heartbeat : news.getPulses()) {
+    gossip.pulses.push_back({heartbeat.getNode(), heartbeat.getLife(),
+                             heartbeat.getHeartbeat(), heartbeat.getLeaving(),
+                             heartbeat.getStoreTroubled()});
   }
   return gossip;
 }
--- a/proxy/src/gossip_codec_p.h
+++ b/proxy/src/gossip_codec_p.h
@@ -1,4 +1,5 @@
-// Messages between nodes as Cap'n Proto; see schema/exchange.capnp.
+// Encodes and decodes gossip messages as Cap'n Proto; see
+// schema/exchange.capnp.
 #pragma once
 
 #include <array>
@@ -11,59 +12,63 @@
 
 namespace egretladder::proxy {
 
-/// How far a node knows each feed.
+/// Up to which revision a node knows each feed.
 using Progress = std::array<routing::FeedProgress, routing::kFeedCount>;
 
-/// What a peer said of itself in an exchange.
+/// What a peer states about itself in an exchange.
 struct PeerState {
-  std::string peer_address;  ///< Its address for nodes; empty: unsaid.
+  std::string peer_address;  ///< Its address for other nodes; empty: not
+                             ///< stated.
   std::string zone;
   Progress progress{};
-  std::vector<std::uint32_t> unknown;  ///< Nodes that it doesn't know.
+  std::vector<std::uint32_t> unknown;  ///< Nodes whose description it lacks.
 };
 
-/// Changes of one feed as they travel.
+/// Changes of one feed, serialized and compressed.
 struct PackedChanges {
   std::string bytes;
   std::uint32_t unpacked_bytes = 0;  ///< Size before compression, in bytes.
 };
 
-/// Changes of one feed as they were read from a message.
+/// Changes of one feed that were decoded from a message.
 struct ReceivedChanges {
   routing::Changes changes;
-  bool store_troubled = false;  ///< The sender failed to read the store lately.
+  /// The sender recently failed to read the store.
+  bool store_troubled = false;
 };
 
-/// How far this node knows each feed.
+/// Returns up to which revision this node knows each feed.
 Progress OwnProgress(const Proxy& proxy);
 
-/// What a peer that asked for `unknown` should hear.
+/// Writes the gossip for a peer that lacks the description of the nodes
+/// `unknown`.
 void WriteGossip(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
                  exchange::News::Builder news);
 
-/// Takes in what a peer told.
+/// Applies the gossip of a peer. Returns what the peer states about itself.
 PeerState ApplyGossip(Proxy& proxy, exchange::News::Reader news);
 
 // advertised_limits.cc
-/// Writes the limits of endpoints that a peer should hear of.
+/// Writes the endpoint limits that this node passes on.
 void WriteLimits(Proxy& proxy, exchange::News::Builder news);
-/// Takes in those that a peer told.
+/// Applies the endpoint limits of a peer.
 void ApplyLimits(Proxy& proxy, exchange::News::Reader news);
 
 // gossip_codec.cc
-/// Writes progress into a list of `kFeedCount`.
+/// Writes progress into a list of `kFeedCount` elements.
 void WriteProgress(const Progress& progress,
                    capnp::List<exchange::Progress>::Builder list);
-/// Reads such a list; feeds that it leaves out are unknown to the peer.
+/// Reads such a list. Feeds that it leaves out have revision 0: the peer knows
+/// nothing of them.
 Progress ReadProgress(capnp::List<exchange::Progress>::Reader list);
 
-/// What this node has of a feed beyond `after`, compressed.
+/// Serializes and compresses the changes of a feed after revision `after`.
 kernel::Result<PackedChanges> PackChanges(const Proxy& proxy,
                                           routing::Feed feed,
                                           std::uint64_t after);
 
-/// Reads what `PackChanges` made. Refuses what doesn't match its checksum, is
-/// larger than a message may be, or is of another feed than `feed`.
+/// Decodes the result of `PackChanges`. Fails if the checksum doesn't match,
+/// the message is invalid or too large, or it holds another feed than `feed`.
 kernel::Result<ReceivedChanges> UnpackChanges(const PackedChanges& packed,
                                               routing::Feed feed);
 
--- a/proxy/src/metrics.cc
+++ b/proxy/src/metrics.cc
@@ -1,5 +1,5 @@
-// What `GET /metrics` shows of a proxy: calls by class and account, times by
-// class, and what the node knows at the moment.
+// The metrics of a proxy: counters of calls by class and account, histograms by
+// class, and gauges of the node's current state.
 #include <algorithm>
 
 #include "state_p.h"
@@ -11,7 +11,7 @@
 
 std::string FormatLabel(const char* name, std::string_view value) {
   std::string label = std::string(name) + "=\"";
-  // Names come from the configuration, which may hold any character.
+  // Values come from the configuration, which may contain any character.
   for (const char c : value) {
     if (c == '"' || c == '\\') label += '\\';
     label += c == '\n' ? ' ' : c;
@@ -19,13 +19,14 @@
   return label + '"';
 }
 
-// What became of a call, for whoever counts; the reason says more.
+// Returns the outcome of a call, a coarser classification than its reason.
 const char* ClassifyOutcome(const Call& call, std::string_view reason) {
   if (call.succeeded) return "answered";
   if (reason == "caller-gone") return "gone";
   if (call.caller->begun()) return "broken";
   if (reason == "endpoint-failure") return "failed";
-  // Of the statuses of this node only 503 says that nothing ran.
+  // Of the statuses by which this node refuses calls, only 503 states that the
+  // request has not run.
   return call.refusal_status == kUnavailable ? "refused" : "unknown";
 }
 
@@ -55,7 +56,7 @@
 }
 
 void UpdateEndpointGauges(Proxy& proxy, Time now) {
-  // States that nothing is in any more are shown as 0.
+  // States that no endpoint is in any more are reported as 0.
   for (auto& [labels, count] : proxy.series.endpoint_states) count = 0;
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
     const std::string labels =
@@ -65,7 +66,7 @@
   }
   for (const auto& [labels, count] : proxy.series.endpoint_states) {
     SetGauge(proxy, "egretladder_endpoints",
-             "Endpoints known, by service and state.", count, labels);
+             "Known endpoints, by service and state.", count, labels);
   }
 }
 
@@ -73,7 +74,7 @@
   SetGauge(proxy, "egretladder_rules_version", "Version of the rules in force.",
            static_cast<double>(proxy.rules ? proxy.rules->version : 0));
   SetGauge(proxy, "egretladder_rules_in_force_seconds",
-           "Since the rules came into force.",
+           "Time since the rules came into force.",
            proxy.rules ? SecondsSince(proxy.rules_since, now) : 0);
   for (const auto feed : {routing::Feed::kRules, routing::Feed::kEndpoints}) {
     const std::string label = FormatLabel(
@@ -87,7 +88,7 @@
   SetGauge(proxy, "egretladder_store_trouble",
            "1 while reads of the store failed lately.",
            IsStoreTroubled(proxy) ? 1 : 0);
-  SetGauge(proxy, "egretladder_nodes", "Nodes there, this one included.",
+  SetGauge(proxy, "egretladder_nodes", "Available nodes, this one included.",
            static_cast<double>(
                routing::MakeFleetSnapshot(proxy.members, now).names.size()));
 }
@@ -97,10 +98,11 @@
            static_cast<double>(proxy.calls.size()));
   SetGauge(proxy, "egretladder_waiting", "Calls that wait for an endpoint.",
            static_cast<double>(proxy.waiting_calls.size()));
-  SetGauge(proxy, "egretladder_body_bytes", "Bodies of calls in progress.",
+  SetGauge(proxy, "egretladder_body_bytes",
+           "Size of the bodies of calls in progress.",
            static_cast<double>(proxy.body_bytes));
   SetGauge(proxy, "egretladder_suspects",
-           "Requests under which a connection broke lately.",
+           "Requests during which a connection broke recently.",
            static_cast<double>(proxy.suspects.by_request.size()));
   SetGauge(proxy, "egretladder_endpoint_connections_opened",
            "Connections to endpoints and the store opened since the start.",
@@ -108,7 +110,7 @@
   const routing::RetryBudgetFleet fleet = MakeRetryBudgetFleet(proxy);
   for (const auto& [service, share] : proxy.retry_budgets) {
     SetGauge(proxy, "egretladder_retries_left",
-             "Repeats that this node may still make in the window.",
+             "Retries that this node may still make in the window.",
              routing::RetriesLeft(share, proxy.options.retries, fleet, now),
              FormatLabel("service", service));
   }
@@ -130,18 +132,18 @@
   const auto [it, is_new] = classes.try_emplace(name);
   if (is_new) {
     const std::string label = FormatLabel("class", name);
-    it->second.waited =
-        kernel::AddHistogram(proxy.metrics, "egretladder_waited_seconds",
-                             "From a call's arrival to each send.", label);
+    it->second.waited = kernel::AddHistogram(
+        proxy.metrics, "egretladder_waited_seconds",
+        "Time from a call's arrival to each attempt.", label);
     it->second.first_event = kernel::AddHistogram(
         proxy.metrics, "egretladder_first_event_seconds",
-        "From a call's arrival to its answer's first byte.", label);
+        "Time from a call's arrival to its answer's first byte.", label);
     it->second.whole_answer =
         kernel::AddHistogram(proxy.metrics, "egretladder_call_seconds",
-                             "From a call's arrival to its end.", label);
+                             "Time from a call's arrival to its end.", label);
     it->second.longest_pause = kernel::AddHistogram(
         proxy.metrics, "egretladder_longest_pause_seconds",
-        "Longest time between two events of a stream.", label);
+        "Longest pause between two events of a stream.", label);
   }
   return &it->second;
 }
@@ -175,7 +177,7 @@
   UpdateEndpointGauges(proxy, now);
   UpdateLoadGauges(proxy, now);
   SetGauge(proxy, "egretladder_tight_part",
-           "Part of the engines that is for streams with short pauses.",
+           "Fraction of the engines reserved for streams with short pauses.",
            proxy.endpoints.tight_fraction);
 }
 
--- a/proxy/src/peers_capnp.cc
+++ b/proxy/src/peers_capnp.cc
@@ -1,4 +1,4 @@
-// Exchanges between nodes over Cap'n Proto RPC.
+// Connections, exchanges and announcements between nodes over Cap'n Proto RPC.
 #include <algorithm>
 #include <map>
 #include <utility>
@@ -66,7 +66,7 @@
 
  private:
   Proxy& proxy_;
-  bool same_zone_ = false;  // As the peer last said.
+  bool same_zone_ = false;  // As the peer last stated.
 };
 
 void AcceptPeer(evconnlistener* /*listener*/, evutil_socket_t fd,
@@ -100,8 +100,8 @@
       routing::OnPeerUnreachable(network.proxy->members, it->first, now);
     }
     if (has_failed) {
-      for (routing::FeedFetch& pull : network.feed_fetches.feeds) {
-        routing::OnFetchFailed(pull, it->first, routing::kFetchTimeoutBackoff,
+      for (routing::FeedFetch& fetch : network.feed_fetches.feeds) {
+        routing::OnFetchFailed(fetch, it->first, routing::kFetchTimeoutBackoff,
                                now);
       }
     }
@@ -135,7 +135,8 @@
 void ExchangeWith(PeerNetwork& network, const std::string& address) {
   Proxy& proxy = *network.proxy;
   PeerConnection* peer = GetOrConnectPeer(network, address);
-  // One at a time: what is told is state, and the next exchange tells it anew.
+  // One exchange at a time: it transfers state, and the next one transfers the
+  // current state again.
   if (peer == nullptr || peer->exchanging) return;
   auto request = peer->client.exchangeRequest();
   WriteGossip(proxy, peer->unknown, request.initNews());
@@ -157,7 +158,8 @@
   }));
 }
 
-// Exchanges that were begun and not answered for a while.
+// Returns the number of exchanges that have been unanswered for at least
+// `kExchangeStallTime`.
 std::size_t CountUnansweredExchanges(const PeerNetwork& network, Time now) {
   const auto unanswered =
       std::count_if(network.outgoing.begin(), network.outgoing.end(),
@@ -169,7 +171,7 @@
   return static_cast<std::size_t>(unanswered);
 }
 
-// Addresses of members that are there, drawn at random.
+// Returns the addresses of up to `max_count` random available members.
 std::vector<std::string> SampleLivePeers(Proxy& proxy, std::size_t max_count) {
   const Time now = NowOf(proxy);
   std::vector<std::string> peers;
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -31,18 +31,21 @@
   net::RpcClientConnection rpc;
   exchange::Peer::Client client;
   Time opened_at{};
-  Time last_request_at{};            ///< Last.
-  std::size_t unanswered_calls = 0;  ///< Calls.
-  Time waiting_since{};              ///< While one is unanswered.
-  bool exchanging = false;           ///< An exchange is unanswered.
-  bool has_answered = false;         ///< At least one call was.
+  Time last_request_at{};
+  std::size_t unanswered_calls = 0;
+  /// Since when an answer is awaited, while there are unanswered calls.
+  Time waiting_since{};
+  bool exchanging = false;    ///< An exchange is unanswered.
+  bool has_answered = false;  ///< At least one call was answered.
   bool broken = false;
-  bool same_zone = false;              ///< In the same availability zone.
-  std::vector<std::uint32_t> unknown;  ///< Nodes that it asked for last.
-  kj::TaskSet tasks;                   ///< Last, so that it goes first.
+  bool same_zone = false;  ///< The peer is in the same availability zone.
+  /// Nodes that the peer did not know in the last exchange; they are described
+  /// in the next one.
+  std::vector<std::uint32_t> unknown;
+  kj::TaskSet tasks;  ///< The last member, so that it is destroyed first.
 };
 
-/// Packed changes of one feed, kept for the next peer that lacks the same.
+/// Packed changes of one feed, cached for the next peer that fetches the same.
 struct CachedChanges {
   std::uint64_t after = 0;
   std::uint64_t revision = 0;
@@ -50,6 +53,7 @@
   PackedChanges packed;
 };
 
+/// The connections between this node and its peers.
 struct PeerNetwork {
   Proxy* proxy = nullptr;
   std::shared_ptr<net::KjLoop> kj;
@@ -61,32 +65,39 @@
   kernel::EventWatcher sweep_timer;
   kernel::EventWatcher update_timer;
   bool update_scheduled = false;
-  std::size_t announce_count = 0;  ///< Peers, at the next turn.
+  /// Number of peers that get an announcement at the next scheduled update.
+  std::size_t announce_count = 0;
 };
 
-/// What a message between nodes is about; for metrics.
+/// The kind of a message between nodes; for metrics.
 enum class MessageKind : std::uint8_t { kExchange, kAnnounce, kContent };
 
 // peers_capnp.cc
-/// The connection to a peer, opened now if there is none; null: not possible.
-PeerConnection* GetOrConnectPeer(PeerNetwork& network, const std::string& address);
-/// A call to the peer begins.
+/// Returns the connection to a peer, and opens it if there is none that works.
+/// Null if no connection can be opened.
+PeerConnection* GetOrConnectPeer(PeerNetwork& network,
+                                 const std::string& address);
+/// Records that a call to the peer begins.
 void OnRequestSent(PeerConnection& peer, Time now);
-/// It was answered.
+/// Records that a call to the peer was answered.
 void OnReplyReceived(PeerConnection& peer, Time now);
-/// Counts what was told or heard.
+/// Counts the size of a message. `direction` is `in` or `out`; `words` have
+/// eight bytes.
 void CountBytes(Proxy& proxy, const char* direction, MessageKind message,
                 bool same_zone, std::uint64_t words);
 
 // feed_fetch_capnp.cc
-/// Answers a peer that lacks changes.
+/// Answers a fetch of the changes after revision `after`, or states that this
+/// node is busy.
 void AnswerFetch(Proxy& proxy, bool same_zone, std::uint8_t feed_number,
                  std::uint64_t after,
                  exchange::Peer::FetchResults::Builder results);
-/// A peer said how far it knows the feeds.
+/// Records how far a peer knows the feeds, and schedules a fetch if this node
+/// lacks changes.
 void OnPeerProgress(Proxy& proxy, const std::string& peer, bool same_zone,
                     const Progress& progress);
-/// Asks for what was announced and isn't being asked for.
+/// Fetches the changes that peers announced and this node lacks, unless a fetch
+/// is in progress.
 void FetchMissingChanges(Proxy& proxy);
 
 }  // namespace egretladder::proxy
--- a/proxy/src/proxy.cc
+++ b/proxy/src/proxy.cc
@@ -12,8 +12,7 @@
 using kernel::LogPart;
 
 void OnProcessPause(Proxy& proxy, milliseconds gap) {
-  // The process stood still: watches may have gone silent, and what peers said
-  // is old.
+  // Watches may have been lost during the pause, and data from peers is stale.
   kernel::LogEvent(LogPart::kKernel, LogLevel::kWarning, "stood-still",
                    {{"ms", gap}});
   RestartStoreReaders(proxy);
@@ -44,7 +43,8 @@
 
 void ExchangeWhenDue(Proxy& proxy) {
   const Time now = NowOf(proxy);
-  // The timer is not exact, and a turn that is a little early must not be lost.
+  // Half an interval of tolerance, since the timer may fire a little early and
+  // that exchange must not be skipped.
   const auto min_interval =
       routing::kLargeFleetExchangeInterval - routing::kExchangeInterval / 2;
   if (!routing::IsSmallFleet(proxy.members) &&
@@ -64,7 +64,7 @@
   };
   handlers.on_refused = [&proxy](int status, const std::string& reason) {
     IncrementCounter(proxy, "egretladder_unreadable_total",
-                     "Requests refused since they could not be read.",
+                     "Requests refused because they could not be parsed.",
                      "status=\"" + std::to_string(status) + "\"");
     kernel::LogEvent(LogPart::kCaller, LogLevel::kWarning, "unreadable",
                      {{"status", status}, {"why", reason}});
@@ -101,8 +101,9 @@
   self.peers = peer_address;
   self.zone = proxy.options.zone;
   self.region = proxy.options.region;
-  // The time of day: higher with each start unless the clock goes back, and
-  // then the members' rule for older lives raises it.
+  // The wall clock time makes the incarnation rise with each start. If the
+  // clock was set back, gossip shows the node its earlier incarnation, which it
+  // then exceeds.
   self.incarnation = static_cast<std::uint64_t>(
       std::chrono::duration_cast<milliseconds>(
           std::chrono::system_clock::now().time_since_epoch())
--- a/proxy/src/settings.cc
+++ b/proxy/src/settings.cc
@@ -35,11 +35,11 @@
     {"retries", "ratio", SettingKind::kNumber, "0.1", false,
      "retries for each request, all nodes together"},
     {"retries", "slack", SettingKind::kNumber, "10", false,
-     "retries beyond that in a window, all nodes together"},
+     "additional retries in a window, all nodes together"},
     {"retries", "window", SettingKind::kDuration, "10s", false,
      kDurationExpected},
     {"placing", "without", SettingKind::kText, "", false,
-     "mechanisms of placing to leave out, separated by commas"},
+     "placement mechanisms to disable, separated by commas"},
     {"limits", "memory", SettingKind::kBytes, "256MiB", false,
      "a number with B, KiB or MiB"},
     {"limits", "descriptors", SettingKind::kCount, "4096", false,
@@ -79,8 +79,8 @@
   options.directory_ttl = kernel::GetDuration(settings, "directory", "keep");
 }
 
-void ReadPlacing(const kernel::Settings& settings,
-                 kernel::SettingsChecker& checker, ProxyOptions& options) {
+void ReadPlacement(const kernel::Settings& settings,
+                   kernel::SettingsChecker& checker, ProxyOptions& options) {
   for (const std::string& name :
        kernel::SplitList(kernel::GetText(settings, "placing", "without"))) {
     if (const auto mechanism = routing::FindMechanism(name)) {
@@ -93,9 +93,10 @@
   }
 }
 
-// A grace time that ends while callers still keep the address would cut what
-// they send, with nothing to tell the operator why.
-void CheckStop(const ProxyOptions& options, kernel::SettingsChecker& checker) {
+// Rejects a grace period that ends while callers still keep the node's address:
+// each stop would cut their requests without telling the operator why.
+void CheckGracePeriod(const ProxyOptions& options,
+                      kernel::SettingsChecker& checker) {
   if (options.directory_ttl.count() == 0) {
     checker.AddError("directory", "keep", "is 0, expected a time above 0");
   }
@@ -110,8 +111,8 @@
                        "ms with this directory.keep");
 }
 
-void Check(const kernel::Settings& settings, const ProxyOptions& options,
-           kernel::SettingsChecker& checker) {
+void CheckValues(const kernel::Settings& settings, const ProxyOptions& options,
+                 kernel::SettingsChecker& checker) {
   for (const std::string& seed : options.seeds) {
     if (net::SplitAddress(seed).second != 0) continue;
     checker.AddError("peers", "seeds",
@@ -132,10 +133,11 @@
     checker.AddError("retries", "window", "is 0");
   }
   if (kernel::FindPlugin<Dialect>(options.dialect) == nullptr) {
-    checker.AddError("node", "dialect",
-                     "is '" + options.dialect + "', which none has");
+    checker.AddError(
+        "node", "dialect",
+        "is '" + options.dialect + "', expected the name of a dialect");
   }
-  CheckStop(options, checker);
+  CheckGracePeriod(options, checker);
 }
 
 }  // namespace
@@ -144,27 +146,26 @@
 
 kernel::Result<ProxyConfig> ReadProxyConfig(
     const std::string& text, std::string_view file,
-    std::vector<kernel::Error>* all_errors) {
-  BOOST_OUTCOME_TRY(settings,
-                    kernel::ReadSettings(text, file, kSpecs, all_errors));
+    std::vector<kernel::Error>* errors) {
+  BOOST_OUTCOME_TRY(settings, kernel::ReadSettings(text, file, kSpecs, errors));
   ProxyConfig config;
   ReadNode(settings, config.proxy);
   ReadNumbers(settings, config.proxy);
-  std::vector<kernel::Error> errors;
-  kernel::SettingsChecker checker(text, file, errors);
-  ReadPlacing(settings, checker, config.proxy);
-  Check(settings, config.proxy, checker);
+  std::vector<kernel::Error> found_errors;
+  kernel::SettingsChecker checker(text, file, found_errors);
+  ReadPlacement(settings, checker, config.proxy);
+  CheckValues(settings, config.proxy, checker);
   const std::string& level = kernel::GetText(settings, "log", "level");
-  if (const auto read = kernel::ParseLogLevel(level)) {
-    config.log_level = *read;
+  if (const auto parsed = kernel::ParseLogLevel(level)) {
+    config.log_level = *parsed;
   } else {
     checker.AddError(
         "log", "level",
         "is '" + level + "', expected debug, info, warning or error");
   }
-  if (errors.empty()) return config;
-  const kernel::Error first = errors.front();
-  if (all_errors != nullptr) *all_errors = std::move(errors);
+  if (found_errors.empty()) return config;
+  const kernel::Error first = found_errors.front();
+  if (errors != nullptr) *errors = std::move(found_errors);
   return first;
 }
 
--- a/proxy/src/state_p.h
+++ b/proxy/src/state_p.h
@@ -1,4 +1,4 @@
-// What the parts of one proxy share.
+// State of a proxy and the functions that its sources share.
 #pragma once
 
 #include <array>
@@ -33,12 +33,12 @@
 
 using kernel::Time;
 
-/// Times of one class of calls.
+/// Histograms of one class of calls.
 struct ClassMetrics {
-  kernel::HistogramHandle first_event;
-  kernel::HistogramHandle whole_answer;
-  kernel::HistogramHandle waited;
-  kernel::HistogramHandle longest_pause;
+  kernel::HistogramHandle first_event;    ///< Arrival to first byte.
+  kernel::HistogramHandle whole_answer;   ///< Arrival to end of the call.
+  kernel::HistogramHandle waited;         ///< Arrival to each attempt.
+  kernel::HistogramHandle longest_pause;  ///< Between two events of a stream.
 };
 
 /// One attempt of a call at an endpoint.
@@ -48,15 +48,15 @@
   routing::Placement placement;
   net::HttpExchangePtr exchange;
   Time sent_at{};
-  bool request_sent = false;  ///< The first byte was sent.
+  bool request_sent = false;  ///< The first byte of the request was sent.
   bool started = false;       ///< The endpoint answered or sent an event.
-  bool is_event_stream =
-      false;                 ///< The answer is a stream, passed on as it comes.
-  Time pace_sample_start{};  ///< Begin of the present sample of its pace.
+  /// The answer is a stream whose events are forwarded as they arrive.
+  bool is_event_stream = false;
+  Time pace_sample_start{};              ///< Start of the current pace sample.
   std::uint64_t pace_sample_events = 0;  ///< Events in that sample so far.
   net::HttpAnswerHead head;
   AnswerMetadata metadata;
-  std::string body;  ///< Of an answer that is held whole.
+  std::string body;  ///< Body of an answer that is not a stream.
   net::EventSplitter splitter;
 };
 
@@ -65,7 +65,7 @@
   std::uint64_t number = 0;
   net::HttpCallPtr caller;
   RequestMetadata metadata;
-  routing::RouteTablePtr table;  ///< In force when it arrived.
+  routing::RouteTablePtr table;  ///< The rules in force when it arrived.
   const routing::Route* route = nullptr;
   const routing::ClientAccount* account = nullptr;  ///< Null: none.
   const routing::Service* service = nullptr;
@@ -73,54 +73,58 @@
   routing::Demand demand;
   Time arrived_at{};
   Time deadline{};
+  /// Endpoints of the attempts that may have run.
   std::vector<routing::EndpointPtr> tried_endpoints;
-  std::uint32_t may_have_run = 0;
-  std::uint32_t not_run = 0;   ///< Attempts that endpoints turned away.
-  std::uint32_t not_sent = 0;  ///< Attempts without a connection.
-  std::uint32_t delivered_attempts = 0;  ///< Sends that reached an endpoint.
-  std::unique_ptr<Attempt> attempt;
-  std::string last_event_id;  ///< That the caller got from this node.
-  std::uint64_t events = 0;
+  std::uint32_t may_have_run = 0;        ///< Attempts that may have run.
+  std::uint32_t not_run = 0;             ///< Attempts that endpoints refused.
+  std::uint32_t not_sent = 0;            ///< Attempts without a connection.
+  std::uint32_t delivered_attempts = 0;  ///< `may_have_run` and `not_run`.
+  std::unique_ptr<Attempt> attempt;      ///< The current attempt, if any.
+  std::string last_event_id;  ///< Id of the last event sent to the caller.
+  std::uint64_t events = 0;   ///< Events sent to the caller.
   Time first_event_at{};
   Time last_event_at{};
-  milliseconds longest_pause{};  ///< Between two events that callers got.
-  bool waiting = false;
-  Time waiting_since{};  ///< Since it has needed an endpoint.
+  milliseconds longest_pause{};  ///< Between two events sent to the caller.
+  bool waiting = false;          ///< It is in `Proxy::waiting_calls`.
+  Time waiting_since{};          ///< When it last began to need an endpoint.
   kernel::EventWatcher deadline_timer;
+  /// Fires when the endpoint has sent nothing for too long.
   kernel::EventWatcher silence_timer;
   std::size_t body_bytes = 0;
-  std::uint64_t fingerprint = 0;  ///< Of what it asks; 0: not needed so far.
+  std::uint64_t fingerprint = 0;  ///< See `GetFingerprint`; 0: not computed.
   int refusal_status = 0;  ///< Status of this node's own refusal; 0: none.
-  bool succeeded = false;  ///< The caller got the endpoint's success.
+  bool succeeded = false;  ///< The caller got a successful answer.
 };
 using CallPtr = std::shared_ptr<Call>;
 
-/// The reading of one feed.
+/// Reads one feed of the store.
 struct StoreReader {
   routing::Feed feed = routing::Feed::kRules;
-  bool has_full_list =
-      false;  ///< A whole list came since the start or the last gap.
-  bool reading = false;
-  bool watching = false;  ///< What is being read is a watch.
-  Time
-      missed_change_since{};  ///< A peer told of changes that the watch didn't.
-  routing::Changes partial_list;  ///< Of the pages so far.
-  std::string last_key;           ///< Last key of the pages so far.
+  /// A full list was received since the start, or since the store last dropped
+  /// the history that a watch needs.
+  bool has_full_list = false;
+  bool reading = false;   ///< A request to the store is in progress.
+  bool watching = false;  ///< That request is a watch.
+  /// When a peer first sent changes that the watch in progress has not
+  /// returned; default: never.
+  Time missed_change_since{};
+  routing::Changes partial_list;  ///< The pages read so far.
+  std::string last_key;           ///< Last key of those pages.
   net::HttpExchangePtr exchange;
   std::string body;
   int status = 0;
-  milliseconds backoff{};
-  bool waiting_for_rules = false;  ///< Tried again once the rules were read.
+  milliseconds backoff{};          ///< After a failure; 0: none.
+  bool waiting_for_rules = false;  ///< Retried once the rules were read.
   kernel::EventWatcher timer;
   std::uint64_t calls = 0;
 };
 
-/// What one peer said of its load.
+/// The load that one peer reported.
 struct PeerLoads {
   struct Load {
     std::string endpoint;
-    std::uint32_t in_flight = 0;
-    std::uint32_t waiting_tokens = 0;
+    std::uint32_t in_flight = 0;       ///< Requests of the peer.
+    std::uint32_t waiting_tokens = 0;  ///< Prompt tokens that wait there.
   };
   Time received_at{};
   std::vector<Load> loads;
@@ -132,7 +136,7 @@
 };
 using PeerNetworkPtr = std::unique_ptr<PeerNetwork, PeerNetworkDelete>;
 
-/// Series made on first use.
+/// Metric series that are created on first use.
 struct MetricSeries {
   std::map<std::string, ClassMetrics> classes;
   std::unordered_map<std::string, kernel::CounterHandle> calls;  ///< By labels.
@@ -147,7 +151,7 @@
   MetricSeries series;
   kernel::Random random;
 
-  // What it knows.
+  // Data from the store and from peers.
   routing::Catalog catalog;
   routing::RouteTablePtr rules;
   Time rules_since{};
@@ -158,46 +162,48 @@
   routing::FleetDemand fleet_demand;
   std::unordered_map<std::string, routing::NodeRetryBudget> retry_budgets;
   routing::Suspects suspects;
-  Time last_store_failure{};  ///< Last failed call; default: none.
+  Time last_store_failure{};  ///< Last failed call to the store; default: none.
 
-  // What it does.
+  // Servers, calls in progress and timers.
   std::unique_ptr<net::HttpClient> client;
   std::unique_ptr<net::HttpServer> caller_server;
   std::unique_ptr<net::HttpServer> ready_server;
   std::unique_ptr<net::HttpServer> directory_server;
   std::unique_ptr<net::HttpServer> metrics_server;
   std::array<StoreReader, routing::kFeedCount> readers;
-  bool reads_store = false;  ///< Else other nodes read it for this one.
-  /// A node that knows nothing reads the store from then on.
+  bool reads_store = false;  ///< Otherwise peers read the store for this node.
+  /// From this time on a node without data reads the store itself.
   Time initial_read_at{};
   std::unordered_map<std::uint64_t, CallPtr> calls;
+  /// Calls that wait for an endpoint, by tier and number.
   std::map<std::pair<routing::Tier, std::uint64_t>, CallPtr> waiting_calls;
   kernel::EventWatcher waiting_timer;
   bool waiting_timer_armed = false;
-  std::size_t body_bytes = 0;
-  std::uint64_t last_number = 0;
+  std::size_t body_bytes = 0;     ///< Size of the bodies of all calls.
+  std::uint64_t last_number = 0;  ///< Last number of a call or an attempt.
   Time last_tick_at{};
   Time last_exchange_at{};  ///< When the last exchange began.
   kernel::EventWatcher tick_timer;
   kernel::EventWatcher exchange_timer;
-  kernel::EventWatcher standby_timer;  ///< While it reads the store.
+  kernel::EventWatcher standby_timer;  ///< Set while the node reads the store.
   kernel::EventWatcher standby_start_timer;
   bool leaving = false;
   Time leaving_since{};
-  Time stopped_listening_at{};  ///< Default: it listens.
-  Time cut_at{};         ///< When the stop ended what was left; default: not.
+  Time stopped_listening_at{};  ///< Default: the node still listens.
+  Time cut_at{};                ///< When the stop ended the calls in progress;
+                                ///< default: not yet.
   std::size_t cut = 0;   ///< Calls ended by the stop before their answers.
-  PeerNetworkPtr peers;  ///< Last, so that it goes first.
+  PeerNetworkPtr peers;  ///< The last member, so that it is destroyed first.
 };
 
 inline Time NowOf(const Proxy& proxy) { return kernel::Now(proxy.loop->clock); }
 
-/// Whole milliseconds from one moment to another.
+/// Returns the time between two moments, truncated to milliseconds.
 inline milliseconds Elapsed(Time from, Time to) {
   return std::chrono::duration_cast<milliseconds>(to - from);
 }
 
-/// Those among whom the allowance of repeats is shared.
+/// Returns the fleet among whose nodes the retry budget is shared.
 inline routing::RetryBudgetFleet MakeRetryBudgetFleet(Proxy& proxy) {
   const Time now = NowOf(proxy);
   return {routing::EstimateFleetSize(proxy.members, now),
@@ -205,116 +211,138 @@
 }
 
 // metrics.cc
-/// Counts one event under a label.
+/// Increments the counter `name` with `labels`; creates it on first use.
 void IncrementCounter(Proxy& proxy, const char* name, const char* help,
                       const std::string& labels);
-/// Times of a class, which is named as the route.
+/// Returns the histograms of a class; classes have the names of routes. Classes
+/// beyond `kMaxMeasuredClasses` share one set.
 const ClassMetrics* GetClassMetrics(Proxy& proxy, const std::string& cls);
 /// Counts a call that has ended.
 void CountCall(Proxy& proxy, const Call& call, const char* reason);
-/// Sets what is shown of the moment.
+/// Sets all gauges to their current values.
 void UpdateGauges(Proxy& proxy);
 
 // calls.cc
-/// A caller's request was read.
+/// Routes a caller's request that was received completely, or rejects it.
 void OnRequest(Proxy& proxy, const net::HttpCallPtr& caller);
-/// Sends the call now, lets it wait, or refuses it.
+/// Sends the call to an endpoint, queues it, or refuses it.
 void Dispatch(Proxy& proxy, const CallPtr& call);
-/// Tries those that wait, in their order.
+/// Tries to dispatch all waiting calls, in the order of the queue.
 void DispatchWaiting(Proxy& proxy);
-/// Ends the call without an endpoint's answer.
+/// Answers the call with an error of this node and ends it. The answer has
+/// `retry_after` only if the request has not run.
 void RefuseCall(Proxy& proxy, const CallPtr& call, int status, const char* code,
                 milliseconds retry_after);
-/// Hash of what the call asks for and who asks: it stays when the call comes
-/// again under another id.
+/// Returns a hash of the account, target and body. A caller that sends the same
+/// request again under another id gets the same fingerprint.
 std::uint64_t GetFingerprint(Call& call);
-/// The caller has its end; forgets the call.
+/// Records the end of a call and removes it. `outcome` is the reason in logs
+/// and metrics.
 void EndCall(Proxy& proxy, const CallPtr& call, const char* outcome);
 
-/// True when an endpoint may run the request, or may have.
+/// Returns true if an endpoint may be running the request or may have run it.
 inline bool WasSent(const Call& call) {
   return call.may_have_run > 0 ||
          (call.attempt != nullptr && call.attempt->request_sent);
 }
-/// Ends the call without a whole answer, as truthfully as its state allows: a
-/// begun answer is broken off, a request that left this node may have run, any
-/// other has not.
+/// Ends the call without a complete answer. If the answer has begun, its
+/// connection is closed. Otherwise a call that was sent gets `status_if_sent`,
+/// which says that it may have run, and any other call gets 503, which says
+/// that it has not.
 void AbortCall(Proxy& proxy, const CallPtr& call, int status_if_sent,
                const char* code, milliseconds retry_after);
 
 // stop.cc
-/// Answers that callers have not taken yet.
+/// Returns the number of answers that callers have not yet received.
 std::size_t CountUndeliveredAnswers(const Proxy& proxy);
-/// Time since the stop began.
+/// Returns the time since the graceful stop began.
 milliseconds TimeSinceStop(const Proxy& proxy);
-/// False once a stop is too far for any request that arrives.
+/// Returns false once a graceful stop accepts no more requests.
 bool CanAcceptRequests(const Proxy& proxy);
-/// True unless the node stops and the rest of its grace time can't be expected
-/// to hold the call, which no endpoint has run so far.
+/// Returns true unless the node is stopping and the call can't be expected to
+/// finish within the rest of the grace period. For calls that no endpoint has
+/// run so far.
 bool CanStillFinish(Proxy& proxy, const Call& call,
                     const routing::Placement& placement);
-/// What a stop needs done as time passes.
+/// Advances a graceful stop: stops listening, and later ends the calls in
+/// progress. Called at each tick.
 void OnStopTick(Proxy& proxy);
 
-// attempts.cc
+// attempts.cc and attempt_end.cc
+/// Sends the call to the endpoint that was chosen.
 void StartAttempt(Proxy& proxy, const CallPtr& call,
                   const routing::Placement& placement);
-/// Stops the attempt without a decision; the endpoint sees a closed connection.
+/// Cancels the current attempt, if any, without deciding about the call. The
+/// connection to the endpoint is closed.
 void CancelAttempt(Proxy& proxy, const CallPtr& call);
+/// Records how the current attempt ended, and continues or ends the call.
+/// `detail` is for the log.
 void EndAttempt(Proxy& proxy, const CallPtr& call, routing::AttemptOutcome end,
                 const std::string& detail);
 
 // advertised_limits.cc
-/// Takes what an answer says of its endpoint's limit. A success without one, or
-/// a failure of the endpoint's own, says that there is none any more.
+/// Applies the limit that an answer states for its endpoint. A sealed answer
+/// without a limit ends an earlier limit.
 void UpdateEndpointLimit(Proxy& proxy, const Call& call,
                          const AnswerMetadata& metadata);
 
 // answers.cc
-/// A page of the node itself: addresses, readiness, metrics.
+// Pages of the node itself.
 void AnswerDirectory(Proxy& proxy, const net::HttpCallPtr& caller);
 void AnswerReady(Proxy& proxy, const net::HttpCallPtr& caller);
 void AnswerMetrics(Proxy& proxy, const net::HttpCallPtr& caller);
-/// An error in the product's own form.
+/// Returns the JSON body of an error. `ran` states whether the request ran:
+/// `no` or `unknown`.
 std::string ErrorBody(const char* code, std::string_view message,
                       const char* ran);
+/// Answers with an error; `retry_after` of 0 omits the Retry-After field.
 void AnswerError(const net::HttpCallPtr& caller, int status, const char* code,
                  std::string_view message, const char* ran,
                  milliseconds retry_after);
 
 // store.cc
+/// Starts to read the store, now or after a delay in which peers may provide
+/// its data.
 void StartStoreReaders(Proxy& proxy);
-/// Opens the watches anew: what they would bring may be lost.
+/// Restarts the reads in progress, whose answers may be lost.
 void RestartStoreReaders(Proxy& proxy);
-/// Reads the store or leaves it to other nodes, as the fleet is now.
+/// Starts or stops reading the store, depending on whether this node is one of
+/// the readers of the fleet.
 void UpdateStoreReaders(Proxy& proxy);
-/// A peer knows as little as this node: the whole fleet may have just started.
+/// Called when a peer has no data either: the whole fleet may have just
+/// started, so that this node reads the store without further delay.
 void OnPeerWithoutData(Proxy& proxy);
-/// True when this node failed to read the store lately.
+/// Returns true if a read of the store failed at this node recently.
 bool IsStoreTroubled(const Proxy& proxy);
 
 // store_changes.cc
-/// Where news of the store come from; for the log.
+/// The source of changes of the store; for the log.
 enum class ChangeSource : std::uint8_t { kList, kWatch, kPeer };
-/// Takes news of the store. `troubled`: whoever read them failed to read the
-/// store lately.
+/// Applies changes of the store. `troubled` states that the node that read them
+/// recently failed to read the store.
 void ApplyChanges(Proxy& proxy, const routing::Changes& changes,
                   ChangeSource source, bool troubled);
 
 // peers_capnp.cc
+/// Starts to listen for peers and stores the bound address in `address`. Fails
+/// if the address can't be bound.
 kernel::Result<PeerNetworkPtr> OpenPeers(Proxy& proxy, std::string* address);
-/// One exchange with one peer.
+/// Starts an exchange with a peer, or with several while earlier exchanges are
+/// unanswered.
 void Exchange(Proxy& proxy);
-/// Tells `kReaderFanout` peers drawn at random at once.
+/// Starts exchanges with up to `kReaderFanout` random peers at once.
 void ExchangeWithManyPeers(Proxy& proxy);
-/// A reader shows the nodes that would take its place that it is there.
+/// Sends an announcement to the nodes that take over when this reader of the
+/// store falls silent.
 void AnnounceToStandbys(Proxy& proxy);
-/// At the loop's next turn asks peers for what they announced, and announces
-/// what this node has to `announce_count` of them. Not at once: an answer that
-/// is being taken must not end its own connection.
+/// At the next iteration of the loop, fetches what peers announced and sends
+/// announcements to `announce_count` random peers. It is deferred because the
+/// handler of a peer's reply must not close the connection that it runs on.
 void ScheduleFetchAndAnnounce(Proxy& proxy, std::size_t announce_count);
 
 // proxy.cc
+/// Returns true if the node knows the rules and the endpoints and is not
+/// leaving.
 bool IsReady(const Proxy& proxy);
 
 }  // namespace egretladder::proxy
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -24,7 +24,7 @@
                                           : "not-run";
   IncrementCounter(
       proxy, "egretladder_cut_by_stop_total",
-      "Requests ended by the stop of this process before their answers.",
+      "Requests ended by the stop of this process before they were answered.",
       std::string("how=\"") + outcome + "\"");
   kernel::LogEvent(LogPart::kRoute, LogLevel::kWarning, "cut-by-stop",
                    {{"req", call.metadata.id},
@@ -36,9 +36,9 @@
                     {"events_longest", call.demand.longest}});
 }
 
-// The grace time holds them no longer. Ended here, each caller learns what
-// became of its request; ended with the process, all would see a connection
-// that closes.
+// Ends all calls in progress, since the grace period is nearly over. Each
+// caller learns here what became of its request. If the process ended first,
+// all callers would only see a closed connection.
 void CutCalls(Proxy& proxy) {
   std::vector<CallPtr> calls;
   calls.reserve(proxy.calls.size());
@@ -54,7 +54,7 @@
                     const routing::StopAdmissionInput& input,
                     routing::StopAdmissionVerdict verdict) {
   IncrementCounter(proxy, "egretladder_stop_requests_total",
-                   "Requests that met a node that stops, by what was decided.",
+                   "Requests at a stopping node, by verdict.",
                    std::string("verdict=\"") + routing::NameOf(verdict) + "\"");
   kernel::LogEvent(LogPart::kRoute, LogLevel::kInfo, "met-stop",
                    {{"req", call.metadata.id},
@@ -79,9 +79,9 @@
   return plan;
 }
 
-// A call is over for the node when its last byte is handed to the connection.
-// A process that ended then would cut answers that endpoints ran to their end:
-// callers see a stream without its last chunk.
+// A call ends when its last byte is handed to the connection, which may still
+// have to write it. A process that exits at that point cuts off answers that
+// endpoints have completed: callers see a stream without its last chunk.
 std::size_t CountUndeliveredAnswers(const Proxy& proxy) {
   return proxy.caller_server->undelivered() +
          proxy.directory_server->undelivered() +
@@ -132,9 +132,9 @@
   if (proxy.leaving) return;
   const Time now = NowOf(proxy);
   proxy.leaving = true;
-  // The signal may have come at any time of a pause, and the platform counts
-  // the grace from the signal: counted from the pause's end, the process would
-  // be killed before it has told its callers anything.
+  // The signal may have come at any time during a pause of the process, and the
+  // platform counts the grace period from the signal. Counted from the end of
+  // the pause, the process would be killed before it has answered its callers.
   const bool was_paused = now - proxy.last_tick_at > kMinProcessPause;
   proxy.leaving_since = was_paused ? proxy.last_tick_at : now;
   proxy.members.self.leaving = true;
@@ -142,9 +142,9 @@
   ExchangeWithManyPeers(proxy);
 }
 
-// What was sent before the node stopped listening may not be read yet, and a
-// process that was late may have cut nothing so far: its callers would see a
-// connection that closes.
+// Requests sent before the node stopped listening may not be read yet, and a
+// process whose loop is late may not have ended its calls so far. If the
+// process exited then, those callers would only see a closed connection.
 bool CanShutDown(const Proxy& proxy) {
   if (!proxy.leaving) return false;
   const Time now = NowOf(proxy);
--- a/proxy/src/store.cc
+++ b/proxy/src/store.cc
@@ -1,4 +1,4 @@
-// Reading the platform's store: each feed is listed once and then watched.
+// Reads the platform's store: lists each feed once and then watches it.
 #include <algorithm>
 
 #include "state_p.h"
@@ -13,24 +13,25 @@
 constexpr int kOk = 200;
 constexpr int kHistoryGone = 410;
 
-void Read(Proxy& proxy, StoreReader& reader);
+void StartRead(Proxy& proxy, StoreReader& reader);
 
 std::uint64_t GetKnownRevision(const Proxy& proxy, Feed feed) {
   return routing::GetFeedState(proxy.catalog, feed).revision;
 }
 
 void ScheduleRead(Proxy& proxy, StoreReader& reader, milliseconds delay) {
-  reader.timer = kernel::RunAfter(*proxy.loop, delay,
-                                  [&proxy, &reader] { Read(proxy, reader); });
+  reader.timer = kernel::RunAfter(
+      *proxy.loop, delay, [&proxy, &reader] { StartRead(proxy, reader); });
 }
 
-// The wait after one more failed call, before its jitter.
-milliseconds NextBackoff(milliseconds before) {
-  return before.count() == 0 ? kInitialStoreBackoff
-                             : std::min(2 * before, kMaxStoreBackoff);
+// Returns the delay after one more failed call, without jitter.
+milliseconds NextBackoff(milliseconds previous) {
+  return previous.count() == 0 ? kInitialStoreBackoff
+                               : std::min(2 * previous, kMaxStoreBackoff);
 }
 
-// One feed is enough to notice that the store is back.
+// While the store fails, only the reader of the rules retries: one feed is
+// enough to notice that the store is back.
 bool ShouldWaitForRules(Proxy& proxy, const StoreReader& reader) {
   const StoreReader& rules =
       proxy.readers[static_cast<std::size_t>(Feed::kRules)];
@@ -43,7 +44,8 @@
   proxy.last_store_failure = NowOf(proxy);
   reader.missed_change_since = {};
   reader.backoff = NextBackoff(reader.backoff);
-  // Jittered: all nodes lost the store together.
+  // The jitter spreads the retries, since all nodes lose the store at the same
+  // time.
   const auto jitter = milliseconds(kernel::RandomBelow(
       proxy.random, static_cast<std::uint64_t>(reader.backoff.count())));
   kernel::LogEvent(LogPart::kPlatform, LogLevel::kWarning, "store-not-read",
@@ -67,7 +69,7 @@
   reader.backoff = {};
   if (reader.feed != Feed::kRules) return;
   for (StoreReader& other : proxy.readers) {
-    if (std::exchange(other.waiting_for_rules, false)) Read(proxy, other);
+    if (std::exchange(other.waiting_for_rules, false)) StartRead(proxy, other);
   }
 }
 
@@ -79,8 +81,8 @@
   }
   OnReadSucceeded(proxy, reader);
   if (reader.last_key.empty()) {
-    // Pages are no snapshot: what changes between them is in the watch that
-    // goes on from the first.
+    // The pages are not a snapshot. The watch starts at the revision of the
+    // first page, so that it returns the changes made between the pages.
     reader.partial_list = {};
     reader.partial_list.feed = reader.feed;
     reader.partial_list.whole = true;
@@ -92,14 +94,14 @@
   std::move(items.begin(), items.end(),
             std::back_inserter(reader.partial_list.items));
   if (has_more) {
-    Read(proxy, reader);
+    StartRead(proxy, reader);
     return;
   }
   reader.last_key.clear();
   reader.has_full_list = true;
   ApplyChanges(proxy, std::exchange(reader.partial_list, {}),
                ChangeSource::kList, IsStoreTroubled(proxy));
-  Read(proxy, reader);
+  StartRead(proxy, reader);
 }
 
 void ApplyWatchResult(Proxy& proxy, StoreReader& reader) {
@@ -112,11 +114,11 @@
   const bool changed = !changes.value().items.empty();
   ApplyChanges(proxy, changes.value(), ChangeSource::kWatch,
                IsStoreTroubled(proxy));
-  // Each watch is a call, and changes often come several together.
+  // Each watch is a call to the store, and changes often come in groups.
   if (changed) {
     ScheduleRead(proxy, reader, kWatchBatchDelay);
   } else {
-    Read(proxy, reader);
+    StartRead(proxy, reader);
   }
 }
 
@@ -129,7 +131,7 @@
     kernel::LogEvent(LogPart::kPlatform, LogLevel::kWarning, "history-gone",
                      {{"feed", routing::NameOf(reader.feed)}});
     reader.has_full_list = false;
-    Read(proxy, reader);
+    StartRead(proxy, reader);
     return;
   }
   if (reader.status != kOk) {
@@ -144,13 +146,14 @@
   }
 }
 
-// What is asked of a silent store is lost, and a long wait for it would hide
-// that the store is back.
+// Returns how long a watch asks the store to wait for changes. A request to a
+// silent store is lost, and a long wait for it would delay noticing that the
+// store is back.
 milliseconds GetWatchTimeout(const StoreReader& reader) {
   return reader.backoff.count() > 0 ? kWatchRetryTimeout : kWatchTimeout;
 }
 
-void Read(Proxy& proxy, StoreReader& reader) {
+void StartRead(Proxy& proxy, StoreReader& reader) {
   if (reader.reading) return;
   reader.reading = true;
   reader.watching = reader.has_full_list;
@@ -180,7 +183,7 @@
     reader.body.append(piece);
   };
   handlers.on_end = [&proxy, &reader] { OnReadEnd(proxy, reader); };
-  handlers.on_error = [&proxy, &reader](net::ExchangeError /*fault*/,
+  handlers.on_error = [&proxy, &reader](net::ExchangeError /*error*/,
                                         const std::string& detail) {
     reader.timer = {};
     reader.exchange = nullptr;
@@ -207,19 +210,20 @@
   reader.missed_change_since = {};
 }
 
-// A watch whose connection fell silent, or whose answer was lost, looks like
-// one that has nothing to tell. That peers know of changes shows it long before
-// it ends by itself.
+// Restarts a watch that is lost. A watch whose connection fell silent or whose
+// answer was lost looks like one without changes. Changes received from peers
+// reveal it long before its timeout.
 void RestartLostWatch(Proxy& proxy, StoreReader& reader) {
   if (!reader.watching || !reader.reading) return;
   if (reader.missed_change_since == Time{}) return;
   if (NowOf(proxy) - reader.missed_change_since < kLostWatchTimeout) return;
   StopReader(reader);
-  OnReadFailed(proxy, reader, "a peer told of changes that the watch didn't");
+  OnReadFailed(proxy, reader, "the watch missed changes that a peer sent");
 }
 
-// The first time at the loop's next turn: an answer of a peer that is being
-// taken must not end its own connection.
+// Announces this reader to its standbys, now and periodically. The first
+// announcement is deferred to the next iteration of the loop because the
+// handler of a peer's reply must not close the connection that it runs on.
 void ScheduleStandbyAnnouncements(Proxy& proxy) {
   proxy.standby_timer = {};
   proxy.standby_start_timer = {};
@@ -241,8 +245,8 @@
 void StartStoreReaders(Proxy& proxy) {
   proxy.readers[0].feed = Feed::kRules;
   proxy.readers[1].feed = Feed::kEndpoints;
-  // A new fleet has time: its first nodes read the store for all. One that runs
-  // has nodes that know everything already.
+  // In a new fleet, the seeds read the store for all nodes and the others wait.
+  // In a running fleet, the peers already have all data.
   const auto& seeds = proxy.options.seeds;
   const std::string& own_address = proxy.members.self.peers;
   const bool is_seed =
@@ -270,7 +274,7 @@
   if (!proxy.reads_store) return;
   for (StoreReader& reader : proxy.readers) {
     StopReader(reader);
-    Read(proxy, reader);
+    StartRead(proxy, reader);
   }
 }
 
@@ -278,7 +282,7 @@
   const Time now = NowOf(proxy);
   proxy.members.self.store_troubled = IsStoreTroubled(proxy);
   for (StoreReader& reader : proxy.readers) RestartLostWatch(proxy, reader);
-  // A node that has nothing yet reads for itself, whoever else does.
+  // A node without data reads the store itself, even if other nodes read it.
   const bool has_all_feeds = proxy.rules != nullptr &&
                              proxy.readers[0].has_full_list &&
                              proxy.readers[1].has_full_list;
@@ -291,7 +295,7 @@
                     {"nodes", proxy.members.others.size() + 1}});
   for (StoreReader& reader : proxy.readers) {
     if (should_read) {
-      Read(proxy, reader);
+      StartRead(proxy, reader);
     } else {
       StopReader(reader);
     }
--- a/proxy/src/store_changes.cc
+++ b/proxy/src/store_changes.cc
@@ -1,4 +1,4 @@
-// What the proxy makes of news of the store, whoever brought them.
+// Applies changes of the store that this node or a peer has read.
 #include <algorithm>
 
 #include "state_p.h"
@@ -22,13 +22,13 @@
   return "peer";
 }
 
-// What a peer has of a whole feed is as good as a list of one's own.
+// A full list from a peer replaces the node's own list request.
 void OnFullListFromPeer(StoreReader& reader) {
   if (!reader.reading) reader.has_full_list = true;
 }
 
 void ApplyRules(Proxy& proxy, const routing::Item& item, ChangeSource source) {
-  if (item.removed) return;  // The last good version stays in force.
+  if (item.removed) return;  // The last valid version stays in force.
   auto rules = proxy.dialect->read_rules(item.value);
   if (!rules) {
     kernel::LogEvent(LogPart::kRules, LogLevel::kError, "rules-refused",
@@ -74,16 +74,17 @@
                     {"rev", rev}});
 }
 
-// Entries that all go at once are the store's fault rather than theirs.
+// Returns true if so many endpoints are removed at once that an outage of the
+// store is more likely than their own end.
 bool IsMassRemoval(const Proxy& proxy,
                    const std::vector<routing::Item>& changed_items) {
   constexpr std::size_t kMinRemovals = 3;
-  constexpr std::size_t kMinRemovalDivisor = 3;
+  constexpr std::size_t kMinRemovalShare = 3;  // One in so many endpoints.
   const auto removed = static_cast<std::size_t>(
       std::count_if(changed_items.begin(), changed_items.end(),
                     [](const routing::Item& item) { return item.removed; }));
   return removed >= kMinRemovals &&
-         removed * kMinRemovalDivisor >= proxy.endpoints.by_id.size();
+         removed * kMinRemovalShare >= proxy.endpoints.by_id.size();
 }
 
 void ApplyEndpoint(Proxy& proxy, const routing::Item& item, ChangeSource source,
@@ -144,7 +145,8 @@
     }
   }
   if (changed_items.empty()) return;
-  // Other nodes hear of it now rather than in some rounds.
+  // Announces the changes at once; exchanges alone take several rounds to
+  // spread them.
   if (!routing::IsSmallFleet(proxy.members)) {
     ScheduleFetchAndAnnounce(proxy, source == ChangeSource::kPeer
                                         ? routing::kRelayFanout
