--- a/proxy/tests/callers_test.cc
+++ b/proxy/tests/callers_test.cc
@@ -1,4 +1,4 @@
-// Callers that go, wait or send too much.
+// Callers that disconnect, wait or send too much.
 #include <CppUTest/TestHarness.h>
 
 #include "harness.h"
@@ -8,12 +8,12 @@
 
 namespace {
 
-int CountIn(const std::string& text, const std::string& part) {
+int CountOccurrences(const std::string& text, const std::string& pattern) {
   int count = 0;
-  std::size_t at = text.find(part);
-  while (at != std::string::npos) {
+  std::size_t position = text.find(pattern);
+  while (position != std::string::npos) {
     ++count;
-    at = text.find(part, at + 1);
+    position = text.find(pattern, position + 1);
   }
   return count;
 }
@@ -23,10 +23,11 @@
 TEST_GROUP(Callers) {
   et::TestEnvironment env;
 
-  // A request whose body is larger than what an endpoint that doesn't read and
-  // the system between them hold, when a part of it has left.
-  et::TestConnection& SendHalf(ep::Proxy & proxy,
-                               const et::FakeEndpoint& endpoint) {
+  // Sends a request whose body is larger than the socket buffers between the
+  // node and an endpoint that doesn't read, and waits until a part of it was
+  // sent.
+  et::TestConnection& SendPartOfBody(ep::Proxy & proxy,
+                                     const et::FakeEndpoint& endpoint) {
     et::TestConnection& caller =
         env.SendRequest(proxy, {.path = "/once/a",
                                 .id = "large",
@@ -39,14 +40,15 @@
   }
 };
 
-// A caller goes while its large body still goes out to an endpoint that reads
-// slowly. On a connection that was used again, the next request would be read
-// as the rest of that body, or as a second request of the first caller.
-TEST(Callers, ABodyThatIsHalfSentEndsItsConnection) {
+// A caller disconnects while its large body is still being sent to an endpoint
+// that reads slowly. If the connection were reused, the endpoint would read the
+// next request as the rest of that body, or as a second request of the first
+// caller.
+TEST(Callers, PartlySentBodyClosesConnection) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::AnswerImmediately());
   endpoint.PauseReading(true);
   ep::Proxy& proxy = env.StartReadyNode();
-  SendHalf(proxy, endpoint).Close();
+  SendPartOfBody(proxy, endpoint).Close();
   env.WaitUntil([&proxy] { return ep::ViewOf(proxy).calls == 0; });
   et::TestConnection& next =
       env.SendRequest(proxy, {.path = "/once/b", .id = "next"});
@@ -58,17 +60,18 @@
   STRCMP_EQUAL("200", et::DescribeAnswer(next).c_str());
   LONGS_EQUAL(1, endpoint.requests().size());
   STRCMP_EQUAL("next", endpoint.requests()[0].id().c_str());
-  LONGS_EQUAL(1, CountIn(first.received(), "POST "));
+  LONGS_EQUAL(1, CountOccurrences(first.received(), "POST "));
   CHECK(first.received().size() < 12U << 20U);
 }
 
 // An endpoint refuses a large body before it has read it. The rest of the body
-// still waits to be sent; the next caller's request would stand behind it.
-TEST(Callers, AnAnswerBeforeTheBodyIsSentEndsItsConnection) {
+// is still to be sent on that connection, so that the next request must use
+// another one.
+TEST(Callers, AnswerBeforeEndOfBodyClosesConnection) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::AnswerImmediately());
   endpoint.PauseReading(true);
   ep::Proxy& proxy = env.StartReadyNode();
-  const et::TestConnection& caller = SendHalf(proxy, endpoint);
+  const et::TestConnection& caller = SendPartOfBody(proxy, endpoint);
   endpoint.connections()[0]->Send(et::FormatAnswer("large", 413, "too large"));
   env.WaitUntil([&caller] { return !et::DescribeAnswer(caller).empty(); });
   STRCMP_EQUAL("413", et::DescribeAnswer(caller).c_str());
@@ -81,25 +84,26 @@
   LONGS_EQUAL(1, endpoint.requests().size());
 }
 
-// A caller goes in the middle of its stream. An engine that went on for nobody
-// would keep others waiting.
-TEST(Callers, WhenACallerLeavesItsStreamTheEndpointIsTold) {
+// A caller disconnects in the middle of its stream. An engine that goes on
+// working for it would delay other callers.
+TEST(Callers, EndpointIsDisconnectedWhenCallerLeavesStream) {
   et::FakeEndpoint& endpoint = env.AddEndpoint(
       "e1",
       [](const et::EndpointRequest& request) { request.BeginStream(1, 3); });
   ep::Proxy& proxy = env.StartReadyNode();
   et::TestConnection& caller = env.SendRequest(proxy, {.path = "/talk/a"});
-  env.WaitUntil([&caller] { return CountIn(caller.received(), "data:") == 3; });
+  env.WaitUntil(
+      [&caller] { return CountOccurrences(caller.received(), "data:") == 3; });
   caller.Close();
   env.WaitUntil([&endpoint] { return endpoint.connections()[0]->ended(); });
   LONGS_EQUAL(0, ep::ViewOf(proxy).calls);
   LONGS_EQUAL(1, endpoint.requests().size());
 }
 
-// The second of two requests that a caller sends at once is not read when the
-// node stops. Closed with it unread, the connection would be reset and take the
-// first one's answer with it.
-TEST(Callers, UnreadBytesBehindTheLastRequestDoNotCostItsAnswer) {
+// A caller pipelines two requests, and the node stops before it has read the
+// second one. Closing the connection with unread data resets it, and the caller
+// loses the answer to the first request.
+TEST(Callers, UnreadPipelinedRequestDoesNotLoseAnswer) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
   et::TestConnection& caller =
@@ -119,9 +123,9 @@
   LONGS_EQUAL(1, endpoint.requests().size());
 }
 
-// Bodies of some callers fill the part of the memory that is kept for them. One
-// more is refused while there is no room, and taken once there is.
-TEST(Callers, ABodyWithoutRoomIsRefusedUntilOthersHaveEnded) {
+// The bodies of requests fill the memory that is reserved for them. A further
+// body is refused until another call has ended.
+TEST(Callers, BodyBeyondMemoryLimitIsRefusedUntilOthersEnd) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
   env.Publish();
   ep::ProxyOptions options = env.MakeOptions("n1");
@@ -138,11 +142,11 @@
   endpoint.requests()[0].Answer(200, "done");
   env.WaitUntil([&first] { return !et::DescribeAnswer(first).empty(); });
   STRCMP_EQUAL("200", et::DescribeAnswer(first).c_str());
-  // One that its caller gives up has room to give back as well.
-  et::TestConnection& given_up =
+  // A call that its caller abandons releases its memory, too.
+  et::TestConnection& abandoned =
       env.SendRequest(proxy, {.path = "/once/c", .body = body});
   env.WaitUntil([&endpoint] { return endpoint.requests().size() == 2; });
-  given_up.Close();
+  abandoned.Close();
   env.WaitUntil([&proxy] { return ep::ViewOf(proxy).calls == 0; });
   const et::TestConnection& third =
       env.SendRequest(proxy, {.path = "/once/d", .body = body});
@@ -152,10 +156,10 @@
   STRCMP_EQUAL("200", et::DescribeAnswer(third).c_str());
 }
 
-// The time of two callers ends while their requests are at an endpoint, that of
-// a third while it waits for a free place there. Only the third may be told
-// that nothing ran.
-TEST(Callers, AtTheDeadlineOnlyWhatWasNeverSentIsToldAsNotRun) {
+// The deadlines of two requests end while they are at an endpoint, and that of
+// a third one while it waits for a free slot. Only the third caller may be told
+// that its request has not run.
+TEST(Callers, OnlyUnsentRequestsAreReportedNotRunAtDeadline) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
   const et::TestConnection& first =
@@ -177,10 +181,10 @@
   LONGS_EQUAL(2, endpoint.requests().size());
 }
 
-// A read breaks at an endpoint, which goes, and waits for another until its
-// caller's time is up. It may have run: its caller must not be told that it
-// didn't.
-TEST(Callers, WhatWaitsAfterABreakIsNotToldAsNotRun) {
+// The connection of an idempotent request breaks at an endpoint that then
+// disappears, and the request waits for another endpoint until its deadline. It
+// may have run, so that its caller must not be told that it has not.
+TEST(Callers, RequestWaitingAfterBreakIsReportedAsUnknown) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
   const et::TestConnection& caller =
--- a/proxy/tests/endpoint_failures_test.cc
+++ b/proxy/tests/endpoint_failures_test.cc
@@ -1,4 +1,4 @@
-// Endpoints whose answers break off, belong to nobody or never come.
+// Endpoints whose answers break off, answer another request or never come.
 #include <CppUTest/TestHarness.h>
 
 #include "harness.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::size_t SeenBy(const std::vector<et::FakeEndpoint*>& endpoints) {
+std::size_t CountRequests(const std::vector<et::FakeEndpoint*>& endpoints) {
   std::size_t requests = 0;
   for (const et::FakeEndpoint* endpoint : endpoints)
     requests += endpoint->requests().size();
@@ -17,21 +17,21 @@
 
 }  // namespace
 
-TEST_GROUP(Ends) {
+TEST_GROUP(EndpointFailures) {
   et::TestEnvironment env;
-  // What the endpoints do with a part of an answer.
-  std::string part;
-  bool resets = false;
+  // The part of an answer that the endpoints send before they disconnect.
+  std::string partial_answer;
+  bool use_reset = false;
 
-  et::FakeEndpoint::Handler Cut() {
+  et::FakeEndpoint::Handler SendPartAndDisconnect() {
     return [this](const et::EndpointRequest& request) {
-      request.connection->Send(part);
-      resets ? request.connection->Reset() : request.connection->Close();
+      request.connection->Send(partial_answer);
+      use_reset ? request.connection->Reset() : request.connection->Close();
     };
   }
 
-  // Starts a node whose requests may not be sent a second time.
-  ep::Proxy& StartWithoutRetries(std::size_t endpoints) {
+  // Starts a node without a retry budget.
+  ep::Proxy& StartNodeWithoutRetries(std::size_t endpoints) {
     env.Publish();
     ep::ProxyOptions options = env.MakeOptions("n1");
     options.retries = {0, 0, std::chrono::seconds(10)};
@@ -40,8 +40,9 @@
     return proxy;
   }
 
-  // Asks and waits until the answer or the connection ends.
-  et::TestConnection& Run(ep::Proxy & proxy, const et::TestRequest& request) {
+  // Sends a request and waits for its answer or the end of the connection.
+  et::TestConnection& SendAndWaitForEnd(ep::Proxy & proxy,
+                                        const et::TestRequest& request) {
     et::TestConnection& caller = env.SendRequest(proxy, request);
     env.WaitUntil([&caller] {
       return !et::DescribeAnswer(caller).empty() || caller.ended();
@@ -50,77 +51,86 @@
   }
 };
 
-// An endpoint dies somewhere in its answer to an order: before the first byte,
-// in its fields, in its body. Nobody knows whether the order was placed; it is
-// not sent again, and its caller is not told that it was not. Right after the
-// last byte the answer is whole.
-TEST(Ends, AnOrderThatIsCutAnywhereIsToldAsUnknown) {
-  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", Cut());
+// An endpoint dies while it answers a request that is not idempotent: before
+// the first byte, in the header fields or in the body. The request may have
+// run, so that it is not sent again, and its caller must not be told that it
+// has not run. If the endpoint dies right after the last byte, the answer is
+// complete.
+TEST(EndpointFailures, AnswerCutAnywhereIsReportedAsUnknown) {
+  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", SendPartAndDisconnect());
   ep::Proxy& proxy = env.StartReadyNode();
-  const std::string whole = et::FormatAnswer("r", 200, "done");
-  std::size_t asked = 0;
-  for (const bool by_reset : {false, true}) {
-    resets = by_reset;
-    for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
-      part = whole.substr(0, cut);
-      const et::Answer answer =
-          env.SendAndWait(proxy, {.path = "/once/" + std::to_string(++asked)});
-      const std::string told = et::DescribeAnswer(answer);
-      const char* expected = cut < whole.size() ? "502 unknown" : "200";
-      STRCMP_EQUAL_TEXT(expected, told.c_str(), part.c_str());
-      if (cut == whole.size()) STRCMP_EQUAL("done", answer.body.c_str());
+  const std::string complete_answer = et::FormatAnswer("r", 200, "done");
+  std::size_t request_count = 0;
+  for (const bool reset : {false, true}) {
+    use_reset = reset;
+    for (std::size_t cut_length = 0; cut_length <= complete_answer.size();
+         ++cut_length) {
+      partial_answer = complete_answer.substr(0, cut_length);
+      const et::Answer answer = env.SendAndWait(
+          proxy, {.path = "/once/" + std::to_string(++request_count)});
+      const std::string description = et::DescribeAnswer(answer);
+      const char* expected =
+          cut_length < complete_answer.size() ? "502 unknown" : "200";
+      STRCMP_EQUAL_TEXT(expected, description.c_str(), partial_answer.c_str());
+      if (cut_length == complete_answer.size())
+        STRCMP_EQUAL("done", answer.body.c_str());
     }
   }
-  LONGS_EQUAL(asked, endpoint.requests().size());
+  LONGS_EQUAL(request_count, endpoint.requests().size());
 }
 
-// An engine dies somewhere in a stream that may not go on elsewhere. Its caller
-// gets the whole events up to there, and an end that doesn't look like one.
-TEST(Ends, AStreamThatIsCutAnywhereDoesNotLookWhole) {
-  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", Cut());
+// An engine dies at any point of a stream that can't be resumed elsewhere. Its
+// caller gets the complete events up to that point, and the stream must not
+// look complete.
+TEST(EndpointFailures, StreamCutAnywhereLooksIncomplete) {
+  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", SendPartAndDisconnect());
   ep::Proxy& proxy = env.StartReadyNode();
   const std::string head = et::FormatStreamHead("r");
-  const std::string first = head + et::FormatEventChunk(1);
-  const std::string whole = first + et::FormatEventChunk(2) + et::kLastChunk;
-  std::size_t asked = 0;
-  for (const bool by_reset : {false, true}) {
-    resets = by_reset;
-    for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
-      part = whole.substr(0, cut);
-      const et::TestConnection& caller =
-          Run(proxy, {.path = "/tell/" + std::to_string(++asked)});
+  const std::string up_to_first_event = head + et::FormatEventChunk(1);
+  const std::string complete_answer =
+      up_to_first_event + et::FormatEventChunk(2) + et::kLastChunk;
+  std::size_t request_count = 0;
+  for (const bool reset : {false, true}) {
+    use_reset = reset;
+    for (std::size_t cut_length = 0; cut_length <= complete_answer.size();
+         ++cut_length) {
+      partial_answer = complete_answer.substr(0, cut_length);
+      const et::TestConnection& caller = SendAndWaitForEnd(
+          proxy, {.path = "/tell/" + std::to_string(++request_count)});
       const auto answers = et::ParseAnswers(caller.received());
-      if (cut == whole.size()) {
+      if (cut_length == complete_answer.size()) {
         LONGS_EQUAL(1, answers.size());
         CHECK(answers[0].body == et::FormatEvents(1, 2));
       } else if (!answers.empty()) {
         STRCMP_EQUAL_TEXT("502 unknown", et::DescribeAnswer(caller).c_str(),
-                          part.c_str());
-        CHECK(cut < first.size());
+                          partial_answer.c_str());
+        CHECK(cut_length < up_to_first_event.size());
       } else {
         CHECK(caller.received().find(et::FormatEvents(1, 1)) !=
               std::string::npos);
       }
     }
   }
-  LONGS_EQUAL(asked, endpoint.requests().size());
+  LONGS_EQUAL(request_count, endpoint.requests().size());
 }
 
-// An endpoint ends the connection right behind each answer, without saying so
-// in it. Orders that follow at once must not go over the dead connection, where
-// their outcome would be unknown.
-TEST(Ends, AConnectionThatEndedBehindItsAnswerIsNotUsedAgain) {
-  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", Cut());
+// An endpoint closes the connection right after each answer, without announcing
+// it in the answer. Requests that follow at once must not be sent over the
+// closed connection, where their outcome would be unknown.
+TEST(EndpointFailures, ConnectionClosedAfterAnswerIsNotReused) {
+  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", SendPartAndDisconnect());
   ep::Proxy& proxy = env.StartReadyNode();
-  part = et::FormatAnswer("r", 200, "done");
+  partial_answer = et::FormatAnswer("r", 200, "done");
   et::TestConnection& caller = env.Connect(ep::ViewOf(proxy).callers);
-  for (const bool by_reset : {false, true}) {
-    resets = by_reset;
+  for (const bool reset : {false, true}) {
+    use_reset = reset;
     for (int i = 0; i < 10; ++i) {
-      const std::size_t before = et::ParseAnswers(caller.received()).size();
+      const std::size_t answers_before =
+          et::ParseAnswers(caller.received()).size();
       caller.Send(et::FormatRequest({.path = "/once/a"}));
-      env.WaitUntil(
-          [&] { return et::ParseAnswers(caller.received()).size() > before; });
+      env.WaitUntil([&] {
+        return et::ParseAnswers(caller.received()).size() > answers_before;
+      });
       STRCMP_EQUAL(
           "200", et::DescribeAnswer(et::ParseAnswers(caller.received()).back())
                      .c_str());
@@ -129,10 +139,10 @@
   LONGS_EQUAL(20, endpoint.requests().size());
 }
 
-// The only answer that comes is that to another request. The caller waits for
-// its own until its time is up, and what comes still later over the same
-// connection reaches nobody.
-TEST(Ends, AnAnswerToAnotherRequestReachesNobody) {
+// An endpoint answers only with the id of another request. The caller waits for
+// its own answer until its deadline, and an answer that arrives even later on
+// that connection is not forwarded to any caller.
+TEST(EndpointFailures, AnswerToAnotherRequestIsDropped) {
   et::FakeEndpoint& endpoint =
       env.AddEndpoint("e1", [](const et::EndpointRequest& request) {
         request.connection->Send(et::FormatAnswer("other", 200, "foreign"));
@@ -152,9 +162,9 @@
   STRCMP_EQUAL("own", et::ParseAnswers(next.received())[0].body.c_str());
 }
 
-// The answer to another request comes before the caller's own. What follows on
-// that connection may be one answer behind from then on, so that it is let go.
-TEST(Ends, AConnectionThatGaveAForeignAnswerIsNotUsedAgain) {
+// The answer to another request precedes the caller's own answer. All later
+// answers on that connection may be off by one, so that it is not reused.
+TEST(EndpointFailures, ConnectionWithForeignAnswerIsNotReused) {
   const et::FakeEndpoint& endpoint =
       env.AddEndpoint("e1", [](const et::EndpointRequest& request) {
         request.connection->Send(et::FormatAnswer("other", 200, "foreign"));
@@ -169,9 +179,9 @@
   LONGS_EQUAL(2, endpoint.connections().size());
 }
 
-// An endpoint says something more on a connection that nobody uses. The next
-// request, which may even have the same id, gets its own answer.
-TEST(Ends, AnAnswerOnAnIdleConnectionReachesNobody) {
+// An endpoint sends another answer on an idle connection. The next request,
+// which may even have the same id, must get its own answer.
+TEST(EndpointFailures, AnswerOnIdleConnectionIsDropped) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::AnswerImmediately());
   ep::Proxy& proxy = env.StartReadyNode();
   STRCMP_EQUAL("200", env.SendAndDescribe(proxy, {.path = "/read/a"}).c_str());
@@ -183,10 +193,10 @@
   LONGS_EQUAL(2, endpoint.connections().size());
 }
 
-// Engines die one after the other under a stream that may go on elsewhere. It
-// goes on once, as its route allows; sent on and on, it would take down one
-// engine after the next. What its caller got must not look whole.
-TEST(Ends, AStreamGoesOnAsOftenAsItsRouteAllows) {
+// Each engine that runs a resumable stream dies. The stream is resumed once, as
+// its route allows. If it were resumed without limit, it could crash one engine
+// after the other. The part that its caller got must not look complete.
+TEST(EndpointFailures, StreamIsResumedAsOftenAsRouteAllows) {
   const auto handler = [](const et::EndpointRequest& request) {
     request.BeginStream(request.last_event_id() + 1,
                         request.last_event_id() + 2);
@@ -197,17 +207,19 @@
     endpoints.push_back(&env.AddEndpoint(id, handler));
   }
   ep::Proxy& proxy = env.StartReadyNode();
-  const et::TestConnection& caller = Run(proxy, {.path = "/talk/a"});
+  const et::TestConnection& caller =
+      SendAndWaitForEnd(proxy, {.path = "/talk/a"});
   CHECK(et::ParseAnswers(caller.received()).empty());
   for (int i = 1; i <= 4; ++i) {
     CHECK(caller.received().find(et::FormatEvents(i, i)) != std::string::npos);
   }
   CHECK(caller.received().find(et::FormatEvents(5, 5)) == std::string::npos);
-  LONGS_EQUAL(2, SeenBy(endpoints));
+  LONGS_EQUAL(2, CountRequests(endpoints));
 }
 
-// The first engine breaks off and the second ends the stream.
-TEST(Ends, AStreamThatWentOnElsewhereIsWhole) {
+// The first engine disconnects in the middle of a stream, and the second engine
+// completes it.
+TEST(EndpointFailures, ResumedStreamIsComplete) {
   const auto handler = [](const et::EndpointRequest& request) {
     if (request.last_event_id() == 0) {
       request.BeginStream(1, 3);
@@ -220,17 +232,18 @@
   const std::vector<et::FakeEndpoint*> endpoints = {
       &env.AddEndpoint("e1", handler), &env.AddEndpoint("e2", handler)};
   ep::Proxy& proxy = env.StartReadyNode();
-  const et::TestConnection& caller = Run(proxy, {.path = "/talk/a"});
+  const et::TestConnection& caller =
+      SendAndWaitForEnd(proxy, {.path = "/talk/a"});
   const auto answers = et::ParseAnswers(caller.received());
   LONGS_EQUAL(1, answers.size());
   STRCMP_EQUAL(et::FormatEvents(1, 6).c_str(), answers[0].body.c_str());
-  LONGS_EQUAL(2, SeenBy(endpoints));
+  LONGS_EQUAL(2, CountRequests(endpoints));
 }
 
-// Every endpoint fails, and the requests that may be sent again have used up
-// what the service may repeat. Sent again all the same, the load would double
-// just when the endpoints can't bear it. Each caller gets what happened to it.
-TEST(Ends, WithoutRetriesLeftEachFailureIsToldAsItIs) {
+// Every endpoint fails, and the retry budget of the service is used up. Retries
+// would double the load just when the endpoints can't bear it. Each caller is
+// told what happened to its own request.
+TEST(EndpointFailures, WithoutRetryBudgetEachFailureIsReported) {
   const auto handler = [](const et::EndpointRequest& request) {
     if (request.http.target == "/read/breaks") {
       request.connection->Reset();
@@ -242,7 +255,7 @@
   };
   const std::vector<et::FakeEndpoint*> endpoints = {
       &env.AddEndpoint("e1", handler), &env.AddEndpoint("e2", handler)};
-  ep::Proxy& proxy = StartWithoutRetries(2);
+  ep::Proxy& proxy = StartNodeWithoutRetries(2);
   STRCMP_EQUAL("502 unknown",
                env.SendAndDescribe(proxy, {.path = "/read/breaks"}).c_str());
   const et::Answer failed = env.SendAndWait(proxy, {.path = "/read/fails"});
@@ -250,33 +263,36 @@
   STRCMP_EQUAL("own words", failed.body.c_str());
   STRCMP_EQUAL("503 no",
                env.SendAndDescribe(proxy, {.path = "/read/full"}).c_str());
-  LONGS_EQUAL(3, SeenBy(endpoints));
+  LONGS_EQUAL(3, CountRequests(endpoints));
 }
 
-// The same for a read whose endpoint says nothing: it is waited for until its
-// caller's time is up, and it may have run.
-TEST(Ends, WithoutRetriesLeftASilentEndpointIsWaitedFor) {
+// Without a retry budget, a silent endpoint is not abandoned for another one.
+// The caller waits until its deadline and is told that the request may have
+// run.
+TEST(EndpointFailures, WithoutRetryBudgetSilentEndpointIsAwaited) {
   const std::vector<et::FakeEndpoint*> endpoints = {
       &env.AddEndpoint("e1", et::LeaveUnanswered()),
       &env.AddEndpoint("e2", et::LeaveUnanswered())};
-  ep::Proxy& proxy = StartWithoutRetries(2);
+  ep::Proxy& proxy = StartNodeWithoutRetries(2);
   STRCMP_EQUAL("504 unknown", env.SendAndDescribe(proxy, {.path = "/read/a",
                                                           .timeout_ms = 1500})
                                   .c_str());
-  LONGS_EQUAL(1, SeenBy(endpoints));
+  LONGS_EQUAL(1, CountRequests(endpoints));
 }
 
-// The same in the middle of a stream that could go on elsewhere.
-TEST(Ends, WithoutRetriesLeftAStreamBreaksOff) {
+// Without a retry budget, a resumable stream that breaks is not resumed at
+// another endpoint.
+TEST(EndpointFailures, WithoutRetryBudgetStreamIsAborted) {
   const auto handler = [](const et::EndpointRequest& request) {
     request.BeginStream(1, 2);
     request.connection->Reset();
   };
   const std::vector<et::FakeEndpoint*> endpoints = {
       &env.AddEndpoint("e1", handler), &env.AddEndpoint("e2", handler)};
-  ep::Proxy& proxy = StartWithoutRetries(2);
-  const et::TestConnection& caller = Run(proxy, {.path = "/talk/a"});
+  ep::Proxy& proxy = StartNodeWithoutRetries(2);
+  const et::TestConnection& caller =
+      SendAndWaitForEnd(proxy, {.path = "/talk/a"});
   CHECK(et::ParseAnswers(caller.received()).empty());
   CHECK(caller.received().find(et::FormatEvents(2, 2)) != std::string::npos);
-  LONGS_EQUAL(1, SeenBy(endpoints));
+  LONGS_EQUAL(1, CountRequests(endpoints));
 }
--- a/proxy/tests/half_close_test.cc
+++ b/proxy/tests/half_close_test.cc
@@ -1,4 +1,4 @@
-// Callers that send no more while they wait for their answer.
+// Callers that shut down their sending side before they have their answer.
 #include <CppUTest/TestHarness.h>
 
 #include "harness.h"
@@ -8,10 +8,11 @@
 
 TEST_GROUP(HalfClose) { et::TestEnvironment env; };
 
-// A caller ends its sending right behind its request. It can't be told from one
-// that left, so that the endpoint is told to stop; the caller's connection ends
-// at once rather than after its patience.
-TEST(HalfClose, ARequestWhoseCallerSendsNoMoreIsGivenUp) {
+// A caller shuts down its sending side after its request. The node can't
+// distinguish it from a caller that disconnected, so that the endpoint's
+// connection is closed. The caller's connection is closed at once rather than
+// at its deadline.
+TEST(HalfClose, HalfClosedCallerCancelsRequest) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
   et::TestConnection& caller = env.SendRequest(proxy, {.path = "/once/a"});
@@ -23,8 +24,9 @@
   STRCMP_EQUAL("", et::DescribeAnswer(caller).c_str());
 }
 
-// The same in the middle of a stream. What its caller got must not look whole.
-TEST(HalfClose, AStreamWhoseCallerSendsNoMoreIsGivenUp) {
+// A caller shuts down its sending side in the middle of a stream. The part of
+// the stream that it got must not look complete.
+TEST(HalfClose, HalfClosedCallerCancelsStream) {
   et::FakeEndpoint& endpoint = env.AddEndpoint(
       "e1",
       [](const et::EndpointRequest& request) { request.BeginStream(1, 2); });
--- a/proxy/tests/harness.cc
+++ b/proxy/tests/harness.cc
@@ -219,9 +219,8 @@
 
 std::vector<TestConnection*> FakeEndpoint::connections() const {
   std::vector<TestConnection*> connections;
-  for (const Client& client : clients_) {
+  for (const Client& client : clients_)
     connections.push_back(client.connection.get());
-  }
   return connections;
 }
 
--- a/proxy/tests/peers_test.cc
+++ b/proxy/tests/peers_test.cc
@@ -1,4 +1,4 @@
-// Nodes whose peers go, in the middle of an exchange or for good.
+// Nodes that lose their peers, during an exchange or permanently.
 #include <CppUTest/TestHarness.h>
 
 #include <list>
@@ -15,17 +15,17 @@
 
 namespace {
 
-// Letters that no compression makes much shorter.
-std::string Letters(std::size_t size) {
+// Returns text that does not compress well.
+std::string RandomText(std::size_t size) {
   ek::Random random(1);
-  std::string letters(size, ' ');
-  for (char& letter : letters) {
-    letter = static_cast<char>('0' + ek::RandomBelow(random, 64));
+  std::string text(size, ' ');
+  for (char& character : text) {
+    character = static_cast<char>('0' + ek::RandomBelow(random, 64));
   }
-  return letters;
+  return text;
 }
 
-// Stands between a node that connects and one that answers.
+// A TCP relay between a client, which connects to it, and a server.
 class Relay {
  public:
   Relay(et::TestEnvironment& env, const std::string& target)
@@ -34,69 +34,74 @@
         }) {}
 
   const std::string& address() const { return port_.address(); }
-  /// Ends the next connection on which so many bytes of answers came, before
-  /// more of them are read.
-  void CutAt(std::size_t bytes, bool by_reset) {
-    cut_at_ = bytes;
-    by_reset_ = by_reset;
+  /// Disconnects both sides of the next connection on which `bytes` of answers
+  /// have arrived, before it forwards them.
+  void DisconnectAt(std::size_t bytes, bool with_reset) {
+    disconnect_at_ = bytes;
+    with_reset_ = with_reset;
   }
-  /// Passes nothing on, and ends nothing, on connections that come now.
+  /// While silent, new connections stay open and nothing is forwarded on them.
   void SetSilent(bool silent) { is_silent_ = silent; }
-  /// The same on those that stand.
+  /// Stops forwarding on all open connections, which stay open.
   void SilenceAll() {
-    for (Pair& pair : pairs_) pair.silent = true;
+    for (ConnectionPair& pair : pairs_) pair.silent = true;
+  }
+  bool has_disconnected() const { return disconnect_at_ == 0; }
+  /// Bytes of requests received on the newest connection.
+  std::size_t request_bytes() const {
+    return pairs_.back().client->received().size();
+  }
+  /// Bytes of answers received on the newest connection.
+  std::size_t answer_bytes() const {
+    return pairs_.back().server->received().size();
   }
-  bool has_cut() const { return cut_at_ == 0; }
-  /// Bytes of questions on the newest connection.
-  std::size_t asked() const { return pairs_.back().front->received().size(); }
-  /// Bytes of answers on the newest connection.
-  std::size_t answered() const { return pairs_.back().back->received().size(); }
   std::size_t connections() const { return pairs_.size(); }
 
  private:
-  struct Pair {
-    std::unique_ptr<et::TestConnection> front;
-    std::unique_ptr<et::TestConnection> back;
-    std::size_t front_passed = 0;
-    std::size_t back_passed = 0;
+  struct ConnectionPair {
+    std::unique_ptr<et::TestConnection> client;
+    std::unique_ptr<et::TestConnection> server;
+    std::size_t client_forwarded = 0;
+    std::size_t server_forwarded = 0;
     bool silent = false;
   };
 
   void Accept(std::unique_ptr<et::TestConnection> connection) {
-    Pair& pair = pairs_.emplace_back();
-    pair.front = std::move(connection);
+    ConnectionPair& pair = pairs_.emplace_back();
+    pair.client = std::move(connection);
     pair.silent = is_silent_;
-    pair.back = std::make_unique<et::TestConnection>(env_.loop, target_);
-    pair.front->OnChange([this, &pair] { Pass(pair); });
-    pair.back->OnChange([this, &pair] { Pass(pair); });
+    pair.server = std::make_unique<et::TestConnection>(env_.loop, target_);
+    pair.client->OnChange([this, &pair] { ForwardBoth(pair); });
+    pair.server->OnChange([this, &pair] { ForwardBoth(pair); });
   }
 
-  void Pass(Pair& pair) {
+  void ForwardBoth(ConnectionPair& pair) {
     if (pair.silent) return;
-    if (cut_at_ > 0 && pair.back->received().size() >= cut_at_) {
-      cut_at_ = 0;
-      by_reset_ ? pair.back->Reset() : pair.back->Close();
-      by_reset_ ? pair.front->Reset() : pair.front->Close();
+    if (disconnect_at_ > 0 &&
+        pair.server->received().size() >= disconnect_at_) {
+      disconnect_at_ = 0;
+      with_reset_ ? pair.server->Reset() : pair.server->Close();
+      with_reset_ ? pair.client->Reset() : pair.client->Close();
       return;
     }
-    PassOn(*pair.front, *pair.back, pair.front_passed);
-    PassOn(*pair.back, *pair.front, pair.back_passed);
+    Forward(*pair.client, *pair.server, pair.client_forwarded);
+    Forward(*pair.server, *pair.client, pair.server_forwarded);
   }
 
-  static void PassOn(const et::TestConnection& from, et::TestConnection& to,
-                     std::size_t& passed) {
+  static void Forward(const et::TestConnection& from, et::TestConnection& to,
+                      std::size_t& forwarded) {
     const std::string_view received = from.received();
-    to.Send(received.substr(passed));
-    passed = from.received().size();
+    to.Send(received.substr(forwarded));
+    forwarded = from.received().size();
     if (from.ended()) to.Close();
   }
 
   et::TestEnvironment& env_;
   std::string target_;
-  std::size_t cut_at_ = 0;
-  bool by_reset_ = false;
+  std::size_t disconnect_at_ = 0;
+  bool with_reset_ = false;
   bool is_silent_ = false;
-  std::list<Pair> pairs_;
+  std::list<ConnectionPair> pairs_;
   et::TestListener port_;
 };
 
@@ -105,14 +110,14 @@
 TEST_GROUP(Peers) {
   et::TestEnvironment env;
 
-  std::string Directory(ep::Proxy & proxy) {
-    et::TestConnection& asker = env.Connect(ep::ViewOf(proxy).directory);
-    asker.Send("GET /nodes/a HTTP/1.1\r\nHost: h\r\n\r\n");
-    env.WaitUntil([&asker] { return !et::DescribeAnswer(asker).empty(); });
-    return et::ParseAnswers(asker.received())[0].body;
+  std::string GetDirectory(ep::Proxy & proxy) {
+    et::TestConnection& client = env.Connect(ep::ViewOf(proxy).directory);
+    client.Send("GET /nodes/a HTTP/1.1\r\nHost: h\r\n\r\n");
+    env.WaitUntil([&client] { return !et::DescribeAnswer(client).empty(); });
+    return et::ParseAnswers(client.received())[0].body;
   }
 
-  // A node that can't read the store and learns all from `seed`.
+  // Starts a node that can't read the store and gets all data from `seed`.
   ep::Proxy& StartNodeWithSeed(const std::string& name,
                                const std::string& seed) {
     ep::ProxyOptions options = env.MakeOptions(name);
@@ -122,26 +127,27 @@
   }
 };
 
-// A connection between two nodes ends while one of them sends its answer, of
-// which most still waits in its process. Both go on, the next exchange is as
-// any other, and callers notice nothing.
-TEST(Peers, AConnectionThatEndsUnderAnAnswerHarmsNeitherNode) {
-  constexpr std::size_t kNote = std::size_t{4} << 20U;
+// A connection between two nodes is lost while one of them sends a large
+// answer, most of which is still in the sender's buffer. Both nodes keep
+// working, the next exchange succeeds, and callers notice nothing.
+TEST(Peers, ConnectionLostDuringAnswerHarmsNeitherNode) {
+  constexpr std::size_t kNoteBytes = std::size_t{4} << 20U;
   env.AddEndpoint("e1", et::AnswerImmediately());
-  env.store.Put("note", Letters(kNote));
+  env.store.Put("note", RandomText(kNoteBytes));
   ep::Proxy& first = env.StartReadyNode();
   int started = 0;
   for (const std::size_t bytes : {1U, 1000U, 100'000U, 2'000'000U}) {
-    for (const bool by_reset : {false, true}) {
+    for (const bool with_reset : {false, true}) {
       Relay relay(env, ep::ViewOf(first).peers);
-      relay.CutAt(bytes, by_reset);
+      relay.DisconnectAt(bytes, with_reset);
       ep::Proxy& second = StartNodeWithSeed("n" + std::to_string(2 + started++),
                                             relay.address());
-      env.WaitUntil([&relay] { return relay.has_cut(); });
+      env.WaitUntil([&relay] { return relay.has_disconnected(); });
       STRCMP_EQUAL("200",
                    env.SendAndDescribe(first, {.path = "/once/a"}).c_str());
-      env.WaitUntil(
-          [&relay] { return relay.connections() > 1 && relay.answered() > 0; });
+      env.WaitUntil([&relay] {
+        return relay.connections() > 1 && relay.answer_bytes() > 0;
+      });
       env.WaitUntilReady(second, 1);
       STRCMP_EQUAL("200",
                    env.SendAndDescribe(second, {.path = "/once/b"}).c_str());
@@ -154,29 +160,31 @@
   }
 }
 
-// Guards against a node that tells all it knows whenever it opens a connection,
-// which in a large fleet it does several times a second.
-TEST(Peers, ANewConnectionCarriesNothingThatThePeerKnows) {
-  constexpr std::size_t kNote = std::size_t{1} << 20U;
+// Guards against a node that sends all its data whenever it opens a connection,
+// which happens several times a second in a large fleet.
+TEST(Peers, NewConnectionDoesNotRepeatKnownData) {
+  constexpr std::size_t kNoteBytes = std::size_t{1} << 20U;
   env.AddEndpoint("e1", et::AnswerImmediately());
-  env.store.Put("note", Letters(kNote));
+  env.store.Put("note", RandomText(kNoteBytes));
   ep::Proxy& first = env.StartReadyNode();
   Relay relay(env, ep::ViewOf(first).peers);
   ep::Proxy& second = StartNodeWithSeed("n2", relay.address());
   env.WaitUntilReady(second, 1);
   env.WaitUntilRulesApplied(second);
-  relay.CutAt(1, false);
-  env.WaitUntil([&relay] { return relay.has_cut(); });
-  env.WaitUntil(
-      [&relay] { return relay.connections() > 1 && relay.answered() > 2000; });
-  CHECK(relay.asked() < kNote / 10);
-  CHECK(relay.answered() < kNote / 10);
+  relay.DisconnectAt(1, false);
+  env.WaitUntil([&relay] { return relay.has_disconnected(); });
+  env.WaitUntil([&relay] {
+    return relay.connections() > 1 && relay.answer_bytes() > 2000;
+  });
+  CHECK(relay.request_bytes() < kNoteBytes / 10);
+  CHECK(relay.answer_bytes() < kNoteBytes / 10);
 }
 
-// A peer's machine lost its power: the connection to it stands and nothing
-// answers. A node that waited for the answer would learn nothing through that
-// address again, and without the store serve nobody.
-TEST(Peers, APeerThatFellSilentIsAskedAgainOnAnotherConnection) {
+// A peer's machine loses its power: the connection to it stays open, and
+// nothing answers. A node that waited for that answer forever would never again
+// get data through the peer's address, and could not serve any caller without
+// the store.
+TEST(Peers, SilentPeerIsReconnected) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   ep::Proxy& first = env.StartReadyNode();
   Relay relay(env, ep::ViewOf(first).peers);
@@ -192,8 +200,8 @@
 }
 
 // Guards against a fleet in which every restart of a node calls the store,
-// although its peers know all that is published.
-TEST(Peers, ANodeThatStartsLearnsFromItsPeersBeforeItAsksTheStore) {
+// although its peers have all data.
+TEST(Peers, StartingNodeLearnsFromPeersBeforeStore) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   ep::Proxy& first = env.StartReadyNode();
   env.RunLoopFor(50ms);
@@ -207,8 +215,8 @@
   STRCMP_EQUAL("200", env.SendAndDescribe(second, {.path = "/once/a"}).c_str());
 }
 
-// Guards against a node that waits for seeds that are gone.
-TEST(Peers, ANodeWhoseSeedsAreGoneAsksTheStore) {
+// Guards against a node that waits forever for seeds that no longer exist.
+TEST(Peers, NodeWithoutReachableSeedsReadsStore) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   env.Publish();
   ep::ProxyOptions options = env.MakeOptions("n1");
@@ -224,7 +232,7 @@
 }
 
 // Guards against two nodes that start together and wait for each other.
-TEST(Peers, NodesThatStartTogetherAskTheStoreAtOnce) {
+TEST(Peers, NodesStartedTogetherReadStoreAtOnce) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   env.Publish();
   ep::ProxyOptions options = env.MakeOptions("n1");
@@ -237,9 +245,9 @@
   env.WaitUntilReady(first, 1);
 }
 
-// Guards against a reader that goes on waiting on a watch whose connection is
-// silent while its peers have the news.
-TEST(Peers, AWatchThatMissesWhatPeersTellIsOpenedAgain) {
+// Guards against a reader that keeps waiting on a watch whose connection is
+// silent, while its peers have newer data.
+TEST(Peers, WatchThatMissesPeerChangesIsRestarted) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   ep::Proxy& first = env.StartReadyNode();
   Relay relay(env, env.store.address());
@@ -257,9 +265,9 @@
                   ek::PrometheusText(ep::MetricsOf(second)).c_str());
 }
 
-// All other nodes are killed. The one that is left serves alone, names no
-// address at which nobody answers, and finds a node that starts.
-TEST(Peers, TheLastNodeServesAloneAndNamesOnlyItself) {
+// All other nodes are killed. The last node keeps serving, lists only its own
+// address in its directory, and discovers a node that starts.
+TEST(Peers, LastNodeServesAndListsOnlyItself) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   ep::Proxy& last = env.StartReadyNode();
   const std::string seed = ep::ViewOf(last).peers;
@@ -272,12 +280,12 @@
   env.KillNode(third);
   env.WaitUntil([&last] { return ep::ViewOf(last).nodes == 1; });
   const std::string own = ep::ViewOf(last).callers + "\n";
-  STRCMP_EQUAL(own.c_str(), Directory(last).c_str());
+  STRCMP_EQUAL(own.c_str(), GetDirectory(last).c_str());
   CHECK(ep::ViewOf(last).ready_now);
   STRCMP_EQUAL("200", env.SendAndDescribe(last, {.path = "/once/a"}).c_str());
   ep::Proxy& again = StartNodeWithSeed("n2", seed);
   env.WaitUntilReady(again, 1);
   env.WaitUntil([&last] { return ep::ViewOf(last).nodes == 2; });
-  const std::string named = Directory(last);
-  CHECK(named.find(ep::ViewOf(again).callers) != std::string::npos);
+  const std::string listed = GetDirectory(last);
+  CHECK(listed.find(ep::ViewOf(again).callers) != std::string::npos);
 }
--- a/proxy/tests/pipelined_test.cc
+++ b/proxy/tests/pipelined_test.cc
@@ -1,4 +1,4 @@
-// Callers that send on before they have their answer.
+// Callers that send further requests before they have their answer.
 #include <CppUTest/TestHarness.h>
 
 #include <string>
@@ -11,10 +11,11 @@
 
 TEST_GROUP(Pipelined) { et::TestEnvironment env; };
 
-// A caller has sent a long request behind the one that runs, more than the node
-// reads ahead, and leaves. The node reads nothing of it meanwhile and has to
-// notice all the same: its endpoint would work on for nobody.
-TEST(Pipelined, ACallerThatLeavesWhileItIsNotReadIsNoticed) {
+// A caller sends a second request that is larger than what the node reads
+// ahead, and disconnects while the first one runs. The node does not read from
+// the connection meanwhile. Unless it notices the disconnect all the same, the
+// endpoint goes on working for a caller that is gone.
+TEST(Pipelined, DisconnectIsNoticedWhileReadingIsPaused) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
   et::TestConnection& caller = env.Connect(ep::ViewOf(proxy).callers);
--- a/proxy/tests/queue_overflow_test.cc
+++ b/proxy/tests/queue_overflow_test.cc
@@ -1,4 +1,4 @@
-// A node with as many waiting requests as it may hold.
+// A node whose queue of waiting requests is full.
 #include <CppUTest/TestHarness.h>
 
 #include <string>
@@ -11,17 +11,18 @@
 namespace er = egretladder::routing;
 namespace et = egretladder::proxy::test;
 
-TEST_GROUP(Shed) {
+TEST_GROUP(QueueOverflow) {
   et::TestEnvironment env;
-  et::EndpointRequest stream;
+  et::EndpointRequest first_request;
 
-  // Requests fill the node's queue while `first` is at its endpoint.
-  et::TestConnection& FillBehind(const std::string& first,
-                                 et::FakeEndpoint& endpoint, ep::Proxy& proxy) {
+  // Sends a request to `path`, and fills the node's queue while that
+  // request is at its endpoint.
+  et::TestConnection& SendAndFillQueue(
+      const std::string& path, et::FakeEndpoint& endpoint, ep::Proxy& proxy) {
     et::TestConnection& caller = env.SendRequest(
-        proxy, {.path = first, .id = "first", .timeout_ms = 20'000});
+        proxy, {.path = path, .id = "first", .timeout_ms = 20'000});
     env.WaitUntil([&endpoint] { return endpoint.requests().size() == 1; });
-    stream = endpoint.requests()[0];
+    first_request = endpoint.requests()[0];
     for (std::size_t i = 0; i <= er::kMaxWaitingRequests; ++i) {
       env.SendRequest(proxy, {.path = "/once/a",
                               .id = "w" + std::to_string(i),
@@ -30,13 +31,13 @@
     env.WaitUntil([&proxy] {
       return ep::ViewOf(proxy).waiting == er::kMaxWaitingRequests;
     });
-    // Nothing more is sent to the endpoint.
+    // From here on the node sends nothing more to the endpoint.
     env.Register("e1", endpoint.address(), "a", "leaving");
     env.RunLoopFor(200ms);
     return caller;
   }
 
-  ep::Proxy& StartPatient() {
+  ep::Proxy& StartNodeWithLongTargets() {
     er::RouteTable table = et::MakeRouteTable();
     for (er::Route& route : table.routes) route.target = 20s;
     env.Publish(table);
@@ -46,29 +47,30 @@
   }
 };
 
-// An engine dies in the middle of a stream that may go on elsewhere, while the
-// node's queue is full. The stream ends as broken off; the head of another
-// answer in the middle of it would be read as a part of it.
-TEST(Shed, AStreamThatBeganGetsNoSecondHead) {
+// An engine dies in the middle of a resumable stream while the node's queue is
+// full. The stream must be aborted. The head of an error answer in the middle
+// of it would be read as a part of the stream.
+TEST(QueueOverflow, StartedStreamGetsNoErrorHead) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
-  ep::Proxy& proxy = StartPatient();
-  et::TestConnection& caller = FillBehind("/talk/a", endpoint, proxy);
-  stream.BeginStream(1, 2);
+  ep::Proxy& proxy = StartNodeWithLongTargets();
+  et::TestConnection& caller = SendAndFillQueue("/talk/a", endpoint, proxy);
+  first_request.BeginStream(1, 2);
   env.WaitUntil([&caller] {
     return caller.received().find("id: 2") != std::string::npos;
   });
-  stream.connection->Reset();
+  first_request.connection->Reset();
   env.RunLoopFor(200ms);
   CHECK(caller.received().find("HTTP/1.1 503") == std::string::npos);
 }
 
-// The same for a read that ran and broke before its answer began: it is not
-// told that nothing ran.
-TEST(Shed, AReadThatMayHaveRunIsNotToldThatNothingRan) {
+// The connection of an idempotent request breaks before its answer begins,
+// while the node's queue is full. Its caller must not be told that it has not
+// run.
+TEST(QueueOverflow, RequestThatMayHaveRunIsReportedAsUnknown) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
-  ep::Proxy& proxy = StartPatient();
-  et::TestConnection& caller = FillBehind("/read/a", endpoint, proxy);
-  stream.connection->Reset();
+  ep::Proxy& proxy = StartNodeWithLongTargets();
+  et::TestConnection& caller = SendAndFillQueue("/read/a", endpoint, proxy);
+  first_request.connection->Reset();
   env.WaitUntil([&caller] {
     return !et::DescribeAnswer(caller).empty() || caller.ended();
   });
--- a/proxy/tests/settings_test.cc
+++ b/proxy/tests/settings_test.cc
@@ -15,9 +15,10 @@
 
 namespace {
 
-// Settings name a dialect; the platforms' own are not linked here.
-constexpr ep::Dialect kNone{};
-const ek::PluginRegistrar<ep::Dialect> kRegistrar("none", kNone);
+// The settings name a dialect, and no platform's dialect is linked into this
+// test.
+constexpr ep::Dialect kEmptyDialect{};
+const ek::PluginRegistrar<ep::Dialect> kRegistrar("none", kEmptyDialect);
 
 const std::string kSettings =
     "[node]\nname = n1\nzone = a\ndialect = none\n"
@@ -28,25 +29,25 @@
     "[retries]\nratio = 0.2\nslack = 54\nwindow = 10s\n"
     "[limits]\nmemory = 160MiB\ndescriptors = 4100\n[stop]\ngrace = 8s\n";
 
-std::string With(const std::string& from, const std::string& to) {
+std::string ReplaceInSettings(const std::string& from, const std::string& to) {
   std::string text = kSettings;
   text.replace(text.find(from), from.size(), to);
   return text;
 }
 
-std::string FaultOf(const std::string& text) {
-  std::vector<ek::Error> faults;
-  const auto config = ep::ReadProxyConfig(text, "n.ini", &faults);
+std::string GetFirstError(const std::string& text) {
+  std::vector<ek::Error> errors;
+  const auto config = ep::ReadProxyConfig(text, "n.ini", &errors);
   CHECK(config.has_error());
-  CHECK(!faults.empty());
-  return ek::Describe(faults.front());
+  CHECK(!errors.empty());
+  return ek::Describe(errors.front());
 }
 
 }  // namespace
 
 TEST_GROUP(ProxySettings){};
 
-TEST(ProxySettings, ReadsThemAll) {
+TEST(ProxySettings, ReadsAllSettings) {
   const auto config = ep::ReadProxyConfig(kSettings, "n.ini");
   CHECK(config.has_value());
   const ep::ProxyOptions& options = config.value().proxy;
@@ -60,64 +61,79 @@
   CHECK(options.grace == 8s);
 }
 
-TEST(ProxySettings, NamesTheFault) {
-  STRCMP_CONTAINS("listen.ready", FaultOf(With("127.0.0.1:2", "here")).c_str());
-  STRCMP_CONTAINS("retries.ratio", FaultOf(With("0.2", "some")).c_str());
-  STRCMP_CONTAINS("unknown key",
-                  FaultOf(With("slack = 54", "slak = 54")).c_str());
-  STRCMP_CONTAINS("node.dialect",
-                  FaultOf(With("dialect = none", "dialect = x")).c_str());
-  STRCMP_CONTAINS("peers.seeds has 'nowhere'",
-                  FaultOf(With("127.0.0.1:6", "nowhere")).c_str());
-  STRCMP_CONTAINS("listen.metrics", FaultOf(With("127.0.0.1:5", "5")).c_str());
+TEST(ProxySettings, ErrorsNameTheSetting) {
+  STRCMP_CONTAINS(
+      "listen.ready",
+      GetFirstError(ReplaceInSettings("127.0.0.1:2", "here")).c_str());
+  STRCMP_CONTAINS("retries.ratio",
+                  GetFirstError(ReplaceInSettings("0.2", "some")).c_str());
+  STRCMP_CONTAINS(
+      "unknown key",
+      GetFirstError(ReplaceInSettings("slack = 54", "slak = 54")).c_str());
+  STRCMP_CONTAINS(
+      "node.dialect",
+      GetFirstError(ReplaceInSettings("dialect = none", "dialect = x"))
+          .c_str());
+  STRCMP_CONTAINS(
+      "peers.seeds has 'nowhere'",
+      GetFirstError(ReplaceInSettings("127.0.0.1:6", "nowhere")).c_str());
+  STRCMP_CONTAINS("listen.metrics",
+                  GetFirstError(ReplaceInSettings("127.0.0.1:5", "5")).c_str());
 }
 
-TEST(ProxySettings, MechanismsOfPlacingCanBeLeftOut) {
+TEST(ProxySettings, PlacementMechanismsCanBeDisabled) {
   const auto config = ep::ReadProxyConfig(
       kSettings + "[placing]\nwithout = pace,sides\n", "n.ini");
   CHECK(config.has_value());
   LONGS_EQUAL(2, config.value().proxy.disabled_mechanisms.count());
-  const std::string fault = FaultOf(kSettings + "[placing]\nwithout = pase\n");
-  STRCMP_CONTAINS("placing.without has 'pase'", fault.c_str());
-  STRCMP_CONTAINS("pace", fault.c_str());
+  const std::string error =
+      GetFirstError(kSettings + "[placing]\nwithout = pase\n");
+  STRCMP_CONTAINS("placing.without has 'pase'", error.c_str());
+  STRCMP_CONTAINS("pace", error.c_str());
 }
 
-TEST(ProxySettings, AFleetIsNewOrRunning) {
-  const auto config =
-      ep::ReadProxyConfig(With("[store]", "fleet = new\n[store]"), "n.ini");
+TEST(ProxySettings, FleetMustBeNewOrRunning) {
+  const auto config = ep::ReadProxyConfig(
+      ReplaceInSettings("[store]", "fleet = new\n[store]"), "n.ini");
   CHECK(config.has_value());
   CHECK(config.value().proxy.is_new_fleet);
   CHECK_FALSE(
       ep::ReadProxyConfig(kSettings, "n.ini").value().proxy.is_new_fleet);
-  STRCMP_CONTAINS("peers.fleet is 'fresh', expected new or running",
-                  FaultOf(With("[store]", "fleet = fresh\n[store]")).c_str());
+  STRCMP_CONTAINS(
+      "peers.fleet is 'fresh', expected new or running",
+      GetFirstError(ReplaceInSettings("[store]", "fleet = fresh\n[store]"))
+          .c_str());
 }
 
-// A platform leaves out what a deployment has no bounds for: the section of the
-// template is empty then.
-TEST(ProxySettings, BoundsThatAreNotGivenHaveStandards) {
+// A deployment without retry limits has an empty section in its settings
+// template.
+TEST(ProxySettings, MissingRetryLimitsHaveDefaults) {
   const auto config = ep::ReadProxyConfig(
-      With("ratio = 0.2\nslack = 54\nwindow = 10s\n", "\n\n"), "n.ini");
+      ReplaceInSettings("ratio = 0.2\nslack = 54\nwindow = 10s\n", "\n\n"),
+      "n.ini");
   CHECK(config.has_value());
   CHECK(config.value().proxy.retries.window == 10s);
 }
 
-// An operator gives nodes three seconds to stop, while callers keep addresses
-// as long. Each stop would cut requests, and nothing would say why; the
-// settings are refused before that, with the place to change.
-TEST(ProxySettings, AGraceThatCallersOutlastIsRefused) {
+// The grace period is three seconds, and callers keep addresses for as long.
+// Each stop would cut requests without telling the operator why, so that the
+// settings are rejected with the line to change.
+TEST(ProxySettings, GracePeriodShorterThanDirectoryTtlIsRejected) {
   STRCMP_CONTAINS(
       "n.ini:23: stop.grace is 3000ms, expected 3900ms or more, as callers "
       "keep addresses for 3000ms with this directory.keep",
-      FaultOf(With("grace = 8s", "grace = 3s")).c_str());
-  STRCMP_CONTAINS(
-      "stop.grace is 8000ms, expected 15900ms or more",
-      FaultOf(With("[stop]", "[directory]\nkeep = 5s\n[stop]")).c_str());
-  STRCMP_CONTAINS(
-      "directory.keep is 0",
-      FaultOf(With("[stop]", "[directory]\nkeep = 0s\n[stop]")).c_str());
-  CHECK(
-      ep::ReadProxyConfig(
-          With("grace = 8s", "grace = 3s\n[directory]\nkeep = 500ms"), "n.ini")
-          .has_value());
+      GetFirstError(ReplaceInSettings("grace = 8s", "grace = 3s")).c_str());
+  STRCMP_CONTAINS("stop.grace is 8000ms, expected 15900ms or more",
+                  GetFirstError(ReplaceInSettings(
+                                    "[stop]", "[directory]\nkeep = 5s\n[stop]"))
+                      .c_str());
+  STRCMP_CONTAINS("directory.keep is 0",
+                  GetFirstError(ReplaceInSettings(
+                                    "[stop]", "[directory]\nkeep = 0s\n[stop]"))
+                      .c_str());
+  CHECK(ep::ReadProxyConfig(
+            ReplaceInSettings("grace = 8s",
+                              "grace = 3s\n[directory]\nkeep = 500ms"),
+            "n.ini")
+            .has_value());
 }
--- a/proxy/tests/slow_reader_test.cc
+++ b/proxy/tests/slow_reader_test.cc
@@ -1,4 +1,4 @@
-// Callers that take their streams more slowly than endpoints give them.
+// Callers that read their answers more slowly than endpoints send them.
 #include <CppUTest/TestHarness.h>
 
 #include "harness.h"
@@ -10,12 +10,12 @@
 
 namespace {
 
-// Most that is read of a connection at once.
-constexpr std::size_t kOneRead = std::size_t{16} << 10U;
-const std::string kData(1000, 'x');
+// Maximum number of bytes read from a connection at once.
+constexpr std::size_t kMaxReadBytes = std::size_t{16} << 10U;
+const std::string kEventData(1000, 'x');
 
-// Bytes that the node holds for its callers.
-std::size_t UnsentOf(const ep::Proxy& proxy) {
+// Returns the number of bytes that the node buffers for its callers.
+std::size_t CountUnsentBytes(const ep::Proxy& proxy) {
   std::size_t bytes = 0;
   for (const auto& [number, call] : proxy.calls) {
     bytes += call->caller->UnsentBytes();
@@ -23,8 +23,8 @@
   return bytes;
 }
 
-// Events that the node has read of its streams.
-int EventsOf(const ep::Proxy& proxy) {
+// Returns the number of events that the node has read from its streams.
+int CountEvents(const ep::Proxy& proxy) {
   int events = 0;
   for (const auto& [number, call] : proxy.calls) {
     events += static_cast<int>(call->events);
@@ -35,7 +35,7 @@
 std::string FormatEvents(int from, int to) {
   std::string events;
   for (int i = from; i <= to; ++i) {
-    events += "id: " + std::to_string(i) + "\ndata: " + kData + "\n\n";
+    events += "id: " + std::to_string(i) + "\ndata: " + kEventData + "\n\n";
   }
   return events;
 }
@@ -45,8 +45,10 @@
 TEST_GROUP(SlowReader) {
   et::TestEnvironment env;
 
-  // A caller with little room that has asked for a stream and takes nothing.
-  et::TestConnection& AskAndHold(ep::Proxy & proxy, const std::string& path) {
+  // Sends a request on a connection with a small receive buffer, and reads
+  // nothing of the answer.
+  et::TestConnection& SendWithoutReading(ep::Proxy & proxy,
+                                         const std::string& path) {
     et::TestConnection& caller = env.Connect(ep::ViewOf(proxy).callers, 8192);
     caller.PauseReading(true);
     caller.Send(et::FormatRequest({.path = path, .timeout_ms = 20'000}));
@@ -54,20 +56,20 @@
   }
 };
 
-// A caller on a slow link reads its stream some KiB at a time. Its endpoint has
-// to wait for it, and it gets each event once and in order.
-TEST(SlowReader, HoldsItsEndpointBackAndGetsAllEvents) {
+// A caller on a slow link reads its stream in small pieces. The endpoint must
+// be throttled to its speed, and the caller gets each event once and in order.
+TEST(SlowReader, EndpointIsThrottledAndNoEventIsLost) {
   constexpr int kEvents = 12'000;
   et::FakeEndpoint& endpoint =
       env.AddEndpoint("e1", [](const et::EndpointRequest& request) {
         request.BeginStream(1, 0);
         for (int i = 1; i <= kEvents; ++i) {
-          request.connection->Send(et::FormatEventChunk(i, kData));
+          request.connection->Send(et::FormatEventChunk(i, kEventData));
         }
         request.connection->Send(et::kLastChunk);
       });
   ep::Proxy& proxy = env.StartReadyNode();
-  et::TestConnection& caller = AskAndHold(proxy, "/tell/a");
+  et::TestConnection& caller = SendWithoutReading(proxy, "/tell/a");
   for (int i = 0; i < 100; ++i) {
     caller.ReadSome(4096);
     env.RunLoopFor(2ms);
@@ -82,81 +84,82 @@
   CHECK(answers[0].body == FormatEvents(1, kEvents));
 }
 
-// A caller takes nothing of its stream any more, as behind a link that broke.
-// What the node reads of its endpoint stays in the node; some hundred such
-// callers cost it its memory unless it stops reading.
-TEST(SlowReader, WhatIsHeldForACallerThatTakesNothingDoesNotGrow) {
+// A caller stops reading its stream, for example behind a broken link. Unless
+// the node stops reading from the endpoint, it buffers the rest of the stream,
+// and a few hundred such callers exhaust its memory.
+TEST(SlowReader, BacklogOfCallerThatReadsNothingIsBounded) {
   env.AddEndpoint("e1", [](const et::EndpointRequest& request) {
     request.BeginStream(1, 0);
     for (int i = 1; i <= 12'000; ++i) {
-      request.connection->Send(et::FormatEventChunk(i, kData));
+      request.connection->Send(et::FormatEventChunk(i, kEventData));
     }
   });
   ep::Proxy& proxy = env.StartReadyNode();
-  AskAndHold(proxy, "/tell/a");
-  env.WaitUntil(
-      [&proxy] { return UnsentOf(proxy) > ep::kMaxCallerBacklogBytes; });
-  // The system takes some of it first.
+  SendWithoutReading(proxy, "/tell/a");
+  env.WaitUntil([&proxy] {
+    return CountUnsentBytes(proxy) > ep::kMaxCallerBacklogBytes;
+  });
+  // The socket buffers take up some bytes first.
   env.RunLoopFor(500ms);
-  const std::size_t held = UnsentOf(proxy);
+  const std::size_t buffered_bytes = CountUnsentBytes(proxy);
   env.RunLoopFor(1200ms);
   LONGS_EQUAL(1, ep::ViewOf(proxy).calls);
-  CHECK_COMPARE(UnsentOf(proxy), <=, held + kOneRead);
+  CHECK_COMPARE(CountUnsentBytes(proxy), <=, buffered_bytes + kMaxReadBytes);
 }
 
-// An engine falls silent while its caller is behind with reading. The caller
-// catches up and waits; the stream goes on at another engine, as it would for a
-// caller that had read at once.
-TEST(SlowReader, AStreamThatStallsMeanwhileGoesOnElsewhere) {
+// An engine falls silent while its caller is behind with reading. Once the
+// caller has caught up, the stream is resumed at another engine, as it would be
+// for a caller that reads at full speed.
+TEST(SlowReader, StalledStreamIsResumedElsewhere) {
   const auto handler = [](const et::EndpointRequest& request) {
     request.BeginStream(1, 0);
     if (request.last_event_id() == 0) return;
     request.connection->Send(
-        et::FormatEventChunk(request.last_event_id() + 1, kData));
+        et::FormatEventChunk(request.last_event_id() + 1, kEventData));
     request.connection->Send(et::kLastChunk);
   };
   const et::FakeEndpoint& first = env.AddEndpoint("e1", handler);
   const et::FakeEndpoint& second = env.AddEndpoint("e2", handler);
   ep::Proxy& proxy = env.StartReadyNode();
-  et::TestConnection& caller = AskAndHold(proxy, "/talk/a");
+  et::TestConnection& caller = SendWithoutReading(proxy, "/talk/a");
   env.WaitUntil(
       [&] { return first.requests().size() + second.requests().size() == 1; });
   const et::EndpointRequest request =
       (first.requests().empty() ? second : first).requests().at(0);
-  int sent = 0;
-  // The node has read all that the engine said when it falls silent.
+  int sent_events = 0;
+  // The engine sends until the caller's backlog is full. The node has read all
+  // events by then.
   env.WaitUntil([&] {
-    if (EventsOf(proxy) < sent) return false;
-    if (UnsentOf(proxy) > ep::kMaxCallerBacklogBytes) return true;
-    request.connection->Send(et::FormatEventChunk(++sent, kData));
+    if (CountEvents(proxy) < sent_events) return false;
+    if (CountUnsentBytes(proxy) > ep::kMaxCallerBacklogBytes) return true;
+    request.connection->Send(et::FormatEventChunk(++sent_events, kEventData));
     return false;
   });
   caller.PauseReading(false);
   env.WaitUntil([&] {
-    return caller.received().find("id: " + std::to_string(sent)) !=
+    return caller.received().find("id: " + std::to_string(sent_events)) !=
            std::string::npos;
   });
-  const auto limit = std::chrono::steady_clock::now() + 4s;
+  const auto give_up_at = std::chrono::steady_clock::now() + 4s;
   env.WaitUntil([&] {
     return !et::DescribeAnswer(caller).empty() ||
-           std::chrono::steady_clock::now() > limit;
+           std::chrono::steady_clock::now() > give_up_at;
   });
   const auto answers = et::ParseAnswers(caller.received());
   LONGS_EQUAL(1, answers.size());
-  CHECK(answers[0].body == FormatEvents(1, sent + 1));
+  CHECK(answers[0].body == FormatEvents(1, sent_events + 1));
 }
 
-// A caller stops reading for some seconds, as one whose link is away for a
-// while, and reads on well before the time after which callers that take
-// nothing are dropped. It gets the rest; cut off, it would hold half an answer
-// of work that ran.
-TEST(SlowReader, ACallerThatPausesGetsTheRestOfItsAnswer) {
+// A caller stops reading for some seconds, for example while its link is down,
+// and resumes well before the write timeout that drops callers that read
+// nothing. It must get the rest of its answer, since the request has run.
+TEST(SlowReader, PausedCallerGetsRestOfAnswer) {
   const std::string body(7U << 20U, 'x');
   env.AddEndpoint("e1", [&body](const et::EndpointRequest& request) {
     request.Answer(200, body);
   });
   ep::Proxy& proxy = env.StartReadyNode();
-  et::TestConnection& caller = AskAndHold(proxy, "/once/a");
+  et::TestConnection& caller = SendWithoutReading(proxy, "/once/a");
   env.RunLoopFor(6000ms);
   caller.PauseReading(false);
   env.WaitUntil([&caller] {
--- a/proxy/tests/stop_begin_test.cc
+++ b/proxy/tests/stop_begin_test.cc
@@ -1,4 +1,4 @@
-// The platform stops the process.
+// The begin of a graceful stop, when the platform sends its signal.
 #include <CppUTest/TestHarness.h>
 
 #include "harness.h"
@@ -10,17 +10,18 @@
 TEST_GROUP(StopBegin) {
   et::TestEnvironment env;
 
-  // Callers that kept the node's address have let it go by then.
-  void UntilMayEnd(const ep::Proxy& proxy) {
+  // Advances the clock past the time for which callers keep the node's address,
+  // and waits until the process may exit.
+  void WaitUntilShutDownAllowed(const ep::Proxy& proxy) {
     env.AdvanceClock(3300ms);
     env.WaitUntil([&proxy] { return ep::CanShutDown(proxy); });
   }
 };
 
 // The process is stopped right after its start, before it has read any rules.
-// Requests that reach it are told that nothing ran, and it may end as any
-// other.
-TEST(StopBegin, BeforeTheRulesAreKnownRefusesAndEnds) {
+// Requests that reach it are answered as not run, and it may exit like any
+// other process.
+TEST(StopBegin, NodeWithoutRulesRefusesRequestsAndShutsDown) {
   env.store.SetSilent(true);
   ep::Proxy& proxy = env.StartNode(env.MakeOptions("n1"));
   ep::Leave(proxy);
@@ -30,12 +31,12 @@
   STRCMP_EQUAL("503 no",
                env.SendAndDescribe(proxy, {.path = "/read/a"}).c_str());
   CHECK_FALSE(ep::ViewOf(proxy).ready_now);
-  UntilMayEnd(proxy);
+  WaitUntilShutDownAllowed(proxy);
 }
 
-// The rules come only after the stop began. A node that leaves must not call
-// itself ready because of them.
-TEST(StopBegin, RulesThatComeLaterMakeNoLeavingNodeReady) {
+// The rules arrive after the stop began. They must not make a leaving node
+// report itself as ready.
+TEST(StopBegin, RulesReceivedWhileLeavingDoNotMakeNodeReady) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   ep::Proxy& proxy = env.StartNode(env.MakeOptions("n1"));
   ep::Leave(proxy);
@@ -43,19 +44,19 @@
   env.WaitUntilRulesApplied(proxy);
   env.WaitUntil([&proxy] { return ep::ViewOf(proxy).endpoints == 1; });
   CHECK_FALSE(ep::ViewOf(proxy).ready_now);
-  UntilMayEnd(proxy);
+  WaitUntilShutDownAllowed(proxy);
 }
 
-// The store is away or silent when the process is stopped, and it can't hear of
-// anything any more. What it knows serves the requests in progress and those
-// that still come.
-TEST(StopBegin, DuringAnOutageOfTheStoreServesWhatItHas) {
+// The store is unavailable or silent when the process is stopped. The node
+// serves the requests in progress and those that still arrive with the data it
+// has.
+TEST(StopBegin, ServesRequestsDuringStoreOutage) {
   for (const bool silent : {false, true}) {
     et::TestEnvironment local_env;
     et::FakeEndpoint& endpoint =
         local_env.AddEndpoint("e1", et::LeaveUnanswered());
     ep::Proxy& proxy = local_env.StartReadyNode();
-    et::TestConnection& begun =
+    et::TestConnection& early_caller =
         local_env.SendRequest(proxy, {.path = "/once/a", .id = "begun"});
     local_env.WaitUntil(
         [&endpoint] { return endpoint.requests().size() == 1; });
@@ -63,7 +64,7 @@
            : local_env.store.SetUnavailable(true);
     local_env.RunLoopFor(100ms);
     ep::Leave(proxy);
-    et::TestConnection& late = local_env.SendRequest(
+    et::TestConnection& late_caller = local_env.SendRequest(
         proxy, {.path = "/once/b", .id = "late", .timeout_ms = 2000});
     local_env.WaitUntil(
         [&endpoint] { return endpoint.requests().size() == 2; });
@@ -71,21 +72,21 @@
       request.Answer(200, "done");
     }
     local_env.WaitUntil([&] {
-      return !et::DescribeAnswer(begun).empty() &&
-             !et::DescribeAnswer(late).empty();
+      return !et::DescribeAnswer(early_caller).empty() &&
+             !et::DescribeAnswer(late_caller).empty();
     });
-    STRCMP_EQUAL("200", et::DescribeAnswer(begun).c_str());
-    STRCMP_EQUAL("200", et::DescribeAnswer(late).c_str());
-    begun.Close();
-    late.Close();
+    STRCMP_EQUAL("200", et::DescribeAnswer(early_caller).c_str());
+    STRCMP_EQUAL("200", et::DescribeAnswer(late_caller).c_str());
+    early_caller.Close();
+    late_caller.Close();
     local_env.AdvanceClock(3300ms);
     local_env.WaitUntil([&proxy] { return ep::CanShutDown(proxy); });
   }
 }
 
-// The node is told a second time that it is to stop. What is in progress is not
-// cut, and the node may end when it is done.
-TEST(StopBegin, ASecondTimeCutsNothing) {
+// The node is told to stop a second time. The calls in progress are not cut,
+// and the process may exit once they are done.
+TEST(StopBegin, SecondStopRequestCutsNoCalls) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
   et::TestConnection& caller = env.SendRequest(proxy, {.path = "/once/a"});
@@ -98,14 +99,14 @@
   env.WaitUntil([&caller] { return !et::DescribeAnswer(caller).empty(); });
   STRCMP_EQUAL("200", et::DescribeAnswer(caller).c_str());
   caller.Close();
-  UntilMayEnd(proxy);
+  WaitUntilShutDownAllowed(proxy);
 }
 
-// The program tells the node a second time that it is to stop, when half of the
-// grace is over, and a request never ends. The platform kills the process when
-// the grace is over since the first time: counted from the second, the node
-// would be killed with its requests.
-TEST(StopBegin, ASecondTimeDoesNotPutOffTheEnd) {
+// The node is told to stop a second time after half of the grace period, while
+// a request never ends. The platform kills the process after the grace period
+// since the first time. If the node counted from the second time, it would be
+// killed with its requests unanswered.
+TEST(StopBegin, SecondStopRequestDoesNotExtendGracePeriod) {
   et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
   env.SendRequest(proxy, {.path = "/once/a", .timeout_ms = 20'000});
--- a/proxy/tests/stop_end_test.cc
+++ b/proxy/tests/stop_end_test.cc
@@ -1,4 +1,5 @@
-// What a node that stops still owes its callers when it ends.
+// The end of a graceful stop: callers that have no answer yet when the process
+// may exit.
 #include <CppUTest/TestHarness.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -17,22 +18,25 @@
 
 namespace {
 
-constexpr auto kNoMoreTaken = 3300ms;
+// After this time a stopping node accepts no more requests.
+constexpr auto kPastAcceptPeriod = 3300ms;
 
-// Sends a request to a process whose loop doesn't turn meanwhile.
-int SendAside(const std::string& address, const std::string& bytes) {
+// Connects and sends with blocking calls, without running the event loop.
+// Returns the socket, or -1 on failure.
+int SendBlocking(const std::string& address, const std::string& bytes) {
   auto target = en::ParseAddress(address);
   if (!target) return -1;
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
-  const timeval most{2, 0};
-  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof(most));
+  const timeval receive_timeout{2, 0};
+  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &receive_timeout,
+             sizeof(receive_timeout));
   if (connect(fd, target->get(), static_cast<socklen_t>(target->size)) != 0)
     return -1;
   if (send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) return -1;
   return fd;
 }
 
-std::string ReadAside(int fd) {
+std::string ReceiveBlocking(int fd) {
   std::array<char, 4096> bytes{};
   const auto size = recv(fd, bytes.data(), bytes.size(), 0);
   return size > 0 ? std::string(bytes.data(), static_cast<std::size_t>(size))
@@ -44,17 +48,17 @@
 TEST_GROUP(StopEnd) {
   et::TestEnvironment env;
 
-  // As the program does at one of its looks.
-  void EndIfItMay(ep::Proxy & proxy) {
+  // Ends the process as the daemon does when it polls `CanShutDown`.
+  void KillNodeIfShutDownAllowed(ep::Proxy & proxy) {
     if (ep::CanShutDown(proxy)) env.KillNode(proxy);
   }
 };
 
-// The process is paused, or its loop is late, until shortly before it is
-// killed, while an order is in progress. The program may look before the node
-// has ended its calls, and ends the process: the caller sees a connection that
-// closes, though there was time to tell it that the outcome is unknown.
-TEST(StopEnd, AProcessThatStoodStillTellsItsCallersBeforeItEnds) {
+// The process is paused until shortly before it is killed, while a request is
+// in progress. If it exits before the node has ended its calls, the caller only
+// sees a closed connection, although there was time to report that the outcome
+// is unknown.
+TEST(StopEnd, PausedProcessAnswersCallersBeforeExit) {
   const et::FakeEndpoint& endpoint =
       env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
@@ -72,23 +76,23 @@
   STRCMP_EQUAL("502 unknown", et::DescribeAnswer(caller).c_str());
 }
 
-// A caller on a slow link is still sending its order when callers no longer
-// keep the address and nothing else is in progress. The process ends, and a
-// connection that closes promises nothing: the caller may not send the order
-// again, though nothing of it ran.
-TEST(StopEnd, ACallerThatIsStillSendingIsToldThatNothingRan) {
+// A caller on a slow link is still sending its request when callers no longer
+// keep the address and nothing else is in progress. If the process exits, the
+// caller sees a closed connection, which doesn't show that the request has not
+// run, so that the caller can't safely send it again.
+TEST(StopEnd, CallerStillSendingIsToldNotRun) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   ep::Proxy& proxy = env.StartReadyNode();
   et::TestConnection& caller = env.Connect(ep::ViewOf(proxy).callers);
   const std::string bytes = et::FormatRequest(
       {.path = "/once/a", .body = std::string(1000, 'x'), .timeout_ms = 2000});
   ep::Leave(proxy);
-  env.AdvanceClock(kNoMoreTaken - 200ms);
+  env.AdvanceClock(kPastAcceptPeriod - 200ms);
   caller.Send(bytes.substr(0, 600));
   env.RunLoopFor(50ms);
   env.AdvanceClock(200ms);
   env.RunLoopFor(150ms);
-  EndIfItMay(proxy);
+  KillNodeIfShutDownAllowed(proxy);
   caller.Send(bytes.substr(600));
   env.WaitUntil([&caller] {
     return !et::DescribeAnswer(caller).empty() || caller.ended();
@@ -96,29 +100,29 @@
   STRCMP_EQUAL("503 no", et::DescribeAnswer(caller).c_str());
 }
 
-// A whole request waits in a connection that the kernel has accepted while the
-// process's loop is late. The program looks first and ends the process: the
-// connection is reset, and the caller doesn't know whether its order ran.
-TEST(StopEnd, AWholeRequestThatIsNotReadYetIsToldThatNothingRan) {
+// The event loop is late, and a complete request waits in a connection that the
+// kernel has accepted. If the process exits before it reads the request, the
+// connection is reset, and the caller doesn't know whether its request ran.
+TEST(StopEnd, UnreadRequestIsToldNotRun) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   ep::Proxy& proxy = env.StartReadyNode();
   ep::Leave(proxy);
   env.RunLoopFor(20ms);
-  const int fd = SendAside(ep::ViewOf(proxy).callers,
-                           et::FormatRequest({.path = "/once/a"}));
+  const int fd = SendBlocking(ep::ViewOf(proxy).callers,
+                              et::FormatRequest({.path = "/once/a"}));
   CHECK(fd >= 0);
-  env.AdvanceClock(kNoMoreTaken);
-  EndIfItMay(proxy);
+  env.AdvanceClock(kPastAcceptPeriod);
+  KillNodeIfShutDownAllowed(proxy);
   env.RunLoopFor(200ms);
-  const std::string received = ReadAside(fd);
+  const std::string received = ReceiveBlocking(fd);
   close(fd);
   STRCMP_CONTAINS("503", received.c_str());
 }
 
-// A request comes too late for a stopping node while all its endpoints are
-// busy. It will be refused whatever becomes free; held until then, its caller
-// loses up to half of the time that its route promises.
-TEST(StopEnd, ARequestThatIsNotTakenIsRefusedWhileItWaits) {
+// A request arrives too late at a stopping node while all endpoints are busy.
+// It is refused in any case. If it first waited for a free endpoint, its caller
+// would lose up to half of the route's target time.
+TEST(StopEnd, RequestThatIsNotAdmittedIsRefusedWithoutWaiting) {
   const et::FakeEndpoint& endpoint =
       env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
@@ -137,24 +141,28 @@
   STRCMP_EQUAL("503 no", et::DescribeAnswer(late).c_str());
 }
 
-// A node that is alone stops and finishes what it has. Its directory goes on to
-// name its address, and callers that follow meet a closed port.
-TEST(StopEnd, ItsDirectoryNamesNoClosedPort) {
+// A node without peers stops and completes its calls. If its directory still
+// listed its address after it stopped listening, callers would find a closed
+// port.
+TEST(StopEnd, DirectoryDoesNotListClosedPort) {
   const et::FakeEndpoint& endpoint =
       env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
   env.SendRequest(proxy, {.path = "/once/a", .timeout_ms = 20'000});
   env.WaitUntil([&endpoint] { return endpoint.requests().size() == 1; });
   ep::Leave(proxy);
-  env.AdvanceClock(kNoMoreTaken);
+  env.AdvanceClock(kPastAcceptPeriod);
   env.RunLoopFor(200ms);
   const ep::ProxyView view = ep::ViewOf(proxy);
-  et::TestConnection& asker = env.Connect(view.directory);
-  asker.Send("GET /nodes/a HTTP/1.1\r\nHost: h\r\n\r\n");
-  env.WaitUntil(
-      [&asker] { return !et::DescribeAnswer(asker).empty() || asker.ended(); });
-  const std::string named = et::ParseAnswers(asker.received()).at(0).body;
-  if (named.find(view.callers) == std::string::npos) return;
+  et::TestConnection& directory_client = env.Connect(view.directory);
+  directory_client.Send("GET /nodes/a HTTP/1.1\r\nHost: h\r\n\r\n");
+  env.WaitUntil([&directory_client] {
+    return !et::DescribeAnswer(directory_client).empty() ||
+           directory_client.ended();
+  });
+  const std::string listed =
+      et::ParseAnswers(directory_client.received()).at(0).body;
+  if (listed.find(view.callers) == std::string::npos) return;
   et::TestConnection& caller = env.Connect(view.callers);
   caller.Send(et::FormatRequest({.path = "/once/b", .id = "b"}));
   env.WaitUntil([&caller] {
@@ -163,10 +171,11 @@
   STRCMP_EQUAL("503 no", et::DescribeAnswer(caller).c_str());
 }
 
-// A caller on a slow link has not taken its answer, which waits in the kernel
-// on a connection that was to be kept. The process ends and its machine is
-// switched off: the caller loses an answer of work that ran.
-TEST(StopEnd, AnAnswerThatWaitsInTheKernelIsNotTakenYet) {
+// A caller on a slow link has not received its answer, which is still in the
+// kernel's socket buffer of a keep-alive connection. If the process exits and
+// its machine is switched off, the caller loses the answer to a request that
+// ran.
+TEST(StopEnd, AnswerInSocketBufferIsNotDelivered) {
   const std::string body(100'000, 'x');
   env.AddEndpoint("e1", [&body](const et::EndpointRequest& request) {
     request.Answer(200, body);
@@ -181,16 +190,16 @@
     return view.calls == 0 && view.undelivered == 0;
   });
   ep::Leave(proxy);
-  env.AdvanceClock(kNoMoreTaken);
+  env.AdvanceClock(kPastAcceptPeriod);
   env.RunLoopFor(150ms);
   CHECK(caller.unread_bytes() < body.size());
   CHECK_FALSE(ep::CanShutDown(proxy));
 }
 
-// The process is paused for two seconds when its signal comes. The platform
-// counts the grace from the signal; counted from the end of the pause, the
-// process is killed before it has told its callers anything.
-TEST(StopEnd, ASignalDuringAPauseCountsFromThePause) {
+// The signal arrives during a pause of the process of two seconds. The platform
+// counts the grace period from the signal. If the node counted from the end of
+// the pause, it would be killed before it has answered its callers.
+TEST(StopEnd, GracePeriodCountsFromStartOfPause) {
   const et::FakeEndpoint& endpoint =
       env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
@@ -205,10 +214,11 @@
   STRCMP_EQUAL("502 unknown", et::DescribeAnswer(caller).c_str());
 }
 
-// Orders take five seconds at their endpoint, which is idle. One that comes
-// when the node has four left is cut in the middle, and its caller doesn't know
-// whether it ran; refused as not run, it would be served by another node.
-TEST(StopEnd, AnOrderThatItsGraceCantHoldIsRefused) {
+// Requests take five seconds at an idle endpoint, and one arrives when the node
+// has four seconds left. If it were sent, it would be cut off, and its caller
+// wouldn't know whether it ran. If it
+// is refused as not run, another node can serve it.
+TEST(StopEnd, RequestLongerThanGracePeriodIsRefused) {
   const et::FakeEndpoint& endpoint =
       env.AddEndpoint("e1", et::LeaveUnanswered());
   ep::Proxy& proxy = env.StartReadyNode();
--- a/proxy/tests/store_test.cc
+++ b/proxy/tests/store_test.cc
@@ -1,4 +1,4 @@
-// A store that takes requests and never answers.
+// A store that accepts requests and never answers.
 #include <CppUTest/TestHarness.h>
 
 #include "harness.h"
@@ -8,10 +8,10 @@
 
 TEST_GROUP(SilentStore) { et::TestEnvironment env; };
 
-// The store's machine lost its power: connections stand, and nothing answers. A
-// node that starts meanwhile says that it isn't ready, and reads everything
-// once the store is back.
-TEST(SilentStore, AtTheStartTheNodeWaitsUntilItIsBack) {
+// The store's machine loses its power: connections stay open, and nothing
+// answers. A node that starts meanwhile reports that it isn't ready, and reads
+// all data once the store is back.
+TEST(SilentStore, StartingNodeWaitsForStore) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   env.Publish();
   env.store.SetSilent(true);
@@ -25,9 +25,9 @@
   STRCMP_EQUAL("200", env.SendAndDescribe(proxy, {.path = "/once/b"}).c_str());
 }
 
-// Guards against a watch that is lost in the silence and hides the store's
-// return.
-TEST(SilentStore, ACallAfterALostOneWaitsBriefly) {
+// Guards against a long watch that the silent store has lost and that delays
+// noticing the store's return.
+TEST(SilentStore, WatchAfterLostCallIsShort) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   env.StartReadyNode();
   env.RunLoopFor(std::chrono::milliseconds(50));
@@ -36,10 +36,10 @@
   CHECK(env.store.last_wait() <= std::chrono::milliseconds(500));
 }
 
-// The store falls silent under the watches of a node. What it knew stays in
-// force, and it has what changed meanwhile once the store is back: a node that
-// waited for the old watches would never hear of it.
-TEST(SilentStore, LaterTheNodeServesAndCatchesUp) {
+// The store falls silent during the watches of a running node. The node's data
+// stays in force, and it gets the changes made meanwhile once the store is
+// back. A node that waited for the old watches would never get them.
+TEST(SilentStore, RunningNodeServesAndCatchesUp) {
   env.AddEndpoint("e1", et::AnswerImmediately());
   ep::Proxy& proxy = env.StartReadyNode();
   env.RunLoopFor(std::chrono::milliseconds(50));
