--- a/proxy/src/metrics.cc
+++ b/proxy/src/metrics.cc
@@ -86,7 +86,7 @@
              label);
   }
   SetGauge(proxy, "egretladder_store_trouble",
-           "1 while reads of the store failed lately.",
+           "1 if a read of the store failed recently, otherwise 0.",
            IsStoreTroubled(proxy) ? 1 : 0);
   SetGauge(proxy, "egretladder_nodes", "Available nodes, this one included.",
            static_cast<double>(
--- a/proxy/src/store_changes.cc
+++ b/proxy/src/store_changes.cc
@@ -22,7 +22,7 @@
   return "peer";
 }
 
-// A full list from a peer replaces the node's own list request.
+// A full list from a peer replaces the node's own, unless that is being read.
 void OnFullListFromPeer(StoreReader& reader) {
   if (!reader.reading) reader.has_full_list = true;
 }
