--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -135,7 +135,7 @@
   if (!is_retry || outcome == AttemptOutcome::kSilent ||
       call.delivered_attempts == 0)
     return step;
-  if (TakeRetry(proxy, call)) {
+  if (TryConsumeRetry(proxy, call)) {
     return step;
   }
   input.has_time_left = false;
@@ -169,11 +169,11 @@
   return forwarded;
 }
 
-bool TakeRetry(Proxy& proxy, const Call& call) {
+bool TryConsumeRetry(Proxy& proxy, const Call& call) {
   const Time now = NowOf(proxy);
-  return routing::TakeRetry(proxy.retry_budgets[call.service->name],
-                            proxy.options.retries, MakeRetryBudgetFleet(proxy),
-                            now);
+  return routing::TryConsumeRetry(proxy.retry_budgets[call.service->name],
+                                  proxy.options.retries,
+                                  MakeRetryBudgetFleet(proxy), now);
 }
 
 void CancelAttempt(Proxy& /*proxy*/, const CallPtr& call) {
--- a/proxy/src/attempts.cc
+++ b/proxy/src/attempts.cc
@@ -120,7 +120,7 @@
 void OnSilenceTimeout(Proxy& proxy, const CallPtr& call) {
   if (call->attempt == nullptr) return;
   const bool has_attempts_left = call->may_have_run + 1 < call->route->attempts;
-  if (!has_attempts_left || !TakeRetry(proxy, *call)) {
+  if (!has_attempts_left || !TryConsumeRetry(proxy, *call)) {
     return;
   }
   net::Cancel(call->attempt->exchange);
@@ -334,7 +334,8 @@
   attempt.endpoint = placement.endpoint;
   attempt.placement = placement;
   attempt.sent_at = now;
-  routing::OnPlaced(proxy.split_demand_meter, call->demand, placement, now);
+  routing::OnRequestPlaced(proxy.split_demand_meter, call->demand, placement,
+                           now);
   routing::OnAttemptSent(*placement.endpoint, call->demand, attempt.number,
                          placement, now);
   kernel::Observe(proxy.metrics, call->class_metrics->waited,
--- a/proxy/src/attempts_p.h
+++ b/proxy/src/attempts_p.h
@@ -13,6 +13,6 @@
 
 /// Returns true if the retry budget of the call's service allows one more
 /// retry, and takes it from the budget then.
-bool TakeRetry(Proxy& proxy, const Call& call);
+bool TryConsumeRetry(Proxy& proxy, const Call& call);
 
 }  // namespace egretladder::proxy
--- a/proxy/src/calls.cc
+++ b/proxy/src/calls.cc
@@ -195,7 +195,7 @@
 // crash endpoints; 0: it may be sent.
 milliseconds GetHoldTime(const Proxy& proxy, Call& call, Time now) {
   if (proxy.suspects.by_request.empty()) return {};
-  return routing::HeldFor(proxy.suspects, GetFingerprint(call), now);
+  return routing::RemainingHoldTime(proxy.suspects, GetFingerprint(call), now);
 }
 
 void RefuseSuspect(Proxy& proxy, const CallPtr& call, milliseconds hold_time) {
--- a/proxy/src/gossip_codec.cc
+++ b/proxy/src/gossip_codec.cc
@@ -178,14 +178,16 @@
   for (unsigned i = 0; i < members.size(); ++i) {
     WriteMember(gossip.members[i], members[i]);
   }
-  auto pulses = news.initPulses(static_cast<unsigned>(gossip.pulses.size()));
-  for (unsigned i = 0; i < pulses.size(); ++i) {
-    const routing::MemberHeartbeat& heartbeat = gossip.pulses[i];
-    pulses[i].setNode(heartbeat.node);
-    pulses[i].setLife(heartbeat.short_incarnation);
-    pulses[i].setHeartbeat(static_cast<std::uint32_t>(heartbeat.heartbeat));
-    pulses[i].setLeaving(heartbeat.leaving);
-    pulses[i].setStoreTroubled(heartbeat.store_troubled);
+  auto member_heartbeats =
+      news.initPulses(static_cast<unsigned>(gossip.member_heartbeats.size()));
+  for (unsigned i = 0; i < member_heartbeats.size(); ++i) {
+    const routing::MemberHeartbeat& heartbeat = gossip.member_heartbeats[i];
+    member_heartbeats[i].setNode(heartbeat.node);
+    member_heartbeats[i].setLife(heartbeat.short_incarnation);
+    member_heartbeats[i].setHeartbeat(
+        static_cast<std::uint32_t>(heartbeat.heartbeat));
+    member_heartbeats[i].setLeaving(heartbeat.leaving);
+    member_heartbeats[i].setStoreTroubled(heartbeat.store_troubled);
   }
   auto unknown = news.initUnknown(static_cast<unsigned>(gossip.unknown.size()));
   for (unsigned i = 0; i < unknown.size(); ++i) {
@@ -199,9 +201,9 @@
     gossip.members.push_back(ReadMember(member));
   }
   for (const auto heartbeat : news.getPulses()) {
-    gossip.pulses.push_back({heartbeat.getNode(), heartbeat.getLife(),
-                             heartbeat.getHeartbeat(), heartbeat.getLeaving(),
-                             heartbeat.getStoreTroubled()});
+    gossip.member_heartbeats.push_back(
+        {heartbeat.getNode(), heartbeat.getLife(), heartbeat.getHeartbeat(),
+         heartbeat.getLeaving(), heartbeat.getStoreTroubled()});
   }
   return gossip;
 }
