--- a/rules/tests/compare_rules_test.cc
+++ b/rules/tests/compare_rules_test.cc
@@ -50,15 +50,15 @@
 
 TEST_GROUP(CompareRules){};
 
-// An operator rolls back by publishing the old file again; nodes that took the
-// newer one would never follow, and the fleet would stand on two documents.
-TEST(CompareRules, RefusesAVersionThatDoesNotRise) {
+// An operator rolls back by publishing the previous file unchanged. Nodes that
+// accepted the newer version ignore it, so the fleet would run two versions.
+TEST(CompareRules, RejectsAVersionThatDoesNotIncrease) {
   const auto same = er::CompareRules(*Read(kCurrent), *Read(kCurrent));
   CHECK_FALSE(same.has_value());
   CHECK(same.error().code == egretladder::kernel::ErrorCode::kConflict);
 }
 
-TEST(CompareRules, SaysWhatAZoneOutDoes) {
+TEST(CompareRules, DescribesTheEffectOfTakingAZoneOut) {
   const auto change = OnlyChange("yeka = ", "yeka = out=yes ");
   STRCMP_EQUAL("zone 'yeka': out no -> yes", change.what.c_str());
   STRCMP_CONTAINS("1 endpoints in it receive no new work",
@@ -66,20 +66,20 @@
   CHECK_EQUAL(5U, change.line);
 }
 
-TEST(CompareRules, SaysWhatClassAndAccountChangesDo) {
+TEST(CompareRules, DescribesTheEffectsOfClassAndAccountChanges) {
   STRCMP_CONTAINS("shed sooner", OnlyChange("tier=1", "tier=3").effect.c_str());
   STRCMP_CONTAINS("need a lane",
                   OnlyChange("800ms", "800ms repeatable=no").effect.c_str());
   const auto change = OnlyChange("buyer,bulk", "bulk");
   STRCMP_EQUAL("account 'abay': classes bulk,buyer -> bulk",
                change.what.c_str());
-  // The order of names has no meaning.
+  // The order of the names in a list is not significant.
   const auto none = er::CompareRules(
       *Read(kCurrent), *Read(Replace("buyer,bulk", "bulk,buyer")));
   CHECK_TRUE(none.value().empty());
 }
 
-TEST(CompareRules, NamesAddedAndRemovedRules) {
+TEST(CompareRules, ReportsAddedAndRemovedRules) {
   const auto change = OnlyChange(
       "e2 = address=10.0.0.2:8000 zone=yeka serves=trace bears=4 ; "
       "Hanna\n",
@@ -90,9 +90,9 @@
                OnlyChange("bole = ", "kality = ; H\nbole = ").what.c_str());
 }
 
-// The successor was read on another process, so its rows are numbered
-// otherwise; only what its text changes may show.
-TEST(CompareRules, ComparesByNameNotByRow) {
+// The new version was read separately, so its rows are in another order. Only
+// changes of the text may be reported.
+TEST(CompareRules, ComparesRulesByNameNotByRow) {
   const auto changes = er::CompareRules(
       *Read(kCurrent), *Read(Replace("bole = ; Hanna\nyeka = ; Hanna\n",
                                      "yeka = ; Hanna\nbole = ; Hanna\n")));
@@ -101,7 +101,7 @@
 
 TEST_GROUP(ExplainRequest){};
 
-TEST(ExplainRequest, NamesEachRuleAndWhoAskedForIt) {
+TEST(ExplainRequest, ReportsEachRuleWithItsRequester) {
   const auto rules = Read(Replace("yeka = ", "yeka = out=yes "));
   const std::string text =
       er::ExplainRequest(*rules, "abay", "buyer", "trace").value();
@@ -112,7 +112,7 @@
                   text.c_str());
 }
 
-TEST(ExplainRequest, SaysWhyARequestIsRefused) {
+TEST(ExplainRequest, ReportsWhyARequestIsRejected) {
   const auto rules = Read(kCurrent);
   STRCMP_CONTAINS(
       "refused: the account's rule does not list class 'buyer'",
