--- a/proxy/src/attempt_end.cc
+++ b/proxy/src/attempt_end.cc
@@ -1,4 +1,4 @@
-// What follows an attempt at an endpoint that ended.
+// The end of an attempt: records the outcome and decides what follows.
 #include <string>
 #include <utility>
 
@@ -15,19 +15,20 @@
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 
-void PassOn(Proxy& proxy, const CallPtr& call, const Attempt& attempt) {
+void ForwardAnswer(Proxy& proxy, const CallPtr& call, const Attempt& attempt) {
   call->caller->OnDisconnect(nullptr);
   call->caller->Answer(attempt.head.status, attempt.head.reason,
-                       FieldsToPass(attempt.head.fields), attempt.body);
-  call->ended_well = IsSuccess(attempt.head.status);
-  EndCall(proxy, call, call->ended_well ? "answered" : "endpoint-failure");
+                       FieldsToForward(attempt.head.fields), attempt.body);
+  call->succeeded = IsSuccess(attempt.head.status);
+  EndCall(proxy, call, call->succeeded ? "answered" : "endpoint-failure");
 }
 
-// What the end says of the endpoint.
-void NoteEnd(Proxy& proxy, const Call& call, AttemptOutcome end) {
+// Records what the outcome says about the endpoint.
+void RecordEndpointResult(Proxy& proxy, const Call& call,
+                          AttemptOutcome outcome) {
   routing::Endpoint& endpoint = *call.attempt->endpoint;
   const Time now = NowOf(proxy);
-  switch (end) {
+  switch (outcome) {
     case AttemptOutcome::kNotSent:
       routing::OnConnectFailed(endpoint, now);
       break;
@@ -48,54 +49,54 @@
       routing::OnAttemptFailed(endpoint, now);
       break;
     case AttemptOutcome::kSucceeded:
-      routing::OnAnswered(endpoint, Between(call.attempt->sent, now), now);
+      routing::OnAnswered(endpoint, Elapsed(call.attempt->sent_at, now), now);
       break;
   }
 }
 
-// What the end says of the request: one that crashes endpoints shows by breaks
-// at one after the other.
-void NoteSuspect(Proxy& proxy, Call& call, AttemptOutcome end) {
+// Records what the outcome says about the request. A request that crashes
+// endpoints shows as connections that break at one endpoint after the other.
+void RecordSuspect(Proxy& proxy, Call& call, AttemptOutcome outcome) {
   const Attempt& attempt = *call.attempt;
   const Time now = NowOf(proxy);
-  if (end == AttemptOutcome::kBroken) {
+  if (outcome == AttemptOutcome::kBroken) {
     routing::OnConnectionBroke(
-        proxy.suspects, FingerprintOf(call),
-        {kernel::HashBytes(attempt.endpoint->entry.id), attempt.sent, now});
+        proxy.suspects, GetFingerprint(call),
+        {kernel::HashBytes(attempt.endpoint->entry.id), attempt.sent_at, now});
     return;
   }
-  const bool ran =
-      end == AttemptOutcome::kSucceeded || end == AttemptOutcome::kFailed;
-  if (ran && !proxy.suspects.by_request.empty()) {
-    routing::OnRequestRan(proxy.suspects, FingerprintOf(call), now);
+  const bool has_run = outcome == AttemptOutcome::kSucceeded ||
+                       outcome == AttemptOutcome::kFailed;
+  if (has_run && !proxy.suspects.by_request.empty()) {
+    routing::OnRequestRan(proxy.suspects, GetFingerprint(call), now);
   }
 }
 
-void Release(const CallPtr& call, const Attempt& attempt) {
+void ReleaseEndpoint(const CallPtr& call, const Attempt& attempt) {
   routing::OnAttemptStarted(*attempt.endpoint, call->demand, attempt.number,
                             attempt.placement);
   routing::OnAttemptEnded(*attempt.endpoint);
 }
 
-void Follow(Proxy& proxy, const CallPtr& call, NextStep step,
-            std::unique_ptr<Attempt> attempt) {
+void ExecuteNextStep(Proxy& proxy, const CallPtr& call, NextStep step,
+                     std::unique_ptr<Attempt> attempt) {
   switch (step) {
     case NextStep::kSendAgain:
     case NextStep::kResume:
       Dispatch(proxy, call);
       return;
     case NextStep::kPassOn:
-      if (attempt->events) {
+      if (attempt->is_event_stream) {
         call->caller->OnDisconnect(nullptr);
         call->caller->End();
-        call->ended_well = true;
+        call->succeeded = true;
         routing::OnStreamEnded(
             proxy.endpoints.service_paces[call->service->name],
             call->route->name, static_cast<double>(call->events),
-            Between(call->first_event_at, NowOf(proxy)));
+            Elapsed(call->first_event_at, NowOf(proxy)));
         EndCall(proxy, call, "answered");
       } else {
-        PassOn(proxy, call, *attempt);
+        ForwardAnswer(proxy, call, *attempt);
       }
       return;
     case NextStep::kRefuse:
@@ -113,95 +114,100 @@
   }
 }
 
-// What follows an attempt that ended, with room in the retry share taken where
-// it is sent again.
-NextStep NextFor(Proxy& proxy, const Call& call, AttemptOutcome end) {
-  routing::NextStepInput after;
-  after.end = end;
-  after.is_repeatable = routing::IsRouteRepeatable(*call.route);
-  after.resumable = call.route->resumable && !call.last_event_id.empty();
-  after.is_answer_started = call.caller->begun();
-  after.attempts = call.route->attempts;
-  after.may_have_run = call.may_have_run;
-  after.not_run = call.not_run;
-  after.not_sent = call.not_sent;
-  after.has_time_left = NowOf(proxy) < call.deadline;
-  const NextStep step = routing::DecideNextStep(after);
-  const bool again = step == NextStep::kSendAgain || step == NextStep::kResume;
-  // Impatience took its retry before it gave the attempt up.
-  if (!again || end == AttemptOutcome::kSilent || call.arrivals == 0)
+// Returns what follows an attempt that ended. Takes a retry from the budget if
+// the request is sent again.
+NextStep ChooseNextStep(Proxy& proxy, const Call& call,
+                        AttemptOutcome outcome) {
+  routing::NextStepInput input;
+  input.end = outcome;
+  input.is_repeatable = routing::IsRouteRepeatable(*call.route);
+  input.resumable = call.route->resumable && !call.last_event_id.empty();
+  input.is_answer_started = call.caller->begun();
+  input.attempts = call.route->attempts;
+  input.may_have_run = call.may_have_run;
+  input.not_run = call.not_run;
+  input.not_sent = call.not_sent;
+  input.has_time_left = NowOf(proxy) < call.deadline;
+  const NextStep step = routing::DecideNextStep(input);
+  const bool is_retry =
+      step == NextStep::kSendAgain || step == NextStep::kResume;
+  // For a silent endpoint, `OnSilenceTimeout` has already taken the retry.
+  if (!is_retry || outcome == AttemptOutcome::kSilent ||
+      call.delivered_attempts == 0)
     return step;
   if (TryConsumeRetry(proxy, call)) {
     return step;
   }
-  after.has_time_left = false;
-  return routing::DecideNextStep(after);
+  input.has_time_left = false;
+  return routing::DecideNextStep(input);
 }
 
-void CountEnd(Call& call, AttemptOutcome end,
-              const routing::EndpointPtr& endpoint) {
-  if (end == AttemptOutcome::kNotSent) {
+void CountAttempt(Call& call, AttemptOutcome outcome,
+                  const routing::EndpointPtr& endpoint) {
+  if (outcome == AttemptOutcome::kNotSent) {
     ++call.not_sent;
     return;
   }
-  ++call.arrivals;
-  if (routing::IsNotRun(end)) {
-    // It may come back there once the endpoint's own pause is over.
+  ++call.delivered_attempts;
+  if (routing::IsNotRun(outcome)) {
+    // The endpoint stays eligible for later attempts, once the pause after its
+    // refusal is over.
     ++call.not_run;
   } else {
     ++call.may_have_run;
-    call.tried.push_back(endpoint);
+    call.tried_endpoints.push_back(endpoint);
   }
 }
 
 }  // namespace
 
-net::HttpFields FieldsToPass(const net::HttpFields& fields) {
-  net::HttpFields passed;
+net::HttpFields FieldsToForward(const net::HttpFields& fields) {
+  net::HttpFields forwarded;
   for (const net::HttpField& field : fields) {
-    if (!net::IsHopByHopField(field.name)) passed.push_back(field);
+    if (!net::IsHopByHopField(field.name)) forwarded.push_back(field);
   }
-  return passed;
+  return forwarded;
 }
 
 bool TryConsumeRetry(Proxy& proxy, const Call& call) {
   const Time now = NowOf(proxy);
-  return routing::TryConsumeRetry(proxy.retry_shares[call.service->name],
-                                  proxy.options.retries, RetryFleetOf(proxy),
-                                  now);
+  return routing::TryConsumeRetry(proxy.retry_budgets[call.service->name],
+                                  proxy.options.retries,
+                                  MakeRetryBudgetFleet(proxy), now);
 }
 
-void DropAttempt(Proxy& /*proxy*/, const CallPtr& call) {
+void CancelAttempt(Proxy& /*proxy*/, const CallPtr& call) {
   if (call->attempt == nullptr) return;
   const auto attempt = std::move(call->attempt);
   net::Cancel(attempt->exchange);
-  Release(call, *attempt);
+  ReleaseEndpoint(call, *attempt);
 }
 
-void EndAttempt(Proxy& proxy, const CallPtr& call, AttemptOutcome end,
+void EndAttempt(Proxy& proxy, const CallPtr& call, AttemptOutcome outcome,
                 const std::string& detail) {
   if (call->attempt == nullptr) return;
-  call->patience = {};
-  NoteEnd(proxy, *call, end);
-  NoteSuspect(proxy, *call, end);
+  call->silence_timer = {};
+  RecordEndpointResult(proxy, *call, outcome);
+  RecordSuspect(proxy, *call, outcome);
   auto attempt = std::move(call->attempt);
-  Release(call, *attempt);
-  CountEnd(*call, end, attempt->endpoint);
-  const NextStep step = NextFor(proxy, *call, end);
-  Count(proxy, "egretladder_attempts_total", "Attempts ended, by how.",
-        std::string("end=\"") + routing::NameOf(end) + "\"");
-  if (end != AttemptOutcome::kSucceeded) {
+  ReleaseEndpoint(call, *attempt);
+  CountAttempt(*call, outcome, attempt->endpoint);
+  const NextStep step = ChooseNextStep(proxy, *call, outcome);
+  IncrementCounter(proxy, "egretladder_attempts_total",
+                   "Attempts ended, by outcome.",
+                   std::string("end=\"") + routing::NameOf(outcome) + "\"");
+  if (outcome != AttemptOutcome::kSucceeded) {
     kernel::LogEvent(LogPart::kEndpoint, LogLevel::kWarning, "attempt-ended",
-                     {{"req", call->facts.id},
+                     {{"req", call->metadata.id},
                       {"endpoint", attempt->endpoint->entry.id},
-                      {"end", routing::NameOf(end)},
+                      {"end", routing::NameOf(outcome)},
                       {"status", attempt->head.status},
                       {"detail", detail},
-                      {"ms", Between(attempt->sent, NowOf(proxy))},
+                      {"ms", Elapsed(attempt->sent_at, NowOf(proxy))},
                       {"phase", routing::NameOf(attempt->endpoint->phase)},
                       {"next", routing::NameOf(step)}});
   }
-  Follow(proxy, call, step, std::move(attempt));
+  ExecuteNextStep(proxy, call, step, std::move(attempt));
 }
 
 }  // namespace egretladder::proxy
--- a/proxy/src/news_codec.cc
+++ b/proxy/src/gossip_codec.cc
@@ -1,3 +1,4 @@
+// Encodes and decodes gossip messages and packed changes.
 #include <capnp/serialize.h>
 #include <kj/exception.h>
 
@@ -7,7 +8,7 @@
 
 #include "egretladder/net/compression.h"
 #include "egretladder/net/rpc_connection.h"
-#include "news_codec_p.h"
+#include "gossip_codec_p.h"
 
 namespace egretladder::proxy {
 namespace {
@@ -75,137 +76,141 @@
   return changes;
 }
 
-// Load: many nodes that send to the same endpoints. Without the others' load
-// each would count its own part as the whole. In a large fleet it comes too
-// rarely to be worth its bytes.
+// Writes this node's load at its endpoints. Several nodes send to the same
+// endpoints, and without the load of the others each node would take its own
+// part for the whole. In a large fleet a peer's load arrives too rarely to be
+// worth its size.
 void WriteLoads(Proxy& proxy, exchange::News::Builder news) {
   if (!routing::IsSmallFleet(proxy.members)) return;
-  std::vector<const routing::Endpoint*> busy;
+  std::vector<const routing::Endpoint*> busy_endpoints;
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
-    if (endpoint->in_flight > 0) busy.push_back(endpoint.get());
+    if (endpoint->in_flight > 0) busy_endpoints.push_back(endpoint.get());
   }
-  auto loads = news.initLoads(static_cast<unsigned>(busy.size()));
+  auto loads = news.initLoads(static_cast<unsigned>(busy_endpoints.size()));
   for (unsigned i = 0; i < loads.size(); ++i) {
     double tokens = 0;
-    for (const double some : busy[i]->waiting_tokens) tokens += some;
-    loads[i].setEndpoint(busy[i]->entry.id);
-    loads[i].setInFlight(busy[i]->in_flight);
+    for (const double tier_tokens : busy_endpoints[i]->waiting_tokens)
+      tokens += tier_tokens;
+    loads[i].setEndpoint(busy_endpoints[i]->entry.id);
+    loads[i].setInFlight(busy_endpoints[i]->in_flight);
     loads[i].setWaitingTokens(static_cast<std::uint32_t>(tokens));
   }
 }
 
-// Sums up anew what peers said; what is too old no longer counts.
+// Recomputes the load of peers at each endpoint from the reports that are not
+// older than `kPeerLoadRetention`.
 void SumLoads(Proxy& proxy, Time now) {
   for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
     endpoint->peers_in_flight = 0;
     endpoint->peers_waiting_tokens = 0;
   }
   std::erase_if(proxy.peer_loads, [now](const auto& entry) {
-    return now - entry.second.told > routing::kPeerLoadRetention;
+    return now - entry.second.received_at > routing::kPeerLoadRetention;
   });
-  for (const auto& [node, told] : proxy.peer_loads) {
-    for (const PeerLoads::Load& load : told.loads) {
-      const auto at = proxy.endpoints.by_id.find(load.endpoint);
-      if (at == proxy.endpoints.by_id.end()) continue;
-      at->second->peers_in_flight += load.in_flight;
-      at->second->peers_waiting_tokens += load.waiting_tokens;
+  for (const auto& [node, peer] : proxy.peer_loads) {
+    for (const PeerLoads::Load& load : peer.loads) {
+      const auto it = proxy.endpoints.by_id.find(load.endpoint);
+      if (it == proxy.endpoints.by_id.end()) continue;
+      it->second->peers_in_flight += load.in_flight;
+      it->second->peers_waiting_tokens += load.waiting_tokens;
     }
   }
 }
 
-void TakeLoads(Proxy& proxy, const std::string& node,
-               exchange::News::Reader news, Time now) {
-  // In a large fleet nobody tells, and adding up goes over all endpoints.
+void ApplyLoads(Proxy& proxy, const std::string& node,
+                exchange::News::Reader news, Time now) {
+  // In a large fleet no node reports its load, and the sum would iterate over
+  // all endpoints in vain.
   if (!routing::IsSmallFleet(proxy.members)) {
     if (proxy.peer_loads.empty()) return;
     proxy.peer_loads.clear();
     SumLoads(proxy, now);
     return;
   }
-  PeerLoads& told = proxy.peer_loads[node];
-  told.told = now;
-  told.loads.clear();
+  PeerLoads& peer = proxy.peer_loads[node];
+  peer.received_at = now;
+  peer.loads.clear();
   for (const auto load : news.getLoads()) {
-    told.loads.push_back(
+    peer.loads.push_back(
         {load.getEndpoint(), load.getInFlight(), load.getWaitingTokens()});
   }
   SumLoads(proxy, now);
 }
 
-std::uint32_t MillisOf(milliseconds age) {
+std::uint32_t ToMillis(milliseconds age) {
   return static_cast<std::uint32_t>(std::max<std::int64_t>(0, age.count()));
 }
 
 void WriteSuspects(const Proxy& proxy, exchange::News::Builder news, Time now) {
   if (proxy.suspects.by_request.empty()) return;
-  const auto told = routing::MakeSuspectGossip(proxy.suspects, now);
-  auto list = news.initSuspects(static_cast<unsigned>(told.size()));
+  const auto gossip = routing::MakeSuspectGossip(proxy.suspects, now);
+  auto list = news.initSuspects(static_cast<unsigned>(gossip.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
-    list[i].setRequest(told[i].request);
-    list[i].setClearedAgoMs(MillisOf(told[i].cleared_ago));
+    list[i].setRequest(gossip[i].request);
+    list[i].setClearedAgoMs(ToMillis(gossip[i].cleared_ago));
     auto breaks =
-        list[i].initBreaks(static_cast<unsigned>(told[i].breaks.size()));
+        list[i].initBreaks(static_cast<unsigned>(gossip[i].breaks.size()));
     for (unsigned j = 0; j < breaks.size(); ++j) {
-      breaks[j].setEndpoint(told[i].breaks[j].endpoint);
-      breaks[j].setSentAgoMs(MillisOf(told[i].breaks[j].sent_ago));
-      breaks[j].setBrokeAgoMs(MillisOf(told[i].breaks[j].broke_ago));
+      breaks[j].setEndpoint(gossip[i].breaks[j].endpoint);
+      breaks[j].setSentAgoMs(ToMillis(gossip[i].breaks[j].sent_ago));
+      breaks[j].setBrokeAgoMs(ToMillis(gossip[i].breaks[j].broke_ago));
     }
   }
 }
 
-void TakeSuspects(Proxy& proxy, exchange::News::Reader news, Time now) {
+void ApplySuspects(Proxy& proxy, exchange::News::Reader news, Time now) {
   for (const auto reader : news.getSuspects()) {
-    routing::SuspectGossip told;
-    told.request = reader.getRequest();
-    told.cleared_ago = milliseconds(reader.getClearedAgoMs());
-    for (const auto seen : reader.getBreaks()) {
-      told.breaks.push_back({seen.getEndpoint(),
-                             milliseconds(seen.getSentAgoMs()),
-                             milliseconds(seen.getBrokeAgoMs())});
+    routing::SuspectGossip gossip;
+    gossip.request = reader.getRequest();
+    gossip.cleared_ago = milliseconds(reader.getClearedAgoMs());
+    for (const auto connection_break : reader.getBreaks()) {
+      gossip.breaks.push_back({connection_break.getEndpoint(),
+                               milliseconds(connection_break.getSentAgoMs()),
+                               milliseconds(connection_break.getBrokeAgoMs())});
     }
-    routing::ApplySuspectGossip(proxy.suspects, told, now);
+    routing::ApplySuspectGossip(proxy.suspects, gossip, now);
   }
 }
 
-void WriteMembers(const routing::MemberGossip& told,
+void WriteMembers(const routing::MemberGossip& gossip,
                   exchange::News::Builder news) {
-  auto members = news.initMembers(static_cast<unsigned>(told.members.size()));
+  auto members = news.initMembers(static_cast<unsigned>(gossip.members.size()));
   for (unsigned i = 0; i < members.size(); ++i) {
-    WriteMember(told.members[i], members[i]);
+    WriteMember(gossip.members[i], members[i]);
   }
   auto member_heartbeats =
-      news.initPulses(static_cast<unsigned>(told.member_heartbeats.size()));
+      news.initPulses(static_cast<unsigned>(gossip.member_heartbeats.size()));
   for (unsigned i = 0; i < member_heartbeats.size(); ++i) {
-    const routing::MemberHeartbeat& pulse = told.member_heartbeats[i];
-    member_heartbeats[i].setNode(pulse.node);
-    member_heartbeats[i].setLife(pulse.short_incarnation);
+    const routing::MemberHeartbeat& heartbeat = gossip.member_heartbeats[i];
+    member_heartbeats[i].setNode(heartbeat.node);
+    member_heartbeats[i].setLife(heartbeat.short_incarnation);
     member_heartbeats[i].setHeartbeat(
-        static_cast<std::uint32_t>(pulse.heartbeat));
-    member_heartbeats[i].setLeaving(pulse.leaving);
-    member_heartbeats[i].setStoreTroubled(pulse.store_troubled);
+        static_cast<std::uint32_t>(heartbeat.heartbeat));
+    member_heartbeats[i].setLeaving(heartbeat.leaving);
+    member_heartbeats[i].setStoreTroubled(heartbeat.store_troubled);
   }
-  auto unknown = news.initUnknown(static_cast<unsigned>(told.unknown.size()));
+  auto unknown = news.initUnknown(static_cast<unsigned>(gossip.unknown.size()));
   for (unsigned i = 0; i < unknown.size(); ++i) {
-    unknown.set(i, told.unknown[i]);
+    unknown.set(i, gossip.unknown[i]);
   }
 }
 
 routing::MemberGossip ReadMembers(exchange::News::Reader news) {
-  routing::MemberGossip told;
+  routing::MemberGossip gossip;
   for (const auto member : news.getMembers()) {
-    told.members.push_back(ReadMember(member));
+    gossip.members.push_back(ReadMember(member));
   }
-  for (const auto pulse : news.getPulses()) {
-    told.member_heartbeats.push_back({pulse.getNode(), pulse.getLife(),
-                                      pulse.getHeartbeat(), pulse.getLeaving(),
-                                      pulse.getStoreTroubled()});
+  for (const auto heartbeat : news.getPulses()) {
+    gossip.member_heartbeats.push_back(
+        {heartbeat.getNode(), heartbeat.getLife(), heartbeat.getHeartbeat(),
+         heartbeat.getLeaving(), heartbeat.getStoreTroubled()});
   }
-  return told;
+  return gossip;
 }
 
-void TakeMembers(Proxy& proxy, const routing::MemberGossip& told, Time now) {
+void ApplyMembers(Proxy& proxy, const routing::MemberGossip& gossip, Time now) {
   for (const std::string& node :
-       routing::ApplyMemberGossip(proxy.members, told, now)) {
+       routing::ApplyMemberGossip(proxy.members, gossip, now)) {
     kernel::LogEvent(LogPart::kFleet, LogLevel::kInfo, "node-there",
                      {{"node", node}});
   }
@@ -214,12 +219,12 @@
 }  // namespace
 
 Progress OwnProgress(const Proxy& proxy) {
-  Progress own{};
-  for (std::size_t i = 0; i < own.size(); ++i) {
-    own[i] =
+  Progress progress{};
+  for (std::size_t i = 0; i < progress.size(); ++i) {
+    progress[i] =
         routing::GetFeedProgress(proxy.catalog, static_cast<routing::Feed>(i));
   }
-  return own;
+  return progress;
 }
 
 void WriteProgress(const Progress& progress,
@@ -238,35 +243,36 @@
   return progress;
 }
 
-void WriteNews(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
-               exchange::News::Builder news) {
+void WriteGossip(Proxy& proxy, const std::vector<std::uint32_t>& unknown,
+                 exchange::News::Builder news) {
   const Time now = NowOf(proxy);
   WriteMembers(
       routing::MakeMemberGossip(proxy.members, unknown, proxy.random, now),
       news);
   WriteProgress(OwnProgress(proxy), news.initProgress(routing::kFeedCount));
-  news.setTightDemand(static_cast<float>(proxy.agreed.mean.tight));
-  news.setRestDemand(static_cast<float>(proxy.agreed.mean.rest));
+  news.setTightDemand(static_cast<float>(proxy.fleet_demand.mean.tight));
+  news.setRestDemand(static_cast<float>(proxy.fleet_demand.mean.rest));
   WriteLoads(proxy, news);
   WriteSuspects(proxy, news, now);
   WriteLimits(proxy, news);
 }
 
-PeerState TakeNews(Proxy& proxy, exchange::News::Reader news) {
+PeerState ApplyGossip(Proxy& proxy, exchange::News::Reader news) {
   const Time now = NowOf(proxy);
-  const routing::MemberGossip told = ReadMembers(news);
-  TakeMembers(proxy, told, now);
-  TakeSuspects(proxy, news, now);
-  TakeLimits(proxy, news);
-  routing::MergePeerDemand(proxy.agreed,
+  const routing::MemberGossip gossip = ReadMembers(news);
+  ApplyMembers(proxy, gossip, now);
+  ApplySuspects(proxy, news, now);
+  ApplyLimits(proxy, news);
+  routing::MergePeerDemand(proxy.fleet_demand,
                            {news.getTightDemand(), news.getRestDemand()});
-  proxy.endpoints.tight_fraction = routing::TightFraction(proxy.agreed.mean);
+  proxy.endpoints.tight_fraction =
+      routing::TightFraction(proxy.fleet_demand.mean);
   PeerState peer;
   // The first member is the sender itself.
-  if (!told.members.empty()) {
-    TakeLoads(proxy, told.members.front().node, news, now);
-    peer.peers = told.members.front().peers;
-    peer.zone = told.members.front().zone;
+  if (!gossip.members.empty()) {
+    ApplyLoads(proxy, gossip.members.front().node, news, now);
+    peer.peer_address = gossip.members.front().peers;
+    peer.zone = gossip.members.front().zone;
   }
   peer.progress = ReadProgress(news.getProgress());
   for (const auto node : news.getUnknown()) peer.unknown.push_back(node);
@@ -291,19 +297,19 @@
 
 kernel::Result<ReceivedChanges> UnpackChanges(const PackedChanges& packed,
                                               routing::Feed feed) {
-  constexpr std::size_t kMost = kNewsWords * sizeof(capnp::word);
-  BOOST_OUTCOME_TRY(bytes, net::Decompress(packed.bytes, kMost));
+  constexpr std::size_t kMaxBytes = kMaxMessageWords * sizeof(capnp::word);
+  BOOST_OUTCOME_TRY(bytes, net::Decompress(packed.bytes, kMaxBytes));
   auto words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.begin(), bytes.data(), words.asBytes().size());
   ReceivedChanges received;
-  const auto fault = kj::runCatchingExceptions([&] {
-    capnp::FlatArrayMessageReader message(words,
-                                          net::RpcReaderOptions(kNewsWords));
+  const auto caught = kj::runCatchingExceptions([&] {
+    capnp::FlatArrayMessageReader message(
+        words, net::RpcReaderOptions(kMaxMessageWords));
     const auto reader = message.getRoot<exchange::Changes>();
     received.changes = ReadChanges(reader);
     received.store_troubled = reader.getStoreTroubled();
   });
-  KJ_IF_MAYBE (exception, fault) {
+  KJ_IF_MAYBE (exception, caught) {
     return kernel::MakeError(kernel::ErrorCode::kInvalidInput,
                              "read changes of a peer", "",
                              exception->getDescription().cStr());
--- /dev/null
+++ b/proxy/src/metrics.cc
@@ -0,0 +1,184 @@
+// The metrics of a proxy: counters of calls by class and account, histograms by
+// class, and gauges of the node's current state.
+#include <algorithm>
+
+#include "state_p.h"
+
+namespace egretladder::proxy {
+namespace {
+
+constexpr int kUnavailable = 503;
+
+std::string FormatLabel(const char* name, std::string_view value) {
+  std::string label = std::string(name) + "=\"";
+  // Values come from the configuration, which may contain any character.
+  for (const char c : value) {
+    if (c == '"' || c == '\\') label += '\\';
+    label += c == '\n' ? ' ' : c;
+  }
+  return label + '"';
+}
+
+// Returns the outcome of a call, a coarser classification than its reason.
+const char* ClassifyOutcome(const Call& call, std::string_view reason) {
+  if (call.succeeded) return "answered";
+  if (reason == "caller-gone") return "gone";
+  if (call.caller->begun()) return "broken";
+  if (reason == "endpoint-failure") return "failed";
+  // Of the statuses by which this node refuses calls, only 503 states that the
+  // request has not run.
+  return call.refusal_status == kUnavailable ? "refused" : "unknown";
+}
+
+void SetGauge(Proxy& proxy, const char* name, const char* help, double value,
+              const std::string& labels = "") {
+  kernel::Set(proxy.metrics,
+              kernel::AddGauge(proxy.metrics, name, help, labels), value);
+}
+
+double SecondsSince(Time start, Time now) {
+  return std::chrono::duration<double>(now - start).count();
+}
+
+const char* EndpointStateName(const Proxy& proxy,
+                              const routing::Endpoint& endpoint, Time now) {
+  if (endpoint.phase != routing::EndpointPhase::kServing) {
+    return routing::NameOf(endpoint.phase);
+  }
+  if (routing::IsZoneOut(proxy.endpoints, endpoint.entry.zone)) {
+    return "zone-out";
+  }
+  if (now < endpoint.health.avoid_until) return "down";
+  if (now < endpoint.health.full_until) return "full";
+  if (now < endpoint.cold_until) return "cold";
+  if (endpoint.limit.per_second > 0) return "limited";
+  return "serving";
+}
+
+void UpdateEndpointGauges(Proxy& proxy, Time now) {
+  // States that no endpoint is in any more are reported as 0.
+  for (auto& [labels, count] : proxy.series.endpoint_states) count = 0;
+  for (const auto& [id, endpoint] : proxy.endpoints.by_id) {
+    const std::string labels =
+        FormatLabel("service", endpoint->entry.service) + "," +
+        FormatLabel("state", EndpointStateName(proxy, *endpoint, now));
+    ++proxy.series.endpoint_states[labels];
+  }
+  for (const auto& [labels, count] : proxy.series.endpoint_states) {
+    SetGauge(proxy, "egretladder_endpoints",
+             "Known endpoints, by service and state.", count, labels);
+  }
+}
+
+void UpdateStoreGauges(Proxy& proxy, Time now) {
+  SetGauge(proxy, "egretladder_rules_version", "Version of the rules in force.",
+           static_cast<double>(proxy.rules ? proxy.rules->version : 0));
+  SetGauge(proxy, "egretladder_rules_in_force_seconds",
+           "Time since the rules came into force.",
+           proxy.rules ? SecondsSince(proxy.rules_since, now) : 0);
+  for (const auto feed : {routing::Feed::kRules, routing::Feed::kEndpoints}) {
+    const std::string label = FormatLabel(
+        "feed", feed == routing::Feed::kRules ? "rules" : "endpoints");
+    SetGauge(proxy, "egretladder_store_revision",
+             "Revision of the store up to which a feed is known.",
+             static_cast<double>(
+                 routing::GetFeedState(proxy.catalog, feed).revision),
+             label);
+  }
+  SetGauge(proxy, "egretladder_store_trouble",
+           "1 if a read of the store failed recently, otherwise 0.",
+           IsStoreTroubled(proxy) ? 1 : 0);
+  SetGauge(proxy, "egretladder_nodes", "Available nodes, this one included.",
+           static_cast<double>(
+               routing::MakeFleetSnapshot(proxy.members, now).names.size()));
+}
+
+void UpdateLoadGauges(Proxy& proxy, Time now) {
+  SetGauge(proxy, "egretladder_calls", "Calls in progress.",
+           static_cast<double>(proxy.calls.size()));
+  SetGauge(proxy, "egretladder_waiting", "Calls that wait for an endpoint.",
+           static_cast<double>(proxy.waiting_calls.size()));
+  SetGauge(proxy, "egretladder_body_bytes",
+           "Size of the bodies of calls in progress.",
+           static_cast<double>(proxy.body_bytes));
+  SetGauge(proxy, "egretladder_suspects",
+           "Requests during which a connection broke recently.",
+           static_cast<double>(proxy.suspects.by_request.size()));
+  SetGauge(proxy, "egretladder_endpoint_connections_opened",
+           "Connections to endpoints and the store opened since the start.",
+           static_cast<double>(proxy.client->connections_opened()));
+  const routing::RetryBudgetFleet fleet = MakeRetryBudgetFleet(proxy);
+  for (const auto& [service, share] : proxy.retry_budgets) {
+    SetGauge(proxy, "egretladder_retries_left",
+             "Retries that this node may still make in the window.",
+             routing::RetriesLeft(share, proxy.options.retries, fleet, now),
+             FormatLabel("service", service));
+  }
+}
+
+}  // namespace
+
+void IncrementCounter(Proxy& proxy, const char* name, const char* help,
+                      const std::string& labels) {
+  kernel::Increment(proxy.metrics,
+                    kernel::AddCounter(proxy.metrics, name, help, labels));
+}
+
+const ClassMetrics* GetClassMetrics(Proxy& proxy, const std::string& cls) {
+  auto& classes = proxy.series.classes;
+  const bool known = classes.contains(cls);
+  const std::string& name =
+      known || classes.size() < kMaxMeasuredClasses ? cls : kOtherClass;
+  const auto [it, is_new] = classes.try_emplace(name);
+  if (is_new) {
+    const std::string label = FormatLabel("class", name);
+    it->second.waited = kernel::AddHistogram(
+        proxy.metrics, "egretladder_waited_seconds",
+        "Time from a call's arrival to each attempt.", label);
+    it->second.first_event = kernel::AddHistogram(
+        proxy.metrics, "egretladder_first_event_seconds",
+        "Time from a call's arrival to its answer's first byte.", label);
+    it->second.whole_answer =
+        kernel::AddHistogram(proxy.metrics, "egretladder_call_seconds",
+                             "Time from a call's arrival to its end.", label);
+    it->second.longest_pause = kernel::AddHistogram(
+        proxy.metrics, "egretladder_longest_pause_seconds",
+        "Longest pause between two events of a stream.", label);
+  }
+  return &it->second;
+}
+
+void CountCall(Proxy& proxy, const Call& call, const char* reason) {
+  MetricSeries& series = proxy.series;
+  const std::string account = call.account ? call.account->name : "-";
+  std::string labels = FormatLabel("class", call.route->name) + "," +
+                       FormatLabel("account", account) + "," +
+                       FormatLabel("outcome", ClassifyOutcome(call, reason)) +
+                       "," + FormatLabel("reason", reason);
+  const bool known = series.calls.contains(labels);
+  if (!known && series.calls.size() >= kMaxCallSeries) {
+    labels = FormatLabel("class", kOtherClass) + "," +
+             FormatLabel("account", "other") + "," +
+             FormatLabel("outcome", ClassifyOutcome(call, reason)) + "," +
+             FormatLabel("reason", reason);
+  }
+  const auto [it, is_new] = series.calls.try_emplace(labels);
+  if (is_new) {
+    it->second = kernel::AddCounter(
+        proxy.metrics, "egretladder_calls_total",
+        "Calls ended, by class, account, outcome and reason.", labels);
+  }
+  kernel::Increment(proxy.metrics, it->second);
+}
+
+void UpdateGauges(Proxy& proxy) {
+  const Time now = NowOf(proxy);
+  UpdateStoreGauges(proxy, now);
+  UpdateEndpointGauges(proxy, now);
+  UpdateLoadGauges(proxy, now);
+  SetGauge(proxy, "egretladder_tight_part",
+           "Fraction of the engines reserved for streams with short pauses.",
+           proxy.endpoints.tight_fraction);
+}
+
+}  // namespace egretladder::proxy
--- a/proxy/src/peers_p.h
+++ b/proxy/src/peers_p.h
@@ -13,80 +13,91 @@
 #include "egretladder/net/rpc_connection.h"
 #include "egretladder/net/socket.h"
 #include "egretladder/routing/feed_fetch.h"
-#include "news_codec_p.h"
+#include "gossip_codec_p.h"
 
 namespace egretladder::proxy {
 
 /// A connection to one peer.
-struct PeerOut : private kj::TaskSet::ErrorHandler {
-  PeerOut(net::Bufferevent buffer, Time now)
-      : rpc(std::move(buffer), kNewsWords),
-        peer(rpc.Bootstrap().castAs<exchange::Peer>()),
-        opened(now),
-        asked(now),
+struct PeerConnection : private kj::TaskSet::ErrorHandler {
+  PeerConnection(net::Bufferevent buffer, Time now)
+      : rpc(std::move(buffer), kMaxMessageWords),
+        client(rpc.Bootstrap().castAs<exchange::Peer>()),
+        opened_at(now),
+        last_request_at(now),
         tasks(*this) {}
 
   void taskFailed(kj::Exception&& /*exception*/) override { broken = true; }
 
   net::RpcClientConnection rpc;
-  exchange::Peer::Client peer;
-  Time opened{};
-  Time asked{};                ///< Last.
-  std::size_t unanswered = 0;  ///< Calls.
-  Time waiting_since{};        ///< While one is unanswered.
-  bool exchanging = false;     ///< An exchange is unanswered.
-  bool answered = false;       ///< At least one call was.
+  exchange::Peer::Client client;
+  Time opened_at{};
+  Time last_request_at{};
+  std::size_t unanswered_calls = 0;
+  /// Since when an answer is awaited, while there are unanswered calls.
+  Time waiting_since{};
+  bool exchanging = false;    ///< An exchange is unanswered.
+  bool has_answered = false;  ///< At least one call was answered.
   bool broken = false;
-  bool near = false;                   ///< In the same availability zone.
-  std::vector<std::uint32_t> unknown;  ///< Nodes that it asked for last.
-  kj::TaskSet tasks;                   ///< Last, so that it goes first.
+  bool same_zone = false;  ///< The peer is in the same availability zone.
+  /// Nodes that the peer did not know in the last exchange; they are described
+  /// in the next one.
+  std::vector<std::uint32_t> unknown;
+  kj::TaskSet tasks;  ///< The last member, so that it is destroyed first.
 };
 
-/// Packed changes of one feed, kept for the next peer that lacks the same.
-struct KeptContent {
+/// Packed changes of one feed, cached for the next peer that fetches the same.
+struct CachedChanges {
   std::uint64_t after = 0;
   std::uint64_t revision = 0;
   bool store_troubled = false;
   PackedChanges packed;
 };
 
-struct PeerNet {
+/// The connections between this node and its peers.
+struct PeerNetwork {
   Proxy* proxy = nullptr;
   std::shared_ptr<net::KjLoop> kj;
   net::Listener listener;
-  std::map<std::string, std::unique_ptr<PeerOut>> out;
-  std::vector<std::unique_ptr<net::RpcServerConnection>> in;
+  std::map<std::string, std::unique_ptr<PeerConnection>> outgoing;
+  std::vector<std::unique_ptr<net::RpcServerConnection>> incoming;
   routing::FeedFetches feed_fetches;
-  std::array<KeptContent, routing::kFeedCount> content;
-  kernel::EventWatcher sweep;
-  kernel::EventWatcher soon;
-  bool soon_armed = false;
-  std::size_t announce_to = 0;  ///< Peers, at the next turn.
+  std::array<CachedChanges, routing::kFeedCount> cached_changes;
+  kernel::EventWatcher sweep_timer;
+  kernel::EventWatcher update_timer;
+  bool update_scheduled = false;
+  /// Number of peers that get an announcement at the next scheduled update.
+  std::size_t announce_count = 0;
 };
 
-/// What a message between nodes is about; for metrics.
+/// The kind of a message between nodes; for metrics.
 enum class MessageKind : std::uint8_t { kExchange, kAnnounce, kContent };
 
 // peers_capnp.cc
-/// The connection to a peer, opened now if there is none; null: not possible.
-PeerOut* PeerAt(PeerNet& net, const std::string& address);
-/// A call to the peer begins.
-void OnAsk(PeerOut& peer, Time now);
-/// It was answered.
-void OnAnswer(PeerOut& peer, Time now);
-/// Counts what was told or heard.
+/// Returns the connection to a peer, and opens it if there is none that works.
+/// Null if no connection can be opened.
+PeerConnection* GetOrConnectPeer(PeerNetwork& network,
+                                 const std::string& address);
+/// Records that a call to the peer begins.
+void OnRequestSent(PeerConnection& peer, Time now);
+/// Records that a call to the peer was answered.
+void OnReplyReceived(PeerConnection& peer, Time now);
+/// Counts the size of a message. `direction` is `in` or `out`; `words` have
+/// eight bytes.
 void CountBytes(Proxy& proxy, const char* direction, MessageKind message,
-                bool near, std::uint64_t words);
+                bool same_zone, std::uint64_t words);
 
-// content_capnp.cc
-/// Answers a peer that lacks changes.
-void ServeContent(Proxy& proxy, bool near, std::uint8_t feed_number,
-                  std::uint64_t after,
-                  exchange::Peer::FetchResults::Builder results);
-/// A peer said how far it knows the feeds.
-void HearProgress(Proxy& proxy, const std::string& peer, bool near,
-                  const Progress& progress);
-/// Asks for what was announced and isn't being asked for.
-void FetchNews(Proxy& proxy);
+// feed_fetch_capnp.cc
+/// Answers a fetch of the changes after revision `after`, or states that this
+/// node is busy.
+void AnswerFetch(Proxy& proxy, bool same_zone, std::uint8_t feed_number,
+                 std::uint64_t after,
+                 exchange::Peer::FetchResults::Builder results);
+/// Records how far a peer knows the feeds, and schedules a fetch if this node
+/// lacks changes.
+void OnPeerProgress(Proxy& proxy, const std::string& peer, bool same_zone,
+                    const Progress& progress);
+/// Fetches the changes that peers announced and this node lacks, unless a fetch
+/// is in progress.
+void FetchMissingChanges(Proxy& proxy);
 
 }  // namespace egretladder::proxy
--- a/proxy/src/settings.cc
+++ b/proxy/src/settings.cc
@@ -35,11 +35,11 @@
     {"retries", "ratio", SettingKind::kNumber, "0.1", false,
      "retries for each request, all nodes together"},
     {"retries", "slack", SettingKind::kNumber, "10", false,
-     "retries beyond that in a window, all nodes together"},
+     "additional retries in a window, all nodes together"},
     {"retries", "window", SettingKind::kDuration, "10s", false,
      kDurationExpected},
     {"placing", "without", SettingKind::kText, "", false,
-     "mechanisms of placing to leave out, separated by commas"},
+     "placement mechanisms to disable, separated by commas"},
     {"limits", "memory", SettingKind::kBytes, "256MiB", false,
      "a number with B, KiB or MiB"},
     {"limits", "descriptors", SettingKind::kCount, "4096", false,
@@ -64,7 +64,7 @@
   options.directory = text("listen", "directory");
   options.peers = text("listen", "peers");
   options.metrics = text("listen", "metrics");
-  options.new_fleet = text("peers", "fleet") == "new";
+  options.is_new_fleet = text("peers", "fleet") == "new";
   options.store = text("store", "address");
   options.seeds = kernel::SplitList(text("peers", "seeds"));
 }
@@ -76,15 +76,15 @@
   options.memory_bytes = kernel::GetBytes(settings, "limits", "memory");
   options.descriptors = kernel::GetCount(settings, "limits", "descriptors");
   options.grace = kernel::GetDuration(settings, "stop", "grace");
-  options.directory_keep = kernel::GetDuration(settings, "directory", "keep");
+  options.directory_ttl = kernel::GetDuration(settings, "directory", "keep");
 }
 
-void ReadPlacing(const kernel::Settings& settings,
-                 kernel::SettingsChecker& checker, ProxyOptions& options) {
+void ReadPlacement(const kernel::Settings& settings,
+                   kernel::SettingsChecker& checker, ProxyOptions& options) {
   for (const std::string& name :
        kernel::SplitList(kernel::GetText(settings, "placing", "without"))) {
     if (const auto mechanism = routing::FindMechanism(name)) {
-      options.placing_without.set(static_cast<std::size_t>(*mechanism));
+      options.disabled_mechanisms.set(static_cast<std::size_t>(*mechanism));
     } else {
       checker.AddError(
           "placing", "without",
@@ -93,25 +93,26 @@
   }
 }
 
-// A grace time that ends while callers still keep the address would cut what
-// they send, with nothing to tell the operator why.
-void CheckStop(const ProxyOptions& options, kernel::SettingsChecker& checker) {
-  if (options.directory_keep.count() == 0) {
+// Rejects a grace period that ends while callers still keep the node's address:
+// each stop would cut their requests without telling the operator why.
+void CheckGracePeriod(const ProxyOptions& options,
+                      kernel::SettingsChecker& checker) {
+  if (options.directory_ttl.count() == 0) {
     checker.AddError("directory", "keep", "is 0, expected a time above 0");
   }
-  const policy::StopPlan plan = StopPlanOf(options);
-  const milliseconds least = policy::MinGracePeriod(plan);
-  if (options.grace >= least) return;
+  const policy::StopPlan plan = MakeStopPlan(options);
+  const milliseconds min_grace = policy::MinGracePeriod(plan);
+  if (options.grace >= min_grace) return;
   checker.AddError("stop", "grace",
                    "is " + std::to_string(options.grace.count()) +
-                       "ms, expected " + std::to_string(least.count()) +
+                       "ms, expected " + std::to_string(min_grace.count()) +
                        "ms or more, as callers keep addresses for " +
                        std::to_string(plan.address_ttl.count()) +
                        "ms with this directory.keep");
 }
 
-void Check(const kernel::Settings& settings, const ProxyOptions& options,
-           kernel::SettingsChecker& checker) {
+void CheckValues(const kernel::Settings& settings, const ProxyOptions& options,
+                 kernel::SettingsChecker& checker) {
   for (const std::string& seed : options.seeds) {
     if (net::SplitAddress(seed).second != 0) continue;
     checker.AddError("peers", "seeds",
@@ -132,10 +133,11 @@
     checker.AddError("retries", "window", "is 0");
   }
   if (kernel::FindPlugin<Dialect>(options.dialect) == nullptr) {
-    checker.AddError("node", "dialect",
-                     "is '" + options.dialect + "', which none has");
+    checker.AddError(
+        "node", "dialect",
+        "is '" + options.dialect + "', expected the name of a dialect");
   }
-  CheckStop(options, checker);
+  CheckGracePeriod(options, checker);
 }
 
 }  // namespace
@@ -144,26 +146,26 @@
 
 kernel::Result<ProxyConfig> ReadProxyConfig(
     const std::string& text, std::string_view file,
-    std::vector<kernel::Error>* faults) {
-  BOOST_OUTCOME_TRY(settings, kernel::ReadSettings(text, file, kSpecs, faults));
+    std::vector<kernel::Error>* errors) {
+  BOOST_OUTCOME_TRY(settings, kernel::ReadSettings(text, file, kSpecs, errors));
   ProxyConfig config;
   ReadNode(settings, config.proxy);
   ReadNumbers(settings, config.proxy);
-  std::vector<kernel::Error> found;
-  kernel::SettingsChecker checker(text, file, found);
-  ReadPlacing(settings, checker, config.proxy);
-  Check(settings, config.proxy, checker);
+  std::vector<kernel::Error> found_errors;
+  kernel::SettingsChecker checker(text, file, found_errors);
+  ReadPlacement(settings, checker, config.proxy);
+  CheckValues(settings, config.proxy, checker);
   const std::string& level = kernel::GetText(settings, "log", "level");
-  if (const auto read = kernel::ParseLogLevel(level)) {
-    config.log_level = *read;
+  if (const auto parsed = kernel::ParseLogLevel(level)) {
+    config.log_level = *parsed;
   } else {
     checker.AddError(
         "log", "level",
         "is '" + level + "', expected debug, info, warning or error");
   }
-  if (found.empty()) return config;
-  const kernel::Error first = found.front();
-  if (faults != nullptr) *faults = std::move(found);
+  if (found_errors.empty()) return config;
+  const kernel::Error first = found_errors.front();
+  if (errors != nullptr) *errors = std::move(found_errors);
   return first;
 }
 
--- a/proxy/src/stop.cc
+++ b/proxy/src/stop.cc
@@ -12,31 +12,33 @@
 
 constexpr int kBadGateway = 502;
 
-StopPhase PhaseNow(const Proxy& proxy) {
-  return policy::GetStopPhase(StopPlanOf(proxy.options), StoppingFor(proxy));
+StopPhase CurrentPhase(const Proxy& proxy) {
+  return policy::GetStopPhase(MakeStopPlan(proxy.options),
+                              TimeSinceStop(proxy));
 }
 
 void LogCut(Proxy& proxy, const Call& call) {
-  const bool begun = call.caller->begun();
-  const char* how = begun           ? "in-answer"
-                    : WasSent(call) ? "outcome-unknown"
-                                    : "not-run";
-  Count(proxy, "egretladder_cut_by_stop_total",
-        "Requests ended by the stop of this process before their answers.",
-        std::string("how=\"") + how + "\"");
+  const bool is_answer_started = call.caller->begun();
+  const char* outcome = is_answer_started ? "in-answer"
+                        : WasSent(call)   ? "outcome-unknown"
+                                          : "not-run";
+  IncrementCounter(
+      proxy, "egretladder_cut_by_stop_total",
+      "Requests ended by the stop of this process before they were answered.",
+      std::string("how=\"") + outcome + "\"");
   kernel::LogEvent(LogPart::kRoute, LogLevel::kWarning, "cut-by-stop",
-                   {{"req", call.facts.id},
-                    {"how", how},
-                    {"stop_ms", StoppingFor(proxy)},
-                    {"ms", Between(call.arrived, NowOf(proxy))},
-                    {"left_ms", Between(NowOf(proxy), call.deadline)},
+                   {{"req", call.metadata.id},
+                    {"how", outcome},
+                    {"stop_ms", TimeSinceStop(proxy)},
+                    {"ms", Elapsed(call.arrived_at, NowOf(proxy))},
+                    {"left_ms", Elapsed(NowOf(proxy), call.deadline)},
                     {"events", call.events},
                     {"events_longest", call.demand.longest}});
 }
 
-// The grace time holds them no longer. Ended here, each caller learns what
-// became of its request; ended with the process, all would see a connection
-// that closes.
+// Ends all calls in progress, since the grace period is nearly over. Each
+// caller learns here what became of its request. If the process ended first,
+// all callers would only see a closed connection.
 void CutCalls(Proxy& proxy) {
   std::vector<CallPtr> calls;
   calls.reserve(proxy.calls.size());
@@ -44,84 +46,85 @@
   for (const CallPtr& call : calls) {
     LogCut(proxy, *call);
     ++proxy.cut;
-    GiveUp(proxy, call, kBadGateway, "cut_by_stop", kLeavingRetry);
+    AbortCall(proxy, call, kBadGateway, "cut_by_stop", kLeavingRetryDelay);
   }
 }
 
-void LogTake(Proxy& proxy, const Call& call,
-             const routing::StopAdmissionInput& ask,
-             routing::StopAdmissionVerdict verdict) {
-  Count(proxy, "egretladder_stop_requests_total",
-        "Requests that met a node that stops, by what was decided.",
-        std::string("verdict=\"") + routing::NameOf(verdict) + "\"");
-  kernel::LogEvent(
-      LogPart::kRoute, LogLevel::kInfo, "met-stop",
-      {{"req", call.facts.id},
-       {"verdict", routing::NameOf(verdict)},
-       {"stop_ms", ask.since},
-       {"left_ms", policy::TimeUntilCut(StopPlanOf(proxy.options), ask.since)},
-       {"deadline_ms", ask.deadline},
-       {"longest_ms", ask.longest},
-       {"route", call.route->name}});
+void LogStopVerdict(Proxy& proxy, const Call& call,
+                    const routing::StopAdmissionInput& input,
+                    routing::StopAdmissionVerdict verdict) {
+  IncrementCounter(proxy, "egretladder_stop_requests_total",
+                   "Requests at a stopping node, by verdict.",
+                   std::string("verdict=\"") + routing::NameOf(verdict) + "\"");
+  kernel::LogEvent(LogPart::kRoute, LogLevel::kInfo, "met-stop",
+                   {{"req", call.metadata.id},
+                    {"verdict", routing::NameOf(verdict)},
+                    {"stop_ms", input.since},
+                    {"left_ms", policy::TimeUntilCut(
+                                    MakeStopPlan(proxy.options), input.since)},
+                    {"deadline_ms", input.deadline},
+                    {"longest_ms", input.longest},
+                    {"route", call.route->name}});
 }
 
 }  // namespace
 
-policy::StopPlan StopPlanOf(const ProxyOptions& options) {
+policy::StopPlan MakeStopPlan(const ProxyOptions& options) {
   policy::StopPlan plan;
-  plan.address_ttl = options.directory_keep * kDirectoryKeptTimes;
-  plan.settle = kStopSettle;
+  plan.address_ttl = options.directory_ttl * kDirectoryTtlFactor;
+  plan.settle = kStopSettlePeriod;
   plan.grace = options.grace;
-  plan.cut_margin = kStopMargin;
-  plan.exit_margin = kExitMargin;
+  plan.cut_margin = kStopCutMargin;
+  plan.exit_margin = kStopExitMargin;
   return plan;
 }
 
-// A call is over for the node when its last byte is handed to the connection.
-// A process that ended then would cut answers that endpoints ran to their end:
-// callers see a stream without its last chunk.
-std::size_t UntakenOf(const Proxy& proxy) {
-  return proxy.callers->undelivered() + proxy.directory->undelivered() +
-         proxy.ready->undelivered();
+// A call ends when its last byte is handed to the connection, which may still
+// have to write it. A process that exits at that point cuts off answers that
+// endpoints have completed: callers see a stream without its last chunk.
+std::size_t CountUndeliveredAnswers(const Proxy& proxy) {
+  return proxy.caller_server->undelivered() +
+         proxy.directory_server->undelivered() +
+         proxy.ready_server->undelivered();
 }
 
-milliseconds StoppingFor(const Proxy& proxy) {
-  return Between(proxy.leaving_since, NowOf(proxy));
+milliseconds TimeSinceStop(const Proxy& proxy) {
+  return Elapsed(proxy.leaving_since, NowOf(proxy));
 }
 
-bool TakesNewRequests(const Proxy& proxy) {
+bool CanAcceptRequests(const Proxy& proxy) {
   if (!proxy.leaving) return true;
-  const StopPhase phase = PhaseNow(proxy);
+  const StopPhase phase = CurrentPhase(proxy);
   return phase == StopPhase::kTaking || phase == StopPhase::kSettling;
 }
 
 bool CanStillFinish(Proxy& proxy, const Call& call,
                     const routing::Placement& placement) {
   if (!proxy.leaving) return true;
-  routing::StopAdmissionInput ask;
-  ask.arrived = Between(proxy.leaving_since, call.arrived);
-  ask.since = StoppingFor(proxy);
-  ask.deadline = Between(NowOf(proxy), call.deadline) + kDeadlineMargin;
-  ask.longest =
+  routing::StopAdmissionInput input;
+  input.arrived = Elapsed(proxy.leaving_since, call.arrived_at);
+  input.since = TimeSinceStop(proxy);
+  input.deadline = Elapsed(NowOf(proxy), call.deadline) + kDeadlineMargin;
+  input.longest =
       routing::EstimateLongAnswerTime(proxy.endpoints, call.demand, placement);
   const routing::StopAdmissionVerdict verdict =
-      routing::DecideStopAdmission(StopPlanOf(proxy.options), ask);
-  LogTake(proxy, call, ask, verdict);
+      routing::DecideStopAdmission(MakeStopPlan(proxy.options), input);
+  LogStopVerdict(proxy, call, input, verdict);
   return routing::IsAdmitted(verdict);
 }
 
 void OnStopTick(Proxy& proxy) {
   if (!proxy.leaving) return;
-  const StopPhase phase = PhaseNow(proxy);
+  const StopPhase phase = CurrentPhase(proxy);
   if (phase < StopPhase::kFinishing) return;
-  if (proxy.listened_until == Time{}) {
-    proxy.callers->StopListening();
+  if (proxy.stopped_listening_at == Time{}) {
+    proxy.caller_server->StopListening();
     proxy.members.is_listening = false;
-    proxy.listened_until = NowOf(proxy);
+    proxy.stopped_listening_at = NowOf(proxy);
   }
   if (phase < StopPhase::kCutting) return;
   CutCalls(proxy);
-  proxy.callers->RefuseIncompleteRequests("this node is leaving");
+  proxy.caller_server->RefuseIncompleteRequests("this node is leaving");
   if (proxy.cut_at == Time{}) proxy.cut_at = NowOf(proxy);
 }
 
@@ -129,34 +132,35 @@
   if (proxy.leaving) return;
   const Time now = NowOf(proxy);
   proxy.leaving = true;
-  // The signal may have come at any time of a pause, and the platform counts
-  // the grace from the signal: counted from the pause's end, the process would
-  // be killed before it has told its callers anything.
-  const bool stood_still = now - proxy.ticked > kPaused;
-  proxy.leaving_since = stood_still ? proxy.ticked : now;
+  // The signal may have come at any time during a pause of the process, and the
+  // platform counts the grace period from the signal. Counted from the end of
+  // the pause, the process would be killed before it has answered its callers.
+  const bool was_paused = now - proxy.last_tick_at > kMinProcessPause;
+  proxy.leaving_since = was_paused ? proxy.last_tick_at : now;
   proxy.members.self.leaving = true;
-  proxy.callers->CloseAfterAnswers();
-  TellMany(proxy);
+  proxy.caller_server->CloseAfterAnswers();
+  ExchangeWithManyPeers(proxy);
 }
 
-// What was sent before the node stopped listening may not be read yet, and a
-// process that was late may have cut nothing so far: its callers would see a
-// connection that closes.
+// Requests sent before the node stopped listening may not be read yet, and a
+// process whose loop is late may not have ended its calls so far. If the
+// process exited then, those callers would only see a closed connection.
 bool CanShutDown(const Proxy& proxy) {
   if (!proxy.leaving) return false;
   const Time now = NowOf(proxy);
-  const StopPhase phase = PhaseNow(proxy);
+  const StopPhase phase = CurrentPhase(proxy);
   if (phase == StopPhase::kOver) {
-    const bool told = proxy.cut_at == Time{}
-                          ? proxy.calls.empty()
-                          : now - proxy.cut_at >= kLastAnswers;
-    return told || StoppingFor(proxy) >= proxy.options.grace;
+    const bool callers_informed =
+        proxy.cut_at == Time{} ? proxy.calls.empty()
+                               : now - proxy.cut_at >= kLastAnswersTimeout;
+    return callers_informed || TimeSinceStop(proxy) >= proxy.options.grace;
   }
-  const bool all_read = proxy.listened_until != Time{} &&
-                        now - proxy.listened_until >= kStopSettle &&
-                        proxy.callers->incomplete_requests() == 0;
-  return policy::CanExit(
-      phase, all_read && proxy.calls.empty() && UntakenOf(proxy) == 0);
+  const bool all_requests_read =
+      proxy.stopped_listening_at != Time{} &&
+      now - proxy.stopped_listening_at >= kStopSettlePeriod &&
+      proxy.caller_server->incomplete_requests() == 0;
+  return policy::CanExit(phase, all_requests_read && proxy.calls.empty() &&
+                                    CountUndeliveredAnswers(proxy) == 0);
 }
 
 }  // namespace egretladder::proxy
--- a/proxy/tests/half_close_test.cc
+++ b/proxy/tests/half_close_test.cc
@@ -1,4 +1,4 @@
-// Callers that send no more while they wait for their answer.
+// Callers that shut down their sending side before they have their answer.
 #include <CppUTest/TestHarness.h>
 
 #include "harness.h"
@@ -6,33 +6,38 @@
 namespace ep = egretladder::proxy;
 namespace et = egretladder::proxy::test;
 
-TEST_GROUP(HalfClose) { et::World world; };
+TEST_GROUP(HalfClose) { et::TestEnvironment env; };
 
-// A caller ends its sending right behind its request. It can't be told from one
-// that left, so that the endpoint is told to stop; the caller's connection ends
-// at once rather than after its patience.
-TEST(HalfClose, ARequestWhoseCallerSendsNoMoreIsGivenUp) {
-  et::Endpoint& endpoint = world.AddEndpoint("e1", et::AnswersLater());
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = world.Send(proxy, {.path = "/once/a"});
-  world.Until([&endpoint] { return endpoint.seen().size() == 1; });
-  caller.EndSending();
-  world.Until([&] { return caller.ended() && endpoint.wires()[0]->ended(); });
+// A caller shuts down its sending side after its request. The node can't
+// distinguish it from a caller that disconnected, so that the endpoint's
+// connection is closed. The caller's connection is closed at once rather than
+// at its deadline.
+TEST(HalfClose, HalfClosedCallerCancelsRequest) {
+  et::FakeEndpoint& endpoint = env.AddEndpoint("e1", et::LeaveUnanswered());
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller = env.SendRequest(proxy, {.path = "/once/a"});
+  env.WaitUntil([&endpoint] { return endpoint.requests().size() == 1; });
+  caller.ShutdownWrite();
+  env.WaitUntil(
+      [&] { return caller.ended() && endpoint.connections()[0]->ended(); });
   LONGS_EQUAL(0, ep::ViewOf(proxy).calls);
-  STRCMP_EQUAL("", et::Told(caller).c_str());
+  STRCMP_EQUAL("", et::DescribeAnswer(caller).c_str());
 }
 
-// The same in the middle of a stream. What its caller got must not look whole.
-TEST(HalfClose, AStreamWhoseCallerSendsNoMoreIsGivenUp) {
-  et::Endpoint& endpoint = world.AddEndpoint(
-      "e1", [](const et::Served& served) { served.Begin(1, 2); });
-  ep::Proxy& proxy = world.StartReady();
-  et::Wire& caller = world.Send(proxy, {.path = "/tell/a"});
-  world.Until([&caller] {
+// A caller shuts down its sending side in the middle of a stream. The part of
+// the stream that it got must not look complete.
+TEST(HalfClose, HalfClosedCallerCancelsStream) {
+  et::FakeEndpoint& endpoint = env.AddEndpoint(
+      "e1",
+      [](const et::EndpointRequest& request) { request.BeginStream(1, 2); });
+  ep::Proxy& proxy = env.StartReadyNode();
+  et::TestConnection& caller = env.SendRequest(proxy, {.path = "/tell/a"});
+  env.WaitUntil([&caller] {
     return caller.received().find("data: t2") != std::string::npos;
   });
-  caller.EndSending();
-  world.Until([&] { return caller.ended() && endpoint.wires()[0]->ended(); });
+  caller.ShutdownWrite();
+  env.WaitUntil(
+      [&] { return caller.ended() && endpoint.connections()[0]->ended(); });
   LONGS_EQUAL(0, ep::ViewOf(proxy).calls);
-  LONGS_EQUAL(0, et::AnswersIn(caller.received()).size());
+  LONGS_EQUAL(0, et::ParseAnswers(caller.received()).size());
 }
