--- a/fleet/include/egretladder/fleet/config.h
+++ b/fleet/include/egretladder/fleet/config.h
@@ -19,7 +19,7 @@
 using kernel::Time;
 
 /// Reads of one document of the platform: when the next is due.
-struct ReadPlan {
+struct ReadSchedule {
   bool reading = false;
   Time began{};
   Time next{};
@@ -33,18 +33,18 @@
   rules::RulesPtr rules;
   Time since{};
   /// Of a starting node that asks peers first: read, not yet in force.
-  std::string held_back;
-  bool holds_back = false;
+  std::string held_document;
+  bool has_held_document = false;
   Time hold_until{};
   std::uint64_t refused_version = 0;
   std::uint64_t refused_digest = 0;
   std::string refused_why;
-  ReadPlan read;
+  ReadSchedule read;
   Time asked{};  ///< A peer, for its version.
 };
 
 /// What became of a document.
-enum class Taken : std::uint8_t {
+enum class DocumentResult : std::uint8_t {
   kInForce,
   kNothingNew,    ///< The version in force, or an older one.
   kRefused,       ///< Faulty, or other content under the version in force.
@@ -52,12 +52,13 @@
 };
 
 /// Checks `text` whole and takes it when its version is above the one in force.
-Taken TakeDocument(ConfigState& state, const std::string& text,
-                   std::string_view source, Time now);
+DocumentResult ApplyDocument(ConfigState& state, const std::string& text,
+                             std::string_view source, Time now);
 
 /// A peer has the version in force with other content: kept as it is here.
 /// Returns true when that is news.
-bool SeeDigest(ConfigState& state, std::uint64_t version, std::uint64_t digest);
+bool CheckDigest(ConfigState& state, std::uint64_t version,
+                 std::uint64_t digest);
 
 /// How a node reads the platform's documents.
 enum class ReadPace : std::uint8_t {
@@ -67,16 +68,18 @@
 };
 
 /// True when a read is due; marks it as begun.
-bool BeginRead(ReadPlan& plan, Time now);
+bool BeginRead(ReadSchedule& plan, Time now);
 /// An answer came, or none (`could_read` false). `every`: pause until the next
 /// one when all is well. Failures double the pause, with jitter, so that a
 /// service which comes back isn't met by the whole fleet at once.
-void EndRead(ReadPlan& plan, bool could_read, std::chrono::milliseconds every,
-             kernel::Random& random, Time now);
+void EndRead(ReadSchedule& plan, bool could_read,
+             std::chrono::milliseconds every, kernel::Random& random, Time now);
 
 /// The pause between two reads of the rules that bring nothing new.
-std::chrono::milliseconds RulesPause(ReadPace pace, kernel::Random& random);
+std::chrono::milliseconds RulesReadInterval(ReadPace pace,
+                                            kernel::Random& random);
 /// The same for the VM list.
-std::chrono::milliseconds VmListPause(ReadPace pace, kernel::Random& random);
+std::chrono::milliseconds VmListReadInterval(ReadPace pace,
+                                             kernel::Random& random);
 
 }  // namespace egretladder::fleet
--- a/fleet/include/egretladder/fleet/electorate.h
+++ b/fleet/include/egretladder/fleet/electorate.h
@@ -16,11 +16,13 @@
 /// of its zone, then of its region, then others; `kVotersMost` at most. Nodes
 /// that the rules mark as leaving stay in, so that the marking moves no
 /// majority.
-std::vector<rules::NodeHandle> VotersOf(const rules::Rules& rules,
-                                        rules::EndpointHandle endpoint);
+std::vector<rules::NodeHandle> FindVoters(const rules::Rules& rules,
+                                          rules::EndpointHandle endpoint);
 
 /// More than half of `voters`.
-constexpr std::size_t MajorityOf(std::size_t voters) { return voters / 2 + 1; }
+constexpr std::size_t MajorityCount(std::size_t voters) {
+  return voters / 2 + 1;
+}
 
 /// Hash of the published nodes' names and zones.
 std::uint64_t NodesDigest(const rules::Rules& rules);
@@ -35,8 +37,9 @@
 
 /// Which endpoints a node sends work to: all, or a bounded few for each target
 /// when there are many, of its own region where that has any.
-std::vector<bool> EndpointsUsedBy(const rules::Rules& rules,
-                                  std::string_view node, std::string_view zone);
+std::vector<bool> FindUsedEndpoints(const rules::Rules& rules,
+                                    std::string_view node,
+                                    std::string_view zone);
 
 /// True when `node` is among the few of its zone that watch the platform.
 bool IsReader(const rules::Rules& rules, std::string_view node);
--- a/fleet/include/egretladder/fleet/lease.h
+++ b/fleet/include/egretladder/fleet/lease.h
@@ -58,7 +58,7 @@
   Time resumed{};
   /// Calls of nodes that this keeper has not heard since it began: at first all
   /// that run, by the first report; each node's first ask takes its own off.
-  std::uint32_t strangers = 0;
+  std::uint32_t unattributed_calls = 0;
   Time take_over_until{};
   std::optional<policy::EngineReport> report;
   bool ready = false;  ///< Strangers are counted; slots may be granted.
@@ -75,10 +75,11 @@
                 Time now);
 /// A round of asks has passed on an endpoint without reports: each of the
 /// `silent` nodes may have a call there.
-void SuspectStrangers(KeeperBook& book, std::uint32_t silent);
+void AssumeUnattributedCalls(KeeperBook& book, std::uint32_t silent);
 
 /// Takes over what a new version says the endpoint bears.
-void ChangeBears(KeeperBook& book, const rules::Endpoint& endpoint, Time now);
+void UpdateCapacity(KeeperBook& book, const rules::Endpoint& endpoint,
+                    Time now);
 
 /// What may be leased now.
 std::uint32_t PoolOf(const KeeperBook& book);
@@ -100,13 +101,14 @@
                               const policy::EngineReport* report, Time now);
 
 /// A holder that may use more than its part, and what it is told to keep.
-struct Cut {
+struct LeaseReduction {
   Sender process;
   Grant keep;
 };
 /// Holders whose grants exceed their part by now, for instance because the
 /// endpoint turned cold: they are told at once, before their leases lapse.
-std::vector<Cut> HoldersToCut(KeeperBook& book, Time now);
+std::vector<LeaseReduction> FindOverallocatedHolders(KeeperBook& book,
+                                                     Time now);
 
 /// What a holder knows of its own slots at one endpoint.
 struct HeldSlots {
@@ -122,9 +124,9 @@
   bool down = false;  ///< Died or refused since the last ask.
   policy::SlotEvidence evidence;
   Time last_ask{};
-  bool was_content = true;        ///< Had all it wanted when it asked last.
-  std::string keeper;             ///< That granted the lease.
-  std::uint32_t keeper_turn = 0;  ///< Of nodes asked while none answers.
+  bool had_enough_slots = true;  ///< Had all it wanted when it asked last.
+  std::string keeper;            ///< That granted the lease.
+  std::uint32_t next_voter = 0;  ///< Of nodes asked while none answers.
 };
 
 /// Slots this node may fill now.
--- a/fleet/include/egretladder/fleet/membership.h
+++ b/fleet/include/egretladder/fleet/membership.h
@@ -67,12 +67,13 @@
 };
 
 /// Takes over the published nodes: new ones get the benefit of the doubt.
-void SetPublished(MembershipState& state, const rules::Rules& rules, Time now);
+void UpdatePublishedNodes(MembershipState& state, const rules::Rules& rules,
+                          Time now);
 
 /// Marks the peers whose silence is worth a vote: of the voters of an endpoint,
 /// those up to the first that is there.
-void ExpectKeepers(MembershipState& state,
-                   const std::vector<std::string>& voters, Time now);
+void MarkExpectedKeepers(MembershipState& state,
+                         const std::vector<std::string>& voters, Time now);
 
 /// Takes one relayed member into account. Returns true when it was news.
 bool HearMember(MembershipState& state, const Member& told, bool direct,
@@ -108,16 +109,16 @@
 std::vector<Member> MembersToTell(const MembershipState& state,
                                   kernel::Random& random, Time now);
 /// Names of this node's votes.
-std::vector<std::string> VotesOf(const MembershipState& state, Time now);
+std::vector<std::string> ListGoneVotes(const MembershipState& state, Time now);
 
 /// True when `voter` answered this node within a mandate and without a break
 /// for long enough. `keeping`: the duty goes on from an earlier list of nodes.
-bool Supports(const MembershipState& state, std::string_view voter,
-              bool keeping, Time now);
+bool IsSupportedBy(const MembershipState& state, std::string_view voter,
+                   bool keeping, Time now);
 /// True when `voter` has answered this node without a break since `then`, and
 /// so supported nobody else meanwhile.
-bool SupportedSince(const MembershipState& state, std::string_view voter,
-                    Time then);
+bool IsSupportedSince(const MembershipState& state, std::string_view voter,
+                      Time then);
 /// True when `voter` said within a mandate that `node` is gone.
 bool VotesGone(const MembershipState& state, std::string_view voter,
                std::string_view node, Time now);
@@ -130,6 +131,6 @@
              const std::vector<std::string>& voters, bool keeping, Time now);
 
 /// True when any peer answered within `kIsolatedAfter`.
-bool HearsAnyone(const MembershipState& state, Time now);
+bool HasRecentContact(const MembershipState& state, Time now);
 
 }  // namespace egretladder::fleet
--- a/fleet/src/config.cc
+++ b/fleet/src/config.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Pause of a watch that was answered: only to break up lockstep.
-constexpr std::chrono::milliseconds kWatchPauseMost{100};
+constexpr std::chrono::milliseconds kMaxWatchPause{100};
 
 /// The version that a refused document claims; 0: none could be read.
 std::uint64_t ClaimedVersion(const std::string& text) {
@@ -26,10 +26,10 @@
   return 0;
 }
 
-Taken Refuse(ConfigState& state, std::uint64_t version, std::uint64_t digest,
-             std::string why) {
+DocumentResult Refuse(ConfigState& state, std::uint64_t version,
+                      std::uint64_t digest, std::string why) {
   if (state.refused_version == version && state.refused_digest == digest) {
-    return Taken::kRefusedAgain;
+    return DocumentResult::kRefusedAgain;
   }
   state.refused_version = version;
   state.refused_digest = digest;
@@ -37,7 +37,7 @@
   kernel::Log(kernel::LogPart::kFleet, kernel::LogLevel::kError,
               "Refused rules version " + std::to_string(version) + ": " +
                   state.refused_why + ".");
-  return Taken::kRefused;
+  return DocumentResult::kRefused;
 }
 
 constexpr const char* kOtherContent =
@@ -52,11 +52,11 @@
 
 }  // namespace
 
-Taken TakeDocument(ConfigState& state, const std::string& text,
-                   std::string_view source, Time now) {
+DocumentResult ApplyDocument(ConfigState& state, const std::string& text,
+                             std::string_view source, Time now) {
   const std::uint64_t digest = kernel::HashBytes(text);
   if (state.rules != nullptr && state.rules->digest == digest) {
-    return Taken::kNothingNew;
+    return DocumentResult::kNothingNew;
   }
   auto read = rules::ReadRules(text, source, state.rules.get());
   if (!read) {
@@ -66,36 +66,38 @@
   rules::RulesPtr next = std::move(read).value();
   const std::uint64_t in_force =
       state.rules == nullptr ? 0 : state.rules->version;
-  if (next->version < in_force) return Taken::kNothingNew;
+  if (next->version < in_force) return DocumentResult::kNothingNew;
   if (next->version == in_force) {
     return Refuse(state, next->version, digest, kOtherContent);
   }
   state.rules = std::move(next);
   state.since = now;
-  state.held_back.clear();
-  state.holds_back = false;
-  return Taken::kInForce;
+  state.held_document.clear();
+  state.has_held_document = false;
+  return DocumentResult::kInForce;
 }
 
-bool SeeDigest(ConfigState& state, std::uint64_t version,
-               std::uint64_t digest) {
+bool CheckDigest(ConfigState& state, std::uint64_t version,
+                 std::uint64_t digest) {
   if (state.rules == nullptr || version != state.rules->version ||
       digest == state.rules->digest) {
     return false;
   }
-  return Refuse(state, version, digest, kOtherContent) == Taken::kRefused;
+  return Refuse(state, version, digest, kOtherContent) ==
+         DocumentResult::kRefused;
 }
 
-bool BeginRead(ReadPlan& plan, Time now) {
-  if (plan.reading && now - plan.began < kReadLost) return false;
+bool BeginRead(ReadSchedule& plan, Time now) {
+  if (plan.reading && now - plan.began < kReadTimeout) return false;
   if (now < plan.next) return false;
   plan.reading = true;
   plan.began = now;
   return true;
 }
 
-void EndRead(ReadPlan& plan, bool could_read, std::chrono::milliseconds every,
-             kernel::Random& random, Time now) {
+void EndRead(ReadSchedule& plan, bool could_read,
+             std::chrono::milliseconds every, kernel::Random& random,
+             Time now) {
   plan.reading = false;
   if (could_read) {
     plan.failures = 0;
@@ -107,26 +109,28 @@
   const std::uint32_t doublings = std::min(plan.failures, 5U);
   ++plan.failures;
   const auto pause =
-      std::min(kReadRetryFirst * (1U << doublings), kReadRetryMost);
-  plan.next = now + std::max(Jittered(pause, random), kReadRetryFirst / 2);
+      std::min(kInitialReadBackoff * (1U << doublings), kMaxReadBackoff);
+  plan.next = now + std::max(Jittered(pause, random), kInitialReadBackoff / 2);
 }
 
-std::chrono::milliseconds RulesPause(ReadPace pace, kernel::Random& random) {
+std::chrono::milliseconds RulesReadInterval(ReadPace pace,
+                                            kernel::Random& random) {
   switch (pace) {
     case ReadPace::kWatch:
-      return Jittered(kWatchPauseMost, random);
+      return Jittered(kMaxWatchPause, random);
     case ReadPace::kAlone:
-      return Jittered(kVmListEvery, random);
+      return Jittered(kVmListInterval, random);
     case ReadPace::kRare:
       break;
   }
-  return Jittered(kRareReadEvery, random);
+  return Jittered(kRareReadInterval, random);
 }
 
-std::chrono::milliseconds VmListPause(ReadPace pace, kernel::Random& random) {
+std::chrono::milliseconds VmListReadInterval(ReadPace pace,
+                                             kernel::Random& random) {
   return Jittered(pace == ReadPace::kRare
-                      ? std::chrono::milliseconds(kRareReadEvery)
-                      : kVmListEvery,
+                      ? std::chrono::milliseconds(kRareReadInterval)
+                      : kVmListInterval,
                   random);
 }
 
--- a/fleet/src/electorate.cc
+++ b/fleet/src/electorate.cc
@@ -43,7 +43,8 @@
 
 }  // namespace
 
-std::vector<NodeHandle> VotersOf(const Rules& rules, EndpointHandle endpoint) {
+std::vector<NodeHandle> FindVoters(const Rules& rules,
+                                   EndpointHandle endpoint) {
   const rules::Endpoint& row = rules.endpoints[endpoint.idx];
   const std::uint64_t seed = kernel::HashBytes(row.source.name);
   std::vector<Ranked> ranked;
@@ -53,7 +54,7 @@
     ranked.push_back({Distance(rules, node.zone, row.zone),
                       Mix(seed, kernel::HashBytes(node.source.name)), i});
   }
-  const std::size_t count = std::min(ranked.size(), kVotersMost);
+  const std::size_t count = std::min(ranked.size(), kMaxVoters);
   const auto middle = ranked.begin() + static_cast<std::ptrdiff_t>(count);
   std::partial_sort(ranked.begin(), middle, ranked.end());
   std::vector<NodeHandle> voters;
@@ -74,14 +75,14 @@
 
 std::uint32_t FloorSum(const rules::Endpoint& endpoint) {
   return std::min(endpoint.cold_max_in_flight, endpoint.max_in_flight) /
-         kFloorPart;
+         kFloorDivisor;
 }
 
 std::uint32_t FloorOf(const Rules& rules, EndpointHandle endpoint,
                       std::string_view node) {
   const std::uint32_t sum = FloorSum(rules.endpoints[endpoint.idx]);
   if (sum == 0) return 0;
-  const std::vector<NodeHandle> voters = VotersOf(rules, endpoint);
+  const std::vector<NodeHandle> voters = FindVoters(rules, endpoint);
   if (voters.empty()) return 0;
   std::uint32_t mine = 0;
   for (std::uint32_t slot = 0; slot < sum; ++slot) {
@@ -91,14 +92,14 @@
   return mine;
 }
 
-std::vector<bool> EndpointsUsedBy(const Rules& rules, std::string_view node,
-                                  std::string_view zone) {
+std::vector<bool> FindUsedEndpoints(const Rules& rules, std::string_view node,
+                                    std::string_view zone) {
   std::vector<bool> used(rules.endpoints.size(), false);
   std::size_t present = 0;
   for (const rules::Endpoint& endpoint : rules.endpoints) {
     if (endpoint.source.present) ++present;
   }
-  if (present <= kEndpointsAll) {
+  if (present <= kMaxUnrestrictedEndpoints) {
     used.assign(used.size(), true);
     return used;
   }
--- a/fleet/src/fleet.cc
+++ b/fleet/src/fleet.cc
@@ -12,12 +12,12 @@
 
 /// A process whose ticks stood still acts on nothing it knew before: leases and
 /// votes go by the clock, and its peers' silence was its own.
-void NoticePause(FleetState& state, Time now) {
+void DetectPause(FleetState& state, Time now) {
   const bool paused = now - state.fresh.last_tick > kFreshFor;
   state.fresh.last_tick = now;
   if (!paused) return;
-  state.fresh.woke = true;
-  state.fresh.woke_at = now;
+  state.fresh.is_resuming = true;
+  state.fresh.resumed_at = now;
   ForgivePeers(state.members, now);
   state.next_round = now;
   state.config.read.reading = false;
@@ -31,13 +31,13 @@
                      [](const auto& entry) { return entry.second.published; });
 }
 
-bool ReadLately(const ReadPlan& plan, Time now) {
-  return plan.ever_answered && now - plan.answered <= kIsolatedAfter;
+bool ReadLately(const ReadSchedule& plan, Time now) {
+  return plan.ever_answered && now - plan.answered <= kIsolationTimeout;
 }
 
 void ForgetNotices(FleetState& state, Time now) {
   std::erase_if(state.leaving_vms, [&](const auto& entry) {
-    return now - entry.second >= kVmNoticeKept;
+    return now - entry.second >= kVmNoticeLifetime;
   });
 }
 
@@ -76,14 +76,14 @@
   self.incarnation = options.incarnation;
   self.started = options.started;
   state->fresh.last_tick = now;
-  state->config.hold_until = now + kAskPeersFor;
+  state->config.hold_until = now + kStartupPeerTimeout;
   StartRound(*state, now, out);
   ReadPlatform(*state, now, out);
   return state;
 }
 
 void OnTick(FleetState& state, Time now, Actions& out) {
-  NoticePause(state, now);
+  DetectPause(state, now);
   ReleaseHeldBack(state, now, out);
   StartRound(state, now, out);
   ReadPlatform(state, now, out);
@@ -97,21 +97,22 @@
 void OnMessage(FleetState& state, const Sender& from, const Message& message,
                Time now, Actions& out) {
   if (const auto* gossip = std::get_if<Gossip>(&message)) {
-    TakeGossip(state, from, *gossip, now, out);
+    HandleGossip(state, from, *gossip, now, out);
     if (state.config.rules != nullptr) AnnounceEndpoints(state, now, out);
   } else if (const auto* ask = std::get_if<RulesAsk>(&message)) {
-    const std::string& address = AddressOf(state, from.node);
-    if (VersionOf(state) <= ask->have_version || address.empty()) return;
+    const std::string& address = FindPeerAddress(state, from.node);
+    if (GetRulesVersion(state) <= ask->have_version || address.empty()) return;
     out.emplace_back(SendMessage{
-        address, RulesOffer{VersionOf(state), state.config.rules->text}, true});
+        address, RulesOffer{GetRulesVersion(state), state.config.rules->text},
+        true});
   } else if (const auto* offer = std::get_if<RulesOffer>(&message)) {
-    TakeText(state, offer->text, "node " + from.node, now, out);
+    ApplyRulesText(state, offer->text, "node " + from.node, now, out);
   } else if (state.config.rules == nullptr) {
     return;
   } else if (const auto* asks = std::get_if<SlotAsks>(&message)) {
-    TakeAsks(state, from, *asks, now, out);
+    HandleAsks(state, from, *asks, now, out);
   } else if (const auto* leases = std::get_if<SlotLeases>(&message)) {
-    TakeLeases(state, from.node, *leases, now, out);
+    ApplyLeases(state, from.node, *leases, now, out);
   }
 }
 
@@ -128,7 +129,7 @@
   state.leaving = true;
   state.members.self.state = MemberState::kLeaving;
   UpdateKeeping(state, now, out);
-  TellAll(state, now, out);
+  GossipToVoters(state, now, out);
 }
 
 rules::RulesPtr RulesOf(const FleetState& state) { return state.config.rules; }
@@ -137,12 +138,12 @@
   if (now - state.fresh.last_tick > kFreshFor) return false;
   if (state.members.replaced) return false;
   const bool others = OthersPublished(state);
-  if (state.fresh.woke &&
-      (others || now - state.fresh.woke_at < kWakeCheckMost)) {
+  if (state.fresh.is_resuming &&
+      (others || now - state.fresh.resumed_at < kMaxWakeCheckTime)) {
     return false;
   }
   if (!others) return true;
-  return HearsAnyone(state.members, now) ||
+  return HasRecentContact(state.members, now) ||
          ReadLately(state.config.read, now) || ReadLately(state.vm_list, now);
 }
 
--- a/fleet/src/fleet_gossip.cc
+++ b/fleet/src/fleet_gossip.cc
@@ -11,37 +11,38 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-std::vector<LeavingVm> NoticesToTell(const FleetState& state, Time now) {
+std::vector<LeavingVm> MakeVmNoticeGossip(const FleetState& state, Time now) {
   std::vector<LeavingVm> notices;
   for (const auto& [name, read_at] : state.leaving_vms) {
-    if (notices.size() >= kLeavingVmsTold) break;
+    if (notices.size() >= kMaxLeavingVmsPerMessage) break;
     notices.push_back({name, duration_cast<milliseconds>(now - read_at)});
   }
   return notices;
 }
 
-std::vector<policy::QuarantineNotice> BlamesToTell(const FleetState& state,
-                                                   Time now) {
+std::vector<policy::QuarantineNotice> MakeQuarantineGossip(
+    const FleetState& state, Time now) {
   std::vector<policy::QuarantineNotice> blames =
       policy::ListQuarantineNotices(state.poison, now);
   // The newest have the longest left; older ones were told before.
   std::sort(blames.begin(), blames.end(), [](const auto& a, const auto& b) {
     return a.deaths != b.deaths ? a.deaths > b.deaths : a.left > b.left;
   });
-  if (blames.size() > kBlamesTold) blames.resize(kBlamesTold);
+  if (blames.size() > kMaxQuarantineNoticesPerMessage)
+    blames.resize(kMaxQuarantineNoticesPerMessage);
   return blames;
 }
 
 Gossip MakeGossip(FleetState& state, Time now) {
   Gossip gossip;
-  gossip.rules_version = VersionOf(state);
+  gossip.rules_version = GetRulesVersion(state);
   if (state.config.rules != nullptr) {
     gossip.rules_digest = state.config.rules->digest;
   }
-  gossip.quarantined = BlamesToTell(state, now);
-  gossip.gone = VotesOf(state.members, now);
+  gossip.quarantined = MakeQuarantineGossip(state, now);
+  gossip.gone = ListGoneVotes(state.members, now);
   gossip.nodes_digest = state.members.nodes_digest;
-  gossip.leaving_vms = NoticesToTell(state, now);
+  gossip.leaving_vms = MakeVmNoticeGossip(state, now);
   return gossip;
 }
 
@@ -52,8 +53,8 @@
   Peer& peer = found->second;
   if (peer.member.peer_address.empty()) return;
   Gossip gossip = MakeGossip(state, now);
-  const bool knows_us =
-      !with_members && peer.contact.any && now - peer.contact.sent < kKnownFor;
+  const bool knows_us = !with_members && peer.contact.any &&
+                        now - peer.contact.sent < kRecentContactTime;
   if (!knows_us) {
     gossip.members = MembersToTell(state.members, state.random, now);
   }
@@ -81,7 +82,7 @@
   for (auto& [name, peer] : state.members.peers) peer.expected = false;
   for (const EndpointState& endpoint : state.endpoints) {
     if (endpoint.rank >= endpoint.voters.size()) continue;
-    ExpectKeepers(state.members, endpoint.voters, now);
+    MarkExpectedKeepers(state.members, endpoint.voters, now);
   }
 }
 
@@ -119,20 +120,21 @@
   }
 }
 
-void TakeNotices(FleetState& state, const std::vector<LeavingVm>& notices,
-                 Time now) {
+void ApplyVmNotices(FleetState& state, const std::vector<LeavingVm>& notices,
+                    Time now) {
   for (const LeavingVm& notice : notices) {
-    if (notice.age >= kVmNoticeKept || notice.age < milliseconds(0)) continue;
-    const bool full = state.leaving_vms.size() >= kLeavingVmsTold * 8;
+    if (notice.age >= kVmNoticeLifetime || notice.age < milliseconds(0))
+      continue;
+    const bool full = state.leaving_vms.size() >= kMaxLeavingVmsPerMessage * 8;
     if (full && !state.leaving_vms.contains(notice.name)) continue;
     Time& read_at = state.leaving_vms[notice.name];
     read_at = std::max(read_at, now - notice.age);
   }
 }
 
-void TakeBlames(FleetState& state,
-                const std::vector<policy::QuarantineNotice>& blames, Time now,
-                Actions& out) {
+void ApplyQuarantineNotices(FleetState& state,
+                            const std::vector<policy::QuarantineNotice>& blames,
+                            Time now, Actions& out) {
   for (const policy::QuarantineNotice& told : blames) {
     if (!policy::ApplyQuarantineNotice(state.poison, told, now)) continue;
     out.emplace_back(QuarantineAdded{told.fingerprint, told.left});
@@ -141,17 +143,17 @@
 
 void CompareVersions(FleetState& state, const Sender& from,
                      const Gossip& gossip, Time now, Actions& out) {
-  const std::uint64_t own = VersionOf(state);
-  const std::string& address = AddressOf(state, from.node);
+  const std::uint64_t own = GetRulesVersion(state);
+  const std::string& address = FindPeerAddress(state, from.node);
   if (gossip.rules_version > own) {
-    const bool asked_just_now = now - state.config.asked < kRulesAskEvery;
+    const bool asked_just_now = now - state.config.asked < kRulesAskInterval;
     if (asked_just_now || address.empty()) return;
     state.config.asked = now;
     out.emplace_back(SendMessage{address, RulesAsk{own}});
     return;
   }
   if (gossip.rules_version != 0 &&
-      SeeDigest(state.config, gossip.rules_version, gossip.rules_digest)) {
+      CheckDigest(state.config, gossip.rules_version, gossip.rules_digest)) {
     out.emplace_back(
         RulesRefused{gossip.rules_version, state.config.refused_why});
   }
@@ -159,7 +161,8 @@
 
 }  // namespace
 
-const std::string& AddressOf(const FleetState& state, std::string_view node) {
+const std::string& FindPeerAddress(const FleetState& state,
+                                   std::string_view node) {
   static const std::string none;
   const auto found = state.members.peers.find(node);
   return found == state.members.peers.end() ? none
@@ -169,8 +172,8 @@
 void StartRound(FleetState& state, Time now, Actions& out) {
   if (now < state.next_round) return;
   const auto jitter = milliseconds(kernel::RandomBelow(
-      state.random, static_cast<std::uint64_t>(kPingEvery.count() / 5)));
-  state.next_round = now + kPingEvery - kPingEvery / 10 + jitter;
+      state.random, static_cast<std::uint64_t>(kPingInterval.count() / 5)));
+  state.next_round = now + kPingInterval - kPingInterval / 10 + jitter;
   ++state.members.self.heartbeat;
   UpdateExpected(state, now);
   std::set<std::string> voters;
@@ -179,27 +182,27 @@
   // These carry members too: so the word of nodes that share no endpoint goes
   // round, within a fixed number of bytes.
   std::set<std::string> others;
-  AddRandom(state, kRandomPeers, others);
+  AddRandom(state, kRandomPeersPerRound, others);
   for (const std::string& node : others) Ping(state, node, true, now, out);
-  if (!HearsAnyone(state.members, now)) PingSeeds(state, now, out);
+  if (!HasRecentContact(state.members, now)) PingSeeds(state, now, out);
 }
 
-void TellSome(FleetState& state, Time now, Actions& out) {
+void GossipToRandomPeers(FleetState& state, Time now, Actions& out) {
   std::set<std::string> targets;
-  AddRandom(state, kEagerPeers, targets);
+  AddRandom(state, kUrgentGossipFanout, targets);
   for (const std::string& node : targets) Ping(state, node, true, now, out);
 }
 
-void TellAll(FleetState& state, Time now, Actions& out) {
+void GossipToVoters(FleetState& state, Time now, Actions& out) {
   ++state.members.self.heartbeat;
   std::set<std::string> targets;
   AddVoters(state, now, targets);
-  AddRandom(state, kEagerPeers, targets);
+  AddRandom(state, kUrgentGossipFanout, targets);
   for (const std::string& node : targets) Ping(state, node, true, now, out);
 }
 
-void TakeGossip(FleetState& state, const Sender& from, const Gossip& gossip,
-                Time now, Actions& out) {
+void HandleGossip(FleetState& state, const Sender& from, const Gossip& gossip,
+                  Time now, Actions& out) {
   const bool was_replaced = state.members.replaced;
   const bool current = HearGossip(state.members, from, gossip, now);
   if (state.members.replaced && !was_replaced) {
@@ -208,17 +211,17 @@
                     ". This one takes no new work.");
   }
   if (!current) return;
-  TakeNotices(state, gossip.leaving_vms, now);
-  TakeBlames(state, gossip.quarantined, now, out);
+  ApplyVmNotices(state, gossip.leaving_vms, now);
+  ApplyQuarantineNotices(state, gossip.quarantined, now, out);
   CompareVersions(state, from, gossip, now, out);
   // An answer to a ping sent after waking shows that no newer version was
   // missed, at least not by this peer.
   const Peer& peer = state.members.peers.find(from.node)->second;
   const bool answered = gossip.ack != 0 && peer.contact.any;
-  if (state.fresh.woke && answered &&
-      peer.contact.sent >= state.fresh.woke_at &&
-      gossip.rules_version <= VersionOf(state)) {
-    state.fresh.woke = false;
+  if (state.fresh.is_resuming && answered &&
+      peer.contact.sent >= state.fresh.resumed_at &&
+      gossip.rules_version <= GetRulesVersion(state)) {
+    state.fresh.is_resuming = false;
   }
   if (!gossip.reply_wanted || peer.member.peer_address.empty()) return;
   Gossip reply = MakeGossip(state, now);
--- a/fleet/src/fleet_keeper.cc
+++ b/fleet/src/fleet_keeper.cc
@@ -25,13 +25,13 @@
   const auto unbroken = static_cast<std::size_t>(std::count_if(
       endpoint.voters.begin(), endpoint.voters.end(),
       [&](const std::string& voter) {
-        return SupportedSince(state.members, voter, endpoint.stopped);
+        return IsSupportedSince(state.members, voter, endpoint.stopped);
       }));
-  return unbroken >= MajorityOf(endpoint.voters.size());
+  return unbroken >= MajorityCount(endpoint.voters.size());
 }
 
 void StartKeeping(FleetState& state, EndpointHandle handle, Time now) {
-  const rules::Endpoint& row = RowOf(state, handle);
+  const rules::Endpoint& row = GetEndpointRules(state, handle);
   EndpointState& endpoint = state.endpoints[handle.idx];
   if (endpoint.former.has_value() && NobodyElseKept(state, endpoint)) {
     endpoint.book = std::move(endpoint.former);
@@ -56,7 +56,8 @@
   endpoint.stopped = now;
   state.orders.kept.erase(handle);
   Log(LogPart::kFleet, LogLevel::kInfo,
-      "Keeps endpoint " + RowOf(state, handle).source.name + " no longer.");
+      "Keeps endpoint " + GetEndpointRules(state, handle).source.name +
+          " no longer.");
 }
 
 /// Published nodes, this one among them, without an ask in the book.
@@ -77,7 +78,7 @@
                Actions& out) {
   EndpointState& endpoint = state.endpoints[handle.idx];
   if (!endpoint.has_reports || now < endpoint.book->next_report) return;
-  endpoint.book->next_report = now + kReportEvery;
+  endpoint.book->next_report = now + kReportInterval;
   out.emplace_back(ReadReport{handle});
 }
 
@@ -89,7 +90,7 @@
     const EndpointState& other = state.endpoints[i];
     const bool counts = i != handle.idx && other.available &&
                         other.report.has_value() &&
-                        now - other.report_at <= kReportFresh;
+                        now - other.report_at <= kMaxReportAge;
     if (!counts) continue;
     const auto& desired = state.orders.placement[i];
     for (const rules::TargetHandle target : other.report->loaded) {
@@ -109,9 +110,9 @@
                Actions& out) {
   const EndpointState& endpoint = state.endpoints[handle.idx];
   const bool fresh =
-      endpoint.report.has_value() && now - endpoint.report_at <= kReportFresh;
+      endpoint.report.has_value() && now - endpoint.report_at <= kMaxReportAge;
   if (!endpoint.available || !fresh) return;
-  const rules::Endpoint& row = RowOf(state, handle);
+  const rules::Endpoint& row = GetEndpointRules(state, handle);
   OrderInput input;
   input.desired = state.orders.placement[handle.idx];
   input.max_loaded_models = row.max_loaded_models;
@@ -126,7 +127,7 @@
     state.orders.next_load = now + LoadPause(NodesCount(state));
   }
   out.emplace_back(
-      OrderEngine{handle, next->kind, next->target, VersionOf(state)});
+      OrderEngine{handle, next->kind, next->target, GetRulesVersion(state)});
 }
 
 void FillReport(const FleetState& state, const KeeperBook& book,
@@ -148,7 +149,7 @@
 SlotLease MakeLease(const FleetState& state, EndpointHandle handle,
                     std::uint32_t slots, std::uint64_t ask_number, Time now) {
   SlotLease lease;
-  lease.endpoint = RowOf(state, handle).source.name;
+  lease.endpoint = GetEndpointRules(state, handle).source.name;
   lease.slots = slots;
   lease.left = kLeaseLife;
   lease.ask_number = ask_number;
@@ -166,7 +167,7 @@
   if (reason == policy::SlotReason::kUnchanged) return;
   const KeeperBook& book = *state.endpoints[handle.idx].book;
   Log(LogPart::kFleet, LogLevel::kInfo,
-      "Endpoint " + RowOf(state, handle).source.name + " has " +
+      "Endpoint " + GetEndpointRules(state, handle).source.name + " has " +
           std::to_string(book.slots.slots) +
           " slots: " + policy::NameOf(reason) + ".");
 }
@@ -180,10 +181,12 @@
     if (!may && keeps) StopKeeping(state, {i}, now);
     if (!endpoint.book.has_value()) continue;
     // An engine whose reports can't be read is treated like a service.
-    const auto wait =
-        endpoint.has_reports ? kHolderSilent + kReportLost : kHolderSilent;
+    const auto wait = endpoint.has_reports
+                          ? kHolderSilenceTimeout + kReportTimeout
+                          : kHolderSilenceTimeout;
     if (!endpoint.book->ready && now - endpoint.book->opened >= wait) {
-      SuspectStrangers(*endpoint.book, SilentNodes(state, *endpoint.book));
+      AssumeUnattributedCalls(*endpoint.book,
+                              SilentNodes(state, *endpoint.book));
     }
     AskReport(state, {i}, now, out);
     GiveOrder(state, {i}, now, out);
@@ -199,8 +202,8 @@
   return MakeLease(state, handle, slots, number, now);
 }
 
-void TakeAsks(FleetState& state, const Sender& from, const SlotAsks& asks,
-              Time now, Actions& out) {
+void HandleAsks(FleetState& state, const Sender& from, const SlotAsks& asks,
+                Time now, Actions& out) {
   if (!HearSender(state.members, from, now)) return;
   SlotLeases leases;
   for (const SlotAsk& ask : asks.asks) {
@@ -215,26 +218,27 @@
     leases.leases.push_back(
         AnswerAsk(state, handle, from, asks.number, ask, now));
     if (PoolOf(*endpoint.book) < pool_before) {
-      CutHolders(state, handle, now, out);
+      ReduceLeases(state, handle, now, out);
     }
   }
   if (leases.leases.empty()) return;
   out.emplace_back(
-      SendMessage{AddressOf(state, from.node), std::move(leases), true});
+      SendMessage{FindPeerAddress(state, from.node), std::move(leases), true});
 }
 
-void CutHolders(FleetState& state, EndpointHandle handle, Time now,
-                Actions& out) {
+void ReduceLeases(FleetState& state, EndpointHandle handle, Time now,
+                  Actions& out) {
   EndpointState& endpoint = state.endpoints[handle.idx];
-  for (const Cut& cut : HoldersToCut(*endpoint.book, now)) {
+  for (const LeaseReduction& cut :
+       FindOverallocatedHolders(*endpoint.book, now)) {
     SlotLeases leases;
     leases.leases.push_back(
         MakeLease(state, handle, cut.keep.slots, cut.keep.ask_number, now));
     if (cut.process.node == state.members.self.node) {
-      TakeLeases(state, cut.process.node, leases, now, out);
+      ApplyLeases(state, cut.process.node, leases, now, out);
       continue;
     }
-    const std::string& address = AddressOf(state, cut.process.node);
+    const std::string& address = FindPeerAddress(state, cut.process.node);
     if (!address.empty()) {
       out.emplace_back(SendMessage{address, std::move(leases)});
     }
@@ -257,7 +261,7 @@
     SeeLoaded(state.orders.kept[handle], report->loaded, now);
   }
   if (PoolOf(*endpoint.book) < pool_before) {
-    CutHolders(state, handle, now, out);
+    ReduceLeases(state, handle, now, out);
   }
 }
 
--- a/fleet/src/fleet_rules.cc
+++ b/fleet/src/fleet_rules.cc
@@ -22,71 +22,71 @@
 /// may serve old data, and a version once left must not come back.
 bool WaitsForPeers(const FleetState& state, Time now) {
   return state.config.rules == nullptr && !state.options.seeds.empty() &&
-         now < state.config.hold_until && !HearsAnyone(state.members, now);
+         now < state.config.hold_until && !HasRecentContact(state.members, now);
 }
 
 }  // namespace
 
-std::uint64_t VersionOf(const FleetState& state) {
+std::uint64_t GetRulesVersion(const FleetState& state) {
   return state.config.rules == nullptr ? 0 : state.config.rules->version;
 }
 
-ReadPace PaceOf(const FleetState& state, Time now) {
+ReadPace GetReadPace(const FleetState& state, Time now) {
   if (state.config.rules == nullptr) return ReadPace::kAlone;
   const bool others =
       OthersPublished(*state.config.rules, state.members.self.node);
-  if (others && !HearsAnyone(state.members, now)) return ReadPace::kAlone;
+  if (others && !HasRecentContact(state.members, now)) return ReadPace::kAlone;
   return IsReader(*state.config.rules, state.members.self.node)
              ? ReadPace::kWatch
              : ReadPace::kRare;
 }
 
-void TakeText(FleetState& state, const std::string& text,
-              std::string_view source, Time now, Actions& out) {
+void ApplyRulesText(FleetState& state, const std::string& text,
+                    std::string_view source, Time now, Actions& out) {
   const std::uint64_t refused_before = state.config.refused_version;
-  switch (TakeDocument(state.config, text, source, now)) {
-    case Taken::kNothingNew:
-    case Taken::kRefusedAgain:
+  switch (ApplyDocument(state.config, text, source, now)) {
+    case DocumentResult::kNothingNew:
+    case DocumentResult::kRefusedAgain:
       return;
-    case Taken::kRefused:
+    case DocumentResult::kRefused:
       out.emplace_back(
           RulesRefused{state.config.refused_version, state.config.refused_why});
       return;
-    case Taken::kInForce:
+    case DocumentResult::kInForce:
       break;
   }
-  if (refused_before != 0 && refused_before <= VersionOf(state)) {
+  if (refused_before != 0 && refused_before <= GetRulesVersion(state)) {
     state.config.refused_version = 0;
     state.config.refused_digest = 0;
     state.config.refused_why.clear();
   }
   Log(LogPart::kFleet, LogLevel::kInfo,
-      "Rules version " + std::to_string(VersionOf(state)) + " in force, from " +
-          std::string(source) + ".");
+      "Rules version " + std::to_string(GetRulesVersion(state)) +
+          " in force, from " + std::string(source) + ".");
   ApplyRules(state, now);
   out.emplace_back(RulesInForce{state.config.rules});
   AnnounceEndpoints(state, now, out);
-  TellSome(state, now, out);
+  GossipToRandomPeers(state, now, out);
 }
 
 void ReleaseHeldBack(FleetState& state, Time now, Actions& out) {
-  if (!state.config.holds_back || WaitsForPeers(state, now)) return;
-  state.config.holds_back = false;
-  const std::string text = std::move(state.config.held_back);
-  state.config.held_back.clear();
-  TakeText(state, text, "platform", now, out);
+  if (!state.config.has_held_document || WaitsForPeers(state, now)) return;
+  state.config.has_held_document = false;
+  const std::string text = std::move(state.config.held_document);
+  state.config.held_document.clear();
+  ApplyRulesText(state, text, "platform", now, out);
 }
 
 void ReadPlatform(FleetState& state, Time now, Actions& out) {
-  const ReadPace pace = PaceOf(state, now);
+  const ReadPace pace = GetReadPace(state, now);
   // A node cut off during its watch can't tell whether the watch still stands.
   if (pace == ReadPace::kAlone && state.config.read.reading &&
-      now - state.config.read.began >= kIsolatedAfter) {
+      now - state.config.read.began >= kIsolationTimeout) {
     state.config.read.reading = false;
     state.config.read.next = std::min(state.config.read.next, now);
   }
   if (BeginRead(state.config.read, now)) {
-    const std::uint64_t known = VersionOf(state);
+    const std::uint64_t known = GetRulesVersion(state);
     out.emplace_back(
         ReadRulesDocument{known, known != 0 && pace == ReadPace::kWatch});
   }
@@ -97,34 +97,38 @@
 
 void OnRulesDocument(FleetState& state, const std::string* text, Time now,
                      Actions& out) {
-  const ReadPace pace = PaceOf(state, now);
-  const std::uint64_t before = VersionOf(state);
+  const ReadPace pace = GetReadPace(state, now);
+  const std::uint64_t before = GetRulesVersion(state);
   if (text != nullptr && !text->empty()) {
     if (WaitsForPeers(state, now)) {
-      state.config.held_back = *text;
-      state.config.holds_back = true;
+      state.config.held_document = *text;
+      state.config.has_held_document = true;
     } else {
-      TakeText(state, *text, "platform", now, out);
+      ApplyRulesText(state, *text, "platform", now, out);
     }
   }
   if (text != nullptr) {
-    state.fresh.woke = state.fresh.woke && now <= state.fresh.woke_at;
+    state.fresh.is_resuming =
+        state.fresh.is_resuming && now <= state.fresh.resumed_at;
   }
   // A service that answers a watch with what is known already would be asked
   // without a pause otherwise.
-  const bool at_once = now - state.config.read.began < kReadRetryFirst;
+  const bool at_once = now - state.config.read.began < kInitialReadBackoff;
   const bool useless = at_once && text != nullptr &&
-                       VersionOf(state) == before && !state.config.holds_back;
+                       GetRulesVersion(state) == before &&
+                       !state.config.has_held_document;
   EndRead(state.config.read, text != nullptr,
-          useless ? std::max(RulesPause(pace, state.random), kReadRetryFirst)
-                  : RulesPause(pace, state.random),
+          useless ? std::max(RulesReadInterval(pace, state.random),
+                             kInitialReadBackoff)
+                  : RulesReadInterval(pace, state.random),
           state.random, now);
 }
 
 void OnVmList(FleetState& state, const std::vector<VmEntry>* vms, Time now,
               Actions& out) {
   EndRead(state.vm_list, vms != nullptr,
-          VmListPause(PaceOf(state, now), state.random), state.random, now);
+          VmListReadInterval(GetReadPace(state, now), state.random),
+          state.random, now);
   if (vms == nullptr) return;
   for (const VmEntry& vm : *vms) {
     if (vm.leaving) {
--- a/fleet/src/fleet_slots.cc
+++ b/fleet/src/fleet_slots.cc
@@ -17,7 +17,7 @@
 bool IsLeavingVm(const FleetState& state, const std::string& name, Time now) {
   const auto found = state.leaving_vms.find(name);
   return found != state.leaving_vms.end() &&
-         now - found->second < kVmNoticeKept;
+         now - found->second < kVmNoticeLifetime;
 }
 
 bool IsAvailable(const FleetState& state, std::uint32_t idx, Time now) {
@@ -50,7 +50,7 @@
   endpoint.has_reports = false;
   if (rules.endpoints[idx].source.present) {
     endpoint.has_reports = HasReports(rules, rules.endpoints[idx]);
-    for (const rules::NodeHandle voter : VotersOf(rules, {idx})) {
+    for (const rules::NodeHandle voter : FindVoters(rules, {idx})) {
       endpoint.voters.push_back(rules.nodes[voter.idx].source.name);
     }
     endpoint.held.floor = FloorOf(rules, {idx}, self);
@@ -66,7 +66,7 @@
 std::vector<std::string> KeepersToAsk(const FleetState& state,
                                       EndpointState& endpoint, Time now) {
   HeldSlots& held = endpoint.held;
-  if (!held.keeper.empty() && now - held.last_lease < kAskPatience) {
+  if (!held.keeper.empty() && now - held.last_lease < kKeeperAnswerTimeout) {
     return {held.keeper};
   }
   if (endpoint.voters.empty()) return {};
@@ -80,7 +80,7 @@
       std::find_if(endpoint.voters.begin(), endpoint.voters.end(), is_there);
   if (first == endpoint.voters.end()) first = endpoint.voters.begin();
   const std::string& other =
-      endpoint.voters[held.keeper_turn++ % endpoint.voters.size()];
+      endpoint.voters[held.next_voter++ % endpoint.voters.size()];
   if (other == *first) return {other};
   return {*first, other};
 }
@@ -104,7 +104,7 @@
 SlotAsk MakeAsk(FleetState& state, EndpointHandle handle, Time now) {
   HeldSlots& held = state.endpoints[handle.idx].held;
   SlotAsk ask;
-  ask.endpoint = RowOf(state, handle).source.name;
+  ask.endpoint = GetEndpointRules(state, handle).source.name;
   ask.in_flight = BeyondFloor(held, held.demand.in_flight);
   ask.wanted = BeyondFloor(held, held.demand.wanted);
   ask.urgent = BeyondFloor(held, held.demand.urgent);
@@ -116,7 +116,7 @@
   held.evidence = {};
   held.down = false;
   held.last_ask = now;
-  held.was_content = held.demand.wanted <= UsableSlots(held, now);
+  held.had_enough_slots = held.demand.wanted <= UsableSlots(held, now);
   return ask;
 }
 
@@ -130,7 +130,7 @@
     if (!state.endpoints[endpoint.idx].book.has_value()) continue;
     leases.leases.push_back(AnswerAsk(state, endpoint, self, number, ask, now));
   }
-  TakeLeases(state, self.node, leases, now, out);
+  ApplyLeases(state, self.node, leases, now, out);
 }
 
 void SendAsks(FleetState& state, const std::string& keeper, const Asks& asks,
@@ -144,7 +144,8 @@
   SlotAsks message;
   message.number = number;
   for (const auto& [endpoint, ask] : asks) message.asks.push_back(ask);
-  out.emplace_back(SendMessage{AddressOf(state, keeper), std::move(message)});
+  out.emplace_back(
+      SendMessage{FindPeerAddress(state, keeper), std::move(message)});
 }
 
 }  // namespace
@@ -154,17 +155,17 @@
   state.members.nodes_digest = NodesDigest(rules);
   state.takes_work.clear();
   state.endpoints.resize(rules.endpoints.size());
-  const auto used =
-      EndpointsUsedBy(rules, state.members.self.node, state.members.self.zone);
+  const auto used = FindUsedEndpoints(rules, state.members.self.node,
+                                      state.members.self.zone);
   for (std::uint32_t i = 0; i < rules.endpoints.size(); ++i) {
     state.endpoints[i].used = used[i];
     ApplyEndpoint(state, i);
     KeeperBook* book = state.endpoints[i].book.has_value()
                            ? &*state.endpoints[i].book
                            : nullptr;
-    if (book != nullptr) ChangeBears(*book, rules.endpoints[i], now);
+    if (book != nullptr) UpdateCapacity(*book, rules.endpoints[i], now);
   }
-  SetPublished(state.members, rules, now);
+  UpdatePublishedNodes(state.members, rules, now);
 }
 
 void Announce(FleetState& state, EndpointHandle handle,
@@ -191,8 +192,9 @@
 
 void AskForSlots(FleetState& state, Time now, Actions& out) {
   std::map<std::string, Asks> by_keeper;
-  const auto every =
-      state.endpoints.size() <= kFewEndpoints ? kAskEvery : kAskEveryOfMany;
+  const auto every = state.endpoints.size() <= kMaxFastAskEndpoints
+                         ? kSlotAskInterval
+                         : kManyEndpointsAskInterval;
   for (std::uint32_t i = 0; i < state.endpoints.size(); ++i) {
     EndpointState& endpoint = state.endpoints[i];
     if (!endpoint.available || !AskIsDue(endpoint.held, every, now)) continue;
@@ -211,8 +213,8 @@
   });
 }
 
-void TakeLeases(FleetState& state, const std::string& keeper,
-                const SlotLeases& leases, Time now, Actions& out) {
+void ApplyLeases(FleetState& state, const std::string& keeper,
+                 const SlotLeases& leases, Time now, Actions& out) {
   for (const SlotLease& lease : leases.leases) {
     const EndpointHandle handle =
         FindEndpoint(*state.config.rules, lease.endpoint);
@@ -271,7 +273,7 @@
   }
   // Told at once: the caller sends the body again within seconds, perhaps to
   // another node, and a third endpoint would die.
-  if (!running.empty()) TellSome(state, now, out);
+  if (!running.empty()) GossipToRandomPeers(state, now, out);
 }
 
 }  // namespace egretladder::fleet
--- a/fleet/src/fleet_state_p.h
+++ b/fleet/src/fleet_state_p.h
@@ -35,8 +35,8 @@
 /// Whether this process may act on what it knows.
 struct Freshness {
   Time last_tick{};
-  bool woke = false;  ///< Paused, and nothing heard since.
-  Time woke_at{};
+  bool is_resuming = false;  ///< Paused, and nothing heard since.
+  Time resumed_at{};
 };
 
 struct FleetState {
@@ -44,7 +44,7 @@
   kernel::Random random;
   MembershipState members;
   ConfigState config;
-  ReadPlan vm_list;
+  ReadSchedule vm_list;
   /// Endpoints shown as leaving, with when the list that said so was read.
   std::map<std::string, Time, std::less<>> leaving_vms;
   policy::PoisonState poison;
@@ -60,24 +60,25 @@
 
 // fleet_gossip.cc
 void StartRound(FleetState& state, Time now, Actions& out);
-void TellSome(FleetState& state, Time now, Actions& out);
-void TellAll(FleetState& state, Time now, Actions& out);
-void TakeGossip(FleetState& state, const Sender& from, const Gossip& gossip,
-                Time now, Actions& out);
-const std::string& AddressOf(const FleetState& state, std::string_view node);
+void GossipToRandomPeers(FleetState& state, Time now, Actions& out);
+void GossipToVoters(FleetState& state, Time now, Actions& out);
+void HandleGossip(FleetState& state, const Sender& from, const Gossip& gossip,
+                  Time now, Actions& out);
+const std::string& FindPeerAddress(const FleetState& state,
+                                   std::string_view node);
 /// The endpoint's line in the rules in force, which there must be.
-inline const rules::Endpoint& RowOf(const FleetState& state,
-                                    EndpointHandle endpoint) {
+inline const rules::Endpoint& GetEndpointRules(const FleetState& state,
+                                               EndpointHandle endpoint) {
   return state.config.rules->endpoints[endpoint.idx];
 }
 
 // fleet_rules.cc
-void TakeText(FleetState& state, const std::string& text,
-              std::string_view source, Time now, Actions& out);
+void ApplyRulesText(FleetState& state, const std::string& text,
+                    std::string_view source, Time now, Actions& out);
 void ReadPlatform(FleetState& state, Time now, Actions& out);
 void ReleaseHeldBack(FleetState& state, Time now, Actions& out);
-ReadPace PaceOf(const FleetState& state, Time now);
-std::uint64_t VersionOf(const FleetState& state);
+ReadPace GetReadPace(const FleetState& state, Time now);
+std::uint64_t GetRulesVersion(const FleetState& state);
 
 // fleet_slots.cc
 void ApplyRules(FleetState& state, Time now);
@@ -85,18 +86,18 @@
 void Announce(FleetState& state, EndpointHandle endpoint,
               policy::SlotReason reason, Time now, Actions& out);
 void AskForSlots(FleetState& state, Time now, Actions& out);
-void TakeLeases(FleetState& state, const std::string& keeper,
-                const SlotLeases& leases, Time now, Actions& out);
+void ApplyLeases(FleetState& state, const std::string& keeper,
+                 const SlotLeases& leases, Time now, Actions& out);
 
 // fleet_keeper.cc
 void UpdateKeeping(FleetState& state, Time now, Actions& out);
-void TakeAsks(FleetState& state, const Sender& from, const SlotAsks& asks,
-              Time now, Actions& out);
+void HandleAsks(FleetState& state, const Sender& from, const SlotAsks& asks,
+                Time now, Actions& out);
 SlotLease AnswerAsk(FleetState& state, EndpointHandle endpoint,
                     const Sender& from, std::uint64_t number,
                     const SlotAsk& ask, Time now);
-void CutHolders(FleetState& state, EndpointHandle endpoint, Time now,
-                Actions& out);
+void ReduceLeases(FleetState& state, EndpointHandle endpoint, Time now,
+                  Actions& out);
 void LogSlots(const FleetState& state, EndpointHandle endpoint,
               policy::SlotReason reason);
 
--- a/fleet/src/lane.cc
+++ b/fleet/src/lane.cc
@@ -28,23 +28,23 @@
   std::shared_ptr<const StoredAnswer> answer;
 };
 
-bool Runs(const CallRecord& call) {
+bool IsInProgress(const CallRecord& call) {
   return call.state == KeyState::kRecorded || call.state == KeyState::kSent;
 }
 
 /// What a record takes besides its answer: node of the table, waiters, string.
 constexpr std::size_t kRecordOverhead = 192;
 
-std::size_t BytesOf(const std::string& key, const CallRecord& call) {
+std::size_t RecordBytes(const std::string& key, const CallRecord& call) {
   std::size_t bytes = kRecordOverhead + key.size();
-  if (Runs(call)) bytes += kAnswerReserve;
+  if (IsInProgress(call)) bytes += kReservedAnswerBytes;
   if (call.answer != nullptr) {
     bytes += call.answer->body.size() + call.answer->content_type.size();
   }
   return bytes;
 }
 
-std::string KeyOf(const Lane& lane, const std::string& key) {
+std::string MakeTableKey(const Lane& lane, const std::string& key) {
   return std::to_string(lane.number) + '/' + key;
 }
 
@@ -77,22 +77,22 @@
   return Elapsed(state, now) >= lane.expires;
 }
 
-std::string SignatureOf(const LanesState& state, const Lane& lane) {
+std::string SignLane(const LanesState& state, const Lane& lane) {
   return kernel::Sign(state.secret, LaneFields(lane) + '.' + lane.node);
 }
 
 CallRecord* Find(LanesState& state, const Lane& lane, const std::string& key) {
-  const auto found = state.calls.find(KeyOf(lane, key));
+  const auto found = state.calls.find(MakeTableKey(lane, key));
   return found == state.calls.end() ? nullptr : &found->second;
 }
 
 /// Ends a call in `next` and hands out its waiters.
 std::vector<WaiterId> EndCall(LanesState& state, const std::string& full_key,
                               CallRecord& call, KeyState next, Time now) {
-  state.bytes -= BytesOf(full_key, call);
+  state.bytes -= RecordBytes(full_key, call);
   call.state = next;
   call.ended = Elapsed(state, now);
-  state.bytes += BytesOf(full_key, call);
+  state.bytes += RecordBytes(full_key, call);
   return std::exchange(call.waiters, {});
 }
 
@@ -114,7 +114,7 @@
     case KeyState::kSent:
       break;
   }
-  if (call.waiters.size() >= kWaitersMost) return OutcomeUnknown{};
+  if (call.waiters.size() >= kMaxWaitersPerKey) return OutcomeUnknown{};
   call.waiters.push_back(waiter);
   return JoinCall{};
 }
@@ -123,7 +123,7 @@
 /// no new keys any more. Without that, a second copy of the call that arrives
 /// when there is room again would run after its caller heard "not run". One
 /// number holds for all of them, since a full table can't hold burned keys.
-LaneDecision RefuseFull(LanesState& state) {
+LaneDecision RefuseTableFull(LanesState& state) {
   state.closed_through = state.issued;
   return RefuseCall{LaneRefusal::kTableFull, true};
 }
@@ -165,13 +165,13 @@
   lane.incarnation = state.incarnation;
   lane.number = ++state.issued;
   lane.expires = Elapsed(state, now) + kLaneLife;
-  lane.signature = SignatureOf(state, lane);
+  lane.signature = SignLane(state, lane);
   return lane;
 }
 
 bool OwnsLane(const LanesState& state, const Lane& lane) {
   return lane.node == state.node && lane.incarnation == state.incarnation &&
-         kernel::IsSameSignature(lane.signature, SignatureOf(state, lane));
+         kernel::IsSameSignature(lane.signature, SignLane(state, lane));
 }
 
 LaneDecision BeginCall(LanesState& state, const Lane& lane,
@@ -189,15 +189,15 @@
   if (lane.number <= state.closed_through) {
     return RefuseCall{LaneRefusal::kTableFull, true};
   }
-  std::string full_key = KeyOf(lane, key);
+  std::string full_key = MakeTableKey(lane, key);
   CallRecord call;
   call.body_hash = body_hash;
   call.expires = lane.expires;
   call.waiters.push_back(waiter);
-  const std::size_t bytes = BytesOf(full_key, call);
-  if (state.calls.size() >= kLaneKeysMost ||
+  const std::size_t bytes = RecordBytes(full_key, call);
+  if (state.calls.size() >= kMaxLaneKeys ||
       state.bytes + bytes > kLaneBytesMost) {
-    return RefuseFull(state);
+    return RefuseTableFull(state);
   }
   state.bytes += bytes;
   state.calls.emplace(std::move(full_key), std::move(call));
@@ -215,7 +215,7 @@
 
 bool MarkUnsent(LanesState& state, const Lane& lane, const std::string& key) {
   CallRecord* call = Find(state, lane, key);
-  if (call == nullptr || !Runs(*call)) return false;
+  if (call == nullptr || !IsInProgress(*call)) return false;
   call->state = KeyState::kRecorded;
   return true;
 }
@@ -225,28 +225,28 @@
                                  Time now) {
   CallRecord* call = Find(state, lane, key);
   // An answer that arrives after its call was given up is still its outcome.
-  const bool open =
-      call != nullptr && (Runs(*call) || call->state == KeyState::kLost);
+  const bool open = call != nullptr &&
+                    (IsInProgress(*call) || call->state == KeyState::kLost);
   if (!open) return {};
-  const std::string full_key = KeyOf(lane, key);
-  state.bytes -= BytesOf(full_key, *call);
+  const std::string full_key = MakeTableKey(lane, key);
+  state.bytes -= RecordBytes(full_key, *call);
   call->answer = std::make_shared<const StoredAnswer>(std::move(answer));
-  state.bytes += BytesOf(full_key, *call);
+  state.bytes += RecordBytes(full_key, *call);
   return EndCall(state, full_key, *call, KeyState::kDone, now);
 }
 
 std::vector<WaiterId> LoseCall(LanesState& state, const Lane& lane,
                                const std::string& key, Time now) {
   CallRecord* call = Find(state, lane, key);
-  if (call == nullptr || !Runs(*call)) return {};
-  return EndCall(state, KeyOf(lane, key), *call, KeyState::kLost, now);
+  if (call == nullptr || !IsInProgress(*call)) return {};
+  return EndCall(state, MakeTableKey(lane, key), *call, KeyState::kLost, now);
 }
 
 std::vector<WaiterId> BurnCall(LanesState& state, const Lane& lane,
                                const std::string& key, Time now) {
   CallRecord* call = Find(state, lane, key);
-  if (call == nullptr || !Runs(*call)) return {};
-  return EndCall(state, KeyOf(lane, key), *call, KeyState::kBurned, now);
+  if (call == nullptr || !IsInProgress(*call)) return {};
+  return EndCall(state, MakeTableKey(lane, key), *call, KeyState::kBurned, now);
 }
 
 void SweepLanes(LanesState& state, Time now) {
@@ -254,8 +254,8 @@
   std::erase_if(state.calls, [&](const auto& entry) {
     const CallRecord& call = entry.second;
     const auto until = std::max(call.expires, call.ended) + kAnswerLinger;
-    if (Runs(call) || elapsed < until) return false;
-    state.bytes -= BytesOf(entry.first, call);
+    if (IsInProgress(call) || elapsed < until) return false;
+    state.bytes -= RecordBytes(entry.first, call);
     return true;
   });
 }
--- a/fleet/src/lane_text.cc
+++ b/fleet/src/lane_text.cc
@@ -21,7 +21,7 @@
 }
 
 /// Takes the hexadecimal number before the next dot off `text`.
-bool TakeHex(std::string_view& text, std::uint64_t& number) {
+bool ConsumeHex(std::string_view& text, std::uint64_t& number) {
   const std::size_t dot = text.find('.');
   if (dot == std::string_view::npos || dot == 0) return false;
   const char* end = text.data() + dot;
@@ -39,12 +39,12 @@
   return true;
 }
 
-bool TakeFields(std::string_view text, Lane& lane) {
+bool ParseFields(std::string_view text, Lane& lane) {
   if (!text.starts_with(kVersion)) return false;
   text.remove_prefix(kVersion.size());
   std::uint64_t expires = 0;
-  if (!TakeHex(text, lane.incarnation) || !TakeHex(text, lane.number) ||
-      !TakeHex(text, expires)) {
+  if (!ConsumeHex(text, lane.incarnation) || !ConsumeHex(text, lane.number) ||
+      !ConsumeHex(text, expires)) {
     return false;
   }
   if (expires > std::uint64_t{std::numeric_limits<std::int64_t>::max()}) {
@@ -73,7 +73,7 @@
 
 kernel::Result<Lane> DecodeLane(std::string_view text) {
   Lane lane;
-  if (text.size() > kLaneTextMost || !TakeFields(text, lane) ||
+  if (text.size() > kMaxLaneTextBytes || !ParseFields(text, lane) ||
       Encode(lane) != text) {
     return kernel::MakeError(kernel::ErrorCode::kInvalidInput, "read lane",
                              "Egretladder-Lane", "not a lane of a node");
--- a/fleet/src/lease_holder.cc
+++ b/fleet/src/lease_holder.cc
@@ -40,9 +40,9 @@
   if (since >= every) return true;
   // Once for each time that work begins to wait: under load that lasts, asking
   // more often brings no more slots.
-  const bool hurry = held.down || (held.was_content &&
+  const bool hurry = held.down || (held.had_enough_slots &&
                                    held.demand.wanted > UsableSlots(held, now));
-  return hurry && since >= kAskSoonest;
+  return hurry && since >= kMinSlotAskInterval;
 }
 
 }  // namespace egretladder::fleet
--- a/fleet/src/lease_keeper.cc
+++ b/fleet/src/lease_keeper.cc
@@ -27,8 +27,8 @@
   return most;
 }
 
-bool HasPart(const Holder& holder, Time now) {
-  return now - holder.asked <= kHolderSilent;
+bool IsActiveHolder(const Holder& holder, Time now) {
+  return now - holder.asked <= kHolderSilenceTimeout;
 }
 
 /// How long calls of a silent holder count. A report shows them within seconds;
@@ -37,8 +37,8 @@
 std::chrono::milliseconds SilentCallsKept(const KeeperBook& book) {
   const bool warm = book.slots.slots > book.slots.cold_max_in_flight;
   return warm && book.report.has_value()
-             ? kReportFresh
-             : std::chrono::milliseconds(kSilentCallsKept);
+             ? kMaxReportAge
+             : std::chrono::milliseconds(kSilentCallRetention);
 }
 
 /// Forgets holders that have been silent for longer than a lease and what it
@@ -51,19 +51,19 @@
 }
 
 /// Calls at the endpoint that no holder's entry stands for.
-std::uint32_t StrangersAt(const KeeperBook& book, Time now) {
+std::uint32_t CountUnattributedCalls(const KeeperBook& book, Time now) {
   if (now - book.opened >= SilentCallsKept(book)) return 0;
-  if (book.report.has_value()) return book.strangers;
+  if (book.report.has_value()) return book.unattributed_calls;
   // One slot stays to begin with: its answers let the endpoint grow, while none
   // would leave it idle for as long as strangers count.
-  return std::min(book.strangers, book.slots.cold_max_in_flight - 1);
+  return std::min(book.unattributed_calls, book.slots.cold_max_in_flight - 1);
 }
 
 /// A report taken before a former keeper's last leases lapsed misses the calls
 /// that they let in.
-bool ShowsAllStrangers(const KeeperBook& book,
-                       const policy::EngineReport& report, Time now) {
-  return now - report.age >= book.opened - kOpeningMargin;
+bool CoversAllUnattributedCalls(const KeeperBook& book,
+                                const policy::EngineReport& report, Time now) {
+  return now - report.age >= book.opened - kMaxInitialReportLead;
 }
 
 /// Nothing that ran before a new boot runs on. (A death that a node reports is
@@ -72,7 +72,7 @@
 /// ones can't.
 void ForgetSilentCalls(KeeperBook& book, Time now) {
   for (Holder& holder : book.holders) {
-    if (!HasPart(holder, now)) holder.in_flight = 0;
+    if (!IsActiveHolder(holder, now)) holder.in_flight = 0;
   }
 }
 
@@ -94,7 +94,7 @@
   }
 }
 
-struct Part {
+struct Share {
   const Holder* holder = nullptr;
   std::uint64_t lot = 0;
   std::uint32_t slots = 0;
@@ -102,16 +102,16 @@
 
 /// Holders in the order of their lots. Lots are drawn anew every few seconds:
 /// with fewer slots than holders the same few would have them for ever.
-std::vector<Part> DrawLots(const KeeperBook& book, Time now) {
+std::vector<Share> DrawLots(const KeeperBook& book, Time now) {
   const auto draw =
-      static_cast<std::uint64_t>(now.time_since_epoch() / kLotsEvery);
-  std::vector<Part> parts;
+      static_cast<std::uint64_t>(now.time_since_epoch() / kLotteryInterval);
+  std::vector<Share> parts;
   for (const Holder& holder : book.holders) {
-    if (!HasPart(holder, now)) continue;
+    if (!IsActiveHolder(holder, now)) continue;
     parts.push_back({&holder, kernel::HashBytes(holder.process.node, draw), 0});
   }
   std::sort(parts.begin(), parts.end(),
-            [](const Part& left, const Part& right) {
+            [](const Share& left, const Share& right) {
               return std::pair(left.lot, left.holder->process.incarnation) <
                      std::pair(right.lot, right.holder->process.incarnation);
             });
@@ -119,21 +119,21 @@
 }
 
 /// What a round of sharing out gives a holder at most.
-std::uint32_t UrgentOf(const Holder& holder) { return holder.urgent; }
-std::uint32_t WantedOf(const Holder& holder) { return holder.wanted; }
-std::uint32_t NoBound(const Holder& /*holder*/) {
+std::uint32_t UrgentLimit(const Holder& holder) { return holder.urgent; }
+std::uint32_t WantedLimit(const Holder& holder) { return holder.wanted; }
+std::uint32_t Unlimited(const Holder& /*holder*/) {
   return std::numeric_limits<std::uint32_t>::max();
 }
 
 /// Gives slots one by one until each holder has what `bound` says. Returns what
 /// is left. Source: max-min fairness.
-std::uint32_t GiveUpTo(std::vector<Part>& parts,
-                       std::uint32_t (*bound)(const Holder&),
-                       std::uint32_t left) {
+std::uint32_t DistributeUpTo(std::vector<Share>& parts,
+                             std::uint32_t (*bound)(const Holder&),
+                             std::uint32_t left) {
   bool given = true;
   while (left > 0 && given) {
     given = false;
-    for (Part& part : parts) {
+    for (Share& part : parts) {
       if (left == 0) break;
       if (part.slots >= bound(*part.holder)) continue;
       ++part.slots;
@@ -149,16 +149,16 @@
 /// (2 of 24 runs of a batch beside a burst of buyers had under 90 in 100 in
 /// time). Then what each wants, then what is left, so that an idle node can
 /// start its next call without asking.
-std::vector<Part> ShareOut(const KeeperBook& book, Time now) {
-  std::vector<Part> parts = DrawLots(book, now);
-  std::uint32_t left = GiveUpTo(parts, UrgentOf, PoolOf(book));
-  left = GiveUpTo(parts, WantedOf, left);
-  GiveUpTo(parts, NoBound, left);
+std::vector<Share> AllocateSlots(const KeeperBook& book, Time now) {
+  std::vector<Share> parts = DrawLots(book, now);
+  std::uint32_t left = DistributeUpTo(parts, UrgentLimit, PoolOf(book));
+  left = DistributeUpTo(parts, WantedLimit, left);
+  DistributeUpTo(parts, Unlimited, left);
   return parts;
 }
 
-std::uint32_t PartOf(const std::vector<Part>& parts, const Holder& holder) {
-  for (const Part& part : parts) {
+std::uint32_t FindShare(const std::vector<Share>& parts, const Holder& holder) {
+  for (const Share& part : parts) {
     if (part.holder == &holder) return part.slots;
   }
   return 0;
@@ -168,8 +168,8 @@
 /// its holders last heard, in place of a cold start: a node that stops would
 /// throw its warm endpoints back to the few requests they bear cold. Of several
 /// claims the lowest counts, since any of them may be old.
-void TakeOverTotal(KeeperBook& book, Holder& holder, const SlotAsk& ask,
-                   Time now) {
+void InheritTotal(KeeperBook& book, Holder& holder, const SlotAsk& ask,
+                  Time now) {
   if (!book.ready || holder.claimed) return;
   holder.claimed = true;
   const bool same_boot = book.report.has_value() && ask.total_boot != 0 &&
@@ -190,9 +190,9 @@
 }
 
 /// A new boot ends the calls that ran before it.
-policy::SlotReason TakeEvidence(KeeperBook& book,
-                                const policy::SlotEvidence& evidence,
-                                Time now) {
+policy::SlotReason ApplyEvidence(KeeperBook& book,
+                                 const policy::SlotEvidence& evidence,
+                                 Time now) {
   const std::uint64_t boot = book.slots.boot;
   const auto reason = policy::OnEvidence(book.slots, evidence, now);
   if (boot != 0 && book.slots.boot != boot) {
@@ -215,19 +215,21 @@
 
 void ResumeBook(KeeperBook& book, const rules::Endpoint& endpoint, Time stopped,
                 Time now) {
-  ChangeBears(book, endpoint, now);
+  UpdateCapacity(book, endpoint, now);
   book.resumed = now;
-  const bool unseen = now - stopped > kReportLost && !book.report.has_value();
+  const bool unseen =
+      now - stopped > kReportTimeout && !book.report.has_value();
   if (unseen) Restart(book, book.slots.boot, now);
 }
 
-void SuspectStrangers(KeeperBook& book, std::uint32_t silent) {
+void AssumeUnattributedCalls(KeeperBook& book, std::uint32_t silent) {
   book.ready = true;
-  book.strangers = silent;
+  book.unattributed_calls = silent;
   for (Holder& holder : book.holders) holder.known = true;
 }
 
-void ChangeBears(KeeperBook& book, const rules::Endpoint& endpoint, Time now) {
+void UpdateCapacity(KeeperBook& book, const rules::Endpoint& endpoint,
+                    Time now) {
   policy::SlotState& slots = book.slots;
   book.floor_sum = FloorSum(endpoint);
   if (slots.max_in_flight == endpoint.max_in_flight &&
@@ -271,7 +273,7 @@
     // Without a report each silent node was put down for one call.
     const std::uint32_t own =
         book.report.has_value() ? ask.in_flight : std::max(ask.in_flight, 1U);
-    book.strangers -= std::min(book.strangers, own);
+    book.unattributed_calls -= std::min(book.unattributed_calls, own);
   }
   std::erase_if(holder->grants, [&](const Grant& grant) {
     return grant.ask_number < ask.live_from;
@@ -279,20 +281,20 @@
   holder->asked = now;
   if (ask.down) return Restart(book, book.slots.boot, now);
   if (ask.evidence.in_time > 0) book.sign_of_life = now;
-  TakeOverTotal(book, *holder, ask, now);
-  return TakeEvidence(book, ask.evidence, now);
+  InheritTotal(book, *holder, ask, now);
+  return ApplyEvidence(book, ask.evidence, now);
 }
 
 std::uint32_t GrantSlots(KeeperBook& book, const Sender& from, Time now) {
   Prune(book, now);
   Holder* holder = Find(book, from);
   if (holder == nullptr || !MayGrant(book)) return 0;
-  const std::uint32_t others =
-      GrantedSum(book) - Outstanding(*holder) + StrangersAt(book, now);
+  const std::uint32_t others = GrantedSum(book) - Outstanding(*holder) +
+                               CountUnattributedCalls(book, now);
   const std::uint32_t pool = PoolOf(book);
   const std::uint32_t left = pool > others ? pool - others : 0;
   const std::uint32_t slots =
-      std::min(PartOf(ShareOut(book, now), *holder), left);
+      std::min(FindShare(AllocateSlots(book, now), *holder), left);
   if (slots > 0) holder->grants.push_back({holder->ask_number, slots});
   return slots;
 }
@@ -300,7 +302,7 @@
 policy::SlotReason TakeReport(KeeperBook& book,
                               const policy::EngineReport* report, Time now) {
   if (report == nullptr) {
-    const bool lost = now - book.sign_of_life > kReportLost;
+    const bool lost = now - book.sign_of_life > kReportTimeout;
     if (!lost || book.slots.slots <= book.slots.cold_max_in_flight) {
       return policy::SlotReason::kUnchanged;
     }
@@ -312,25 +314,26 @@
   book.sign_of_life = now;
   const std::uint32_t running = report->running + report->waiting;
   if (book.ready) {
-    book.strangers = std::min(book.strangers, running);
-  } else if (ShowsAllStrangers(book, *report, now)) {
+    book.unattributed_calls = std::min(book.unattributed_calls, running);
+  } else if (CoversAllUnattributedCalls(book, *report, now)) {
     book.ready = true;
-    book.strangers = running;
+    book.unattributed_calls = running;
   }
   if (first && book.slots.boot == 0) {
     book.slots.boot = report->boot;
     return policy::SlotReason::kUnchanged;
   }
-  return TakeEvidence(book, {0, 0, 0, report->boot}, now);
+  return ApplyEvidence(book, {0, 0, 0, report->boot}, now);
 }
 
-std::vector<Cut> HoldersToCut(KeeperBook& book, Time now) {
+std::vector<LeaseReduction> FindOverallocatedHolders(KeeperBook& book,
+                                                     Time now) {
   Prune(book, now);
-  std::vector<Cut> cuts;
+  std::vector<LeaseReduction> cuts;
   if (GrantedSum(book) <= PoolOf(book)) return cuts;
-  const std::vector<Part> parts = ShareOut(book, now);
+  const std::vector<Share> parts = AllocateSlots(book, now);
   for (const Holder& holder : book.holders) {
-    const std::uint32_t part = PartOf(parts, holder);
+    const std::uint32_t part = FindShare(parts, holder);
     if (Outstanding(holder) <= part) continue;
     // No more than the last ask was granted: its answer may have been lost, and
     // this one taken in its place.
--- a/fleet/src/membership.cc
+++ b/fleet/src/membership.cc
@@ -10,11 +10,11 @@
 namespace {
 
 /// Pings to one peer that may still be answered.
-constexpr std::size_t kPingsOpen = 8;
+constexpr std::size_t kMaxOpenPings = 8;
 /// Peers outside the published list that are remembered.
-constexpr std::size_t kUnpublishedMost = 64;
+constexpr std::size_t kMaxUnpublishedPeers = 64;
 /// A change is told first for so long.
-constexpr std::chrono::seconds kNewsFor{5};
+constexpr std::chrono::seconds kNewsDuration{5};
 
 bool IsNewer(const Member& told, const Member& known) {
   return std::tie(told.started, told.incarnation) >
@@ -61,7 +61,7 @@
   const auto unpublished = static_cast<std::size_t>(
       std::count_if(state.peers.begin(), state.peers.end(),
                     [](const auto& e) { return !e.second.published; }));
-  if (unpublished >= kUnpublishedMost || told.node.empty()) return nullptr;
+  if (unpublished >= kMaxUnpublishedPeers || told.node.empty()) return nullptr;
   Peer& peer = state.peers[told.node];
   peer.member.node = told.node;
   peer.heard = now;
@@ -79,7 +79,7 @@
   Contact& contact = peer.contact;
   // Between two answers further apart the peer may have counted this node as
   // gone and supported another keeper.
-  const bool unbroken = contact.any && now - contact.sent < kGoneAfter;
+  const bool unbroken = contact.any && now - contact.sent < kGoneTimeout;
   if (!unbroken) contact.since = now;
   const bool same_digest = gossip.nodes_digest == state.nodes_digest;
   const bool was_same =
@@ -92,7 +92,8 @@
 
 }  // namespace
 
-void SetPublished(MembershipState& state, const rules::Rules& rules, Time now) {
+void UpdatePublishedNodes(MembershipState& state, const rules::Rules& rules,
+                          Time now) {
   for (auto& [name, peer] : state.peers) peer.published = false;
   for (const rules::Node& node : rules.nodes) {
     const std::string& name = node.source.name;
@@ -107,12 +108,12 @@
     peer.member.zone = rules.zones[node.zone.idx].source.name;
   }
   std::erase_if(state.peers, [&](const auto& entry) {
-    return !entry.second.published && now - entry.second.heard > kGoneAfter;
+    return !entry.second.published && now - entry.second.heard > kGoneTimeout;
   });
 }
 
-void ExpectKeepers(MembershipState& state,
-                   const std::vector<std::string>& voters, Time now) {
+void MarkExpectedKeepers(MembershipState& state,
+                         const std::vector<std::string>& voters, Time now) {
   for (const std::string& voter : voters) {
     const auto found = state.peers.find(voter);
     if (found == state.peers.end()) {
@@ -184,7 +185,7 @@
 }
 
 std::uint64_t NumberPing(MembershipState& state, Peer& peer, Time now) {
-  if (peer.pings.size() >= kPingsOpen) peer.pings.pop_front();
+  if (peer.pings.size() >= kMaxOpenPings) peer.pings.pop_front();
   peer.pings.push_back({++state.pings, now});
   return state.pings;
 }
@@ -194,7 +195,7 @@
 }
 
 MemberState StateOf(const Peer& peer, Time now) {
-  if (now - peer.heard > kGoneAfter) return MemberState::kGone;
+  if (now - peer.heard > kGoneTimeout) return MemberState::kGone;
   if (peer.member.state == MemberState::kLeaving) return MemberState::kLeaving;
   if (now - peer.heard > kSuspectAfter) return MemberState::kSuspect;
   return MemberState::kAlive;
@@ -202,8 +203,8 @@
 
 bool CountsAsGone(const Peer& peer, Time now) {
   const bool left = peer.member.state == MemberState::kLeaving &&
-                    now - peer.leaving_since > kLeftAfter;
-  return left || now - peer.heard > kGoneAfter;
+                    now - peer.leaving_since > kLeaveTimeout;
+  return left || now - peer.heard > kGoneTimeout;
 }
 
 std::vector<Member> MembersToTell(const MembershipState& state,
@@ -214,9 +215,10 @@
     // Only what the peer said here itself, and lately, is passed on. Hearsay of
     // hearsay would look new at each receiver, and a dead node would stay in
     // callers' answers for as long as the rumour takes to go round.
-    if (peer.member.heartbeat == 0 || now - peer.direct > kKnownFor) continue;
+    if (peer.member.heartbeat == 0 || now - peer.direct > kRecentContactTime)
+      continue;
     const bool leaves = peer.member.state == MemberState::kLeaving;
-    if (leaves && now - peer.leaving_since < kNewsFor &&
+    if (leaves && now - peer.leaving_since < kNewsDuration &&
         news.size() <= kMembersTold) {
       news.push_back(peer.member);
     } else {
@@ -232,18 +234,18 @@
   return news;
 }
 
-std::vector<std::string> VotesOf(const MembershipState& state, Time now) {
+std::vector<std::string> ListGoneVotes(const MembershipState& state, Time now) {
   std::vector<std::string> gone;
   for (const auto& [name, peer] : state.peers) {
     if (!peer.expected || !CountsAsGone(peer, now)) continue;
-    if (gone.size() >= kGoneTold) break;
+    if (gone.size() >= kMaxGoneNodesPerMessage) break;
     gone.push_back(name);
   }
   return gone;
 }
 
-bool Supports(const MembershipState& state, std::string_view voter,
-              bool keeping, Time now) {
+bool IsSupportedBy(const MembershipState& state, std::string_view voter,
+                   bool keeping, Time now) {
   if (voter == state.self.node) return true;
   const auto found = state.peers.find(voter);
   if (found == state.peers.end()) return false;
@@ -256,8 +258,8 @@
   return now - since >= kSupportWait;
 }
 
-bool SupportedSince(const MembershipState& state, std::string_view voter,
-                    Time then) {
+bool IsSupportedSince(const MembershipState& state, std::string_view voter,
+                      Time then) {
   if (voter == state.self.node) return true;
   const auto found = state.peers.find(voter);
   if (found == state.peers.end()) return false;
@@ -283,12 +285,14 @@
 bool MayKeep(const MembershipState& state,
              const std::vector<std::string>& voters, bool keeping, Time now) {
   if (state.replaced) return false;
-  const auto majority = static_cast<std::ptrdiff_t>(MajorityOf(voters.size()));
+  const auto majority =
+      static_cast<std::ptrdiff_t>(MajorityCount(voters.size()));
   const auto self = std::find(voters.begin(), voters.end(), state.self.node);
   if (self == voters.end()) return false;
-  const auto supporters = std::count_if(
-      voters.begin(), voters.end(),
-      [&](const auto& voter) { return Supports(state, voter, keeping, now); });
+  const auto supporters =
+      std::count_if(voters.begin(), voters.end(), [&](const auto& voter) {
+        return IsSupportedBy(state, voter, keeping, now);
+      });
   if (supporters < majority) return false;
   return std::all_of(voters.begin(), self, [&](const std::string& before) {
     const auto votes =
@@ -299,11 +303,11 @@
   });
 }
 
-bool HearsAnyone(const MembershipState& state, Time now) {
+bool HasRecentContact(const MembershipState& state, Time now) {
   return std::any_of(
       state.peers.begin(), state.peers.end(), [&](const auto& entry) {
         const Contact& contact = entry.second.contact;
-        return contact.any && now - contact.sent <= kIsolatedAfter;
+        return contact.any && now - contact.sent <= kIsolationTimeout;
       });
 }
 
--- a/fleet/src/orders.cc
+++ b/fleet/src/orders.cc
@@ -14,7 +14,7 @@
 using rules::Rules;
 using rules::TargetHandle;
 
-bool Holds(const std::vector<TargetHandle>& targets, TargetHandle target) {
+bool Contains(const std::vector<TargetHandle>& targets, TargetHandle target) {
   return std::find(targets.begin(), targets.end(), target) != targets.end();
 }
 
@@ -37,12 +37,12 @@
 
 /// The best endpoint with room for one more copy; the zone with the fewest
 /// copies goes first.
-EndpointHandle PickPlace(const Rules& rules, const Placement& placement,
-                         const std::vector<bool>& takes_work,
-                         TargetHandle model) {
+EndpointHandle PickEndpoint(const Rules& rules, const Placement& placement,
+                            const std::vector<bool>& takes_work,
+                            TargetHandle model) {
   std::map<std::uint32_t, std::uint32_t> copies;
   for (std::uint32_t i = 0; i < placement.size(); ++i) {
-    if (Holds(placement[i], model)) ++copies[rules.endpoints[i].zone.idx];
+    if (Contains(placement[i], model)) ++copies[rules.endpoints[i].zone.idx];
   }
   const std::string& name = rules.targets[model.idx].source.name;
   EndpointHandle best;
@@ -51,7 +51,7 @@
     const rules::Endpoint& endpoint = rules.endpoints[i];
     const bool fits = takes_work[i] && Serves(endpoint, model) &&
                       placement[i].size() < endpoint.max_loaded_models &&
-                      !Holds(placement[i], model);
+                      !Contains(placement[i], model);
     if (!fits) continue;
     const std::tuple rank(
         copies[endpoint.zone.idx],
@@ -73,13 +73,15 @@
          now - orders.changed >= kUnfencedWait;
 }
 
-std::optional<TargetHandle> Removable(const EndpointOrders& orders,
-                                      const OrderInput& input, Time now) {
+std::optional<TargetHandle> FindRemovableModel(const EndpointOrders& orders,
+                                               const OrderInput& input,
+                                               Time now) {
   for (const TargetHandle target : orders.loaded) {
-    if (Holds(input.desired, target) || !Holds(input.spare, target)) continue;
+    if (Contains(input.desired, target) || !Contains(input.spare, target))
+      continue;
     const auto since = orders.loaded_since.find(target);
     const bool dwelt = since != orders.loaded_since.end() &&
-                       now - since->second >= kModelDwell;
+                       now - since->second >= kMinModelResidency;
     if (dwelt) return target;
   }
   return std::nullopt;
@@ -92,7 +94,7 @@
   for (const TargetHandle model : ModelsByName(rules)) {
     for (std::uint32_t i = 0; i < rules.targets[model.idx].copies; ++i) {
       const EndpointHandle place =
-          PickPlace(rules, placement, takes_work, model);
+          PickEndpoint(rules, placement, takes_work, model);
       if (!IsValid(place)) break;
       placement[place.idx].push_back(model);
     }
@@ -108,15 +110,16 @@
     orders.loaded = sorted;
     orders.changed = now;
   }
-  std::erase_if(orders.loaded_since,
-                [&](const auto& entry) { return !Holds(sorted, entry.first); });
+  std::erase_if(orders.loaded_since, [&](const auto& entry) {
+    return !Contains(sorted, entry.first);
+  });
   for (const TargetHandle target : sorted) {
     orders.loaded_since.try_emplace(target, now);
   }
   if (!orders.open.has_value()) return;
   const bool wanted = orders.open->kind == OrderKind::kLoad;
-  const bool done = Holds(sorted, orders.open->target) == wanted;
-  if (done || now - orders.open->sent >= kOrderLost) orders.open.reset();
+  const bool done = Contains(sorted, orders.open->target) == wanted;
+  if (done || now - orders.open->sent >= kOrderTimeout) orders.open.reset();
 }
 
 std::optional<NextOrder> DecideOrder(const EndpointOrders& orders,
@@ -125,12 +128,12 @@
   if (orders.open.has_value()) return std::nullopt;
   if (!MayOrder(orders, input.honours_fencing, now)) return std::nullopt;
   for (const TargetHandle target : input.desired) {
-    if (Holds(orders.loaded, target)) continue;
+    if (Contains(orders.loaded, target)) continue;
     if (!input.store_free) return std::nullopt;
     if (orders.loaded.size() < input.max_loaded_models) {
       return NextOrder{OrderKind::kLoad, target};
     }
-    const auto victim = Removable(orders, input, now);
+    const auto victim = FindRemovableModel(orders, input, now);
     if (!victim.has_value()) return std::nullopt;
     return NextOrder{OrderKind::kUnload, *victim};
   }
@@ -139,7 +142,7 @@
 
 std::chrono::milliseconds LoadPause(std::size_t nodes) {
   return std::chrono::milliseconds(std::chrono::minutes(1)) *
-         static_cast<std::int64_t>(nodes) / kLoadsPerMinute;
+         static_cast<std::int64_t>(nodes) / kMaxModelLoadsPerMinute;
 }
 
 }  // namespace egretladder::fleet
