--- a/fleet/include/egretladder/fleet/config.h
+++ b/fleet/include/egretladder/fleet/config.h
@@ -1,8 +1,9 @@
-// Which version of the rules is in force, and when to read for a newer one.
+// Tracks which version of the rules is in force, and schedules the reads for
+// newer ones.
 //
-// The highest version wins for ever, wherever it was heard first; a document is
-// checked whole and taken whole. Source: xDS (a whole version is taken or
-// refused).
+// The highest version always wins, whichever source it came from. A document is
+// validated and applied as a whole. Source: xDS (a version is accepted or
+// rejected as a whole).
 #pragma once
 
 #include <cstdint>
@@ -18,21 +19,22 @@
 
 using kernel::Time;
 
-/// Reads of one document of the platform: when the next is due.
+/// Schedule of the reads of one document of the platform.
 struct ReadSchedule {
   bool reading = false;
   Time began{};
   Time next{};
-  Time answered{};  ///< Last answer that could be read.
+  Time answered{};  ///< Time of the last successful read.
   bool ever_answered = false;
-  std::uint32_t failures = 0;  ///< In a row.
+  std::uint32_t failures = 0;  ///< Number of consecutive failures.
 };
 
-/// The rules in force on one node, and the last version it refused.
+/// The rules in force on one node, and the last version that it refused.
 struct ConfigState {
   rules::RulesPtr rules;
   Time since{};
-  /// Of a starting node that asks peers first: read, not yet in force.
+  /// Document that a starting node has read but doesn't apply before it has
+  /// asked its peers.
   std::string held_document;
   bool has_held_document = false;
   Time hold_until{};
@@ -40,45 +42,51 @@
   std::uint64_t refused_digest = 0;
   std::string refused_why;
   ReadSchedule read;
-  Time asked{};  ///< A peer, for its version.
+  Time asked{};  ///< When a peer was last asked for its version.
 };
 
-/// What became of a document.
+/// Result of applying a document.
 enum class DocumentResult : std::uint8_t {
   kInForce,
-  kNothingNew,    ///< The version in force, or an older one.
-  kRefused,       ///< Faulty, or other content under the version in force.
-  kRefusedAgain,  ///< As before; already told.
+  kNothingNew,    ///< The document is the version in force or an older one.
+  kRefused,       ///< The document is invalid, or has other content under the
+                  ///< version in force.
+  kRefusedAgain,  ///< The document was refused before and the refusal was
+                  ///< reported.
 };
 
-/// Checks `text` whole and takes it when its version is above the one in force.
+/// Validates the whole of `text` and puts it in force if its version is above
+/// the one in force. `source` names its origin in error messages.
 DocumentResult ApplyDocument(ConfigState& state, const std::string& text,
                              std::string_view source, Time now);
 
-/// A peer has the version in force with other content: kept as it is here.
-/// Returns true when that is news.
+/// Compares the digest of a peer's rules with the local one. Records a refusal
+/// if the peer has the version in force with other content; the local content
+/// stays. Returns true if this conflict was not known before.
 bool CheckDigest(ConfigState& state, std::uint64_t version,
                  std::uint64_t digest);
 
-/// How a node reads the platform's documents.
+/// How often a node reads the platform's documents.
 enum class ReadPace : std::uint8_t {
-  kWatch,  ///< One of the few readers of its zone.
-  kRare,   ///< Hears from peers; reads rarely in case they are all wrong.
-  kAlone,  ///< Hears no peer: reads often, without a watch.
+  kWatch,  ///< The node is one of the readers of its zone and keeps a watch
+           ///< open.
+  kRare,   ///< The node hears from peers. It reads rarely, in case all of them
+           ///< are wrong.
+  kAlone,  ///< The node hears no peer. It reads often, without a watch.
 };
 
-/// True when a read is due; marks it as begun.
+/// Returns true and marks a read as begun if one is due.
 bool BeginRead(ReadSchedule& plan, Time now);
-/// An answer came, or none (`could_read` false). `every`: pause until the next
-/// one when all is well. Failures double the pause, with jitter, so that a
-/// service which comes back isn't met by the whole fleet at once.
+/// Records the end of a read and schedules the next one after `every`. If
+/// `could_read` is false, the pause grows exponentially with jitter instead, so
+/// that the whole fleet doesn't send requests at once when a service recovers.
 void EndRead(ReadSchedule& plan, bool could_read,
              std::chrono::milliseconds every, kernel::Random& random, Time now);
 
-/// The pause between two reads of the rules that bring nothing new.
+/// Returns the interval between two reads of the rules that bring nothing new.
 std::chrono::milliseconds RulesReadInterval(ReadPace pace,
                                             kernel::Random& random);
-/// The same for the VM list.
+/// Returns the interval between two reads of the VM list.
 std::chrono::milliseconds VmListReadInterval(ReadPace pace,
                                              kernel::Random& random);
 
--- a/fleet/include/egretladder/fleet/fleet.h
+++ b/fleet/include/egretladder/fleet/fleet.h
@@ -1,6 +1,7 @@
-// What the nodes know together: members, rules in force, slots of endpoints,
-// quarantine, engine orders. One state machine without I/O: (state, event, now)
-// to actions. The parts have headers of their own; this one puts them together.
+// The state shared by all nodes: members, rules in force, slots of endpoints,
+// quarantine, engine orders. One state machine without I/O that maps (state,
+// event, now) to actions. Its parts have their own headers; this one combines
+// them.
 #pragma once
 
 #include <chrono>
@@ -22,28 +23,30 @@
 using rules::EndpointHandle;
 using rules::TargetHandle;
 
-/// What a node knows of itself at start, from its settings.
+/// A node's own properties at start, from its settings.
 struct FleetOptions {
   std::string node;
   std::string caller_address;
   std::string peer_address;
   std::string zone;
-  std::uint64_t incarnation = 0;  ///< Random.
-  std::uint64_t started = 0;      ///< Seconds since 1970.
-  std::vector<std::string>
-      seeds;  ///< Peer addresses to ask first; may be empty.
+  std::uint64_t incarnation = 0;  ///< Random number.
+  std::uint64_t started = 0;      ///< Unix time in seconds.
+  /// Peer addresses to contact first; may be empty.
+  std::vector<std::string> seeds;
   std::uint64_t random_seed = 1;
 };
 
-/// A message to one peer. It may be lost: what matters is sent again.
+/// Send a message to one peer. It may be lost; everything that matters is sent
+/// again.
 struct SendMessage {
   std::string peer_address;
   Message message;
-  /// Answers the message just taken, to its sender: a driver may send it back
-  /// the way that one came.
+  /// The message answers the one just received and goes to its sender, so a
+  /// driver may send it on the same connection.
   bool reply = false;
 };
-/// Read the published rules. A watch waits until the version is above `known`.
+/// Read the published rules. A watch waits until the version is above
+/// `known_version`.
 struct ReadRulesDocument {
   std::uint64_t known_version = 0;
   bool watch = false;
@@ -54,38 +57,40 @@
 struct ReadReport {
   EndpointHandle endpoint;
 };
-/// A version came into force.
+/// A version of the rules came into force.
 struct RulesInForce {
   rules::RulesPtr rules;
 };
-/// A published or offered document was refused; the version in force stays.
+/// A document from the platform or a peer was refused; the version in force
+/// stays.
 struct RulesRefused {
   std::uint64_t version = 0;
   std::string why;
 };
-/// This node may have another number of calls in flight at an endpoint.
+/// The number of slots that this node may use at an endpoint changed.
 struct SlotsChanged {
   EndpointHandle endpoint;
-  std::uint32_t slots = 0;  ///< Of this node.
+  std::uint32_t slots = 0;  ///< Slots of this node.
   policy::SlotReason reason = policy::SlotReason::kUnchanged;
 };
-/// An endpoint began or ceased to take new work.
+/// An endpoint became available or unavailable for new work.
 struct AvailableChanged {
   EndpointHandle endpoint;
   bool available = false;
 };
-/// A report that reached this node, directly or from the keeper.
+/// A report reached this node, directly or from the keeper.
 struct ReportSeen {
   EndpointHandle endpoint;
   policy::EngineReport report;
 };
-/// A body gets no endpoint until `left` from now.
+/// A request body with this fingerprint must not be sent to any endpoint for
+/// the duration `left`.
 struct QuarantineAdded {
   std::uint64_t fingerprint = 0;
   std::chrono::milliseconds left{};
 };
 
-/// An order to an engine. `fencing` rises with the rules' version.
+/// Send an order to an engine. `fencing` increases with the rules' version.
 struct OrderEngine {
   EndpointHandle endpoint;
   OrderKind kind = OrderKind::kLoad;
@@ -93,21 +98,21 @@
   std::uint64_t fencing = 0;
 };
 
-/// What the driver of a fleet does for it; see each.
+/// An action that the driver of the state machine carries out.
 using Action =
     std::variant<SendMessage, ReadRulesDocument, ReadVmList, ReadReport,
                  RulesInForce, RulesRefused, SlotsChanged, AvailableChanged,
                  ReportSeen, QuarantineAdded, OrderEngine>;
-/// In the order in which they are to be carried out.
+/// Actions in the order in which they must be carried out.
 using Actions = std::vector<Action>;
 
-/// One VM of the platform's list, which lags behind reality.
+/// One VM of the platform's list, which may be out of date.
 struct VmEntry {
-  std::string name;  ///< A node's or an endpoint's.
+  std::string name;  ///< Name of a node or an endpoint.
   bool leaving = false;
 };
 
-/// Numbers for `/status`.
+/// Figures for `/status`.
 struct FleetView {
   std::uint64_t rules_version = 0;
   std::uint64_t rules_digest = 0;
@@ -115,67 +120,79 @@
   std::uint64_t refused_version = 0;
   std::string refused_why;
   std::vector<Member> members;
-  std::uint32_t keeper_of = 0;  ///< Endpoints.
+  std::uint32_t keeper_of = 0;  ///< Number of endpoints that this node keeps.
 };
 
 struct FleetState;
-/// Lets `FleetPtr` own a type that only the sources know.
+/// Deleter that lets `FleetPtr` own an incomplete type.
 struct FleetDelete {
   void operator()(FleetState* state) const;
 };
-/// Owns the state of one node's part in the fleet.
+/// Owns one node's state of the fleet.
 using FleetPtr = std::unique_ptr<FleetState, FleetDelete>;
 
-/// Starts a node without rules in force: it asks its seeds and the platform.
+/// Creates the state of a node that has no rules in force. The node asks its
+/// seeds and the platform for them.
 FleetPtr StartFleet(const FleetOptions& options, Time now, Actions& out);
 
-/// Call at `kFleetTick` or more often; drives every period and lapse.
+/// Handles everything that is due by time. Call it at least every `kFleetTick`.
 void OnTick(FleetState& state, Time now, Actions& out);
-/// Takes a message of a peer. One from a process that was replaced is ignored.
+/// Handles a message from a peer. Gossip and slot requests from a process that
+/// was replaced are ignored.
 void OnMessage(FleetState& state, const Sender& from, const Message& message,
                Time now, Actions& out);
-/// The platform's answer to `ReadRulesDocument`. Null text: it could not be
-/// read. Empty text: nothing above `known_version` (a watch ended with 304).
+/// Handles the platform's answer to `ReadRulesDocument`. Null: the document
+/// could not be read. Empty text: there is no version above `known_version` (a
+/// watch ended with 304).
 void OnRulesDocument(FleetState& state, const std::string* text, Time now,
                      Actions& out);
-/// The platform's answer to `ReadVmList`. Null: it could not be read.
+/// Handles the platform's answer to `ReadVmList`. Null: the list could not be
+/// read.
 void OnVmList(FleetState& state, const std::vector<VmEntry>* vms, Time now,
               Actions& out);
-/// An endpoint's answer to `ReadReport`. Null: it could not be read.
+/// Handles an endpoint's answer to `ReadReport`. Null: the report could not be
+/// read.
 void OnReport(FleetState& state, EndpointHandle endpoint,
               const policy::EngineReport* report, Time now, Actions& out);
-/// What this node saw of answers and of its load at an endpoint. Call it for
-/// each endpoint with work right before `OnTick`: the asks that go out there
-/// must not leave out a call that has begun.
+/// Records this node's evidence and demand at an endpoint. Call it for each
+/// endpoint with work right before `OnTick`: the slot requests sent there must
+/// include every call that has begun.
 void OnEvidence(FleetState& state, EndpointHandle endpoint,
                 const policy::SlotEvidence& evidence, const SlotDemand& demand,
                 Time now);
-/// An endpoint died while bodies with these fingerprints ran on it.
+/// Handles the death of an endpoint on which request bodies with these
+/// fingerprints were running.
 void OnEndpointDied(FleetState& state, EndpointHandle endpoint,
                     const std::vector<std::uint64_t>& running, Time now,
                     Actions& out);
-/// A body with this fingerprint got its answer: it is no longer a suspect.
+/// Clears the suspicion against a body that was answered.
 void ClearSuspect(FleetState& state, std::uint64_t fingerprint);
-/// True when an endpoint died under this body; see policy/poison.h.
+/// Returns true if an endpoint died while running this body; see
+/// policy/poison.h.
 bool IsSuspect(const FleetState& state, std::uint64_t fingerprint, Time now);
-/// Begins a graceful leave: peers are told, keeper duties end.
+/// Begins a graceful leave: tells the peers and stops keeping endpoints.
 void Leave(FleetState& state, Time now, Actions& out);
 
-/// The rules in force; null before the first version.
+/// Returns the rules in force; null before the first version.
 rules::RulesPtr RulesOf(const FleetState& state);
-/// False when `OnTick` has not run for `kFreshFor`: the process was paused, and
-/// what it knows of zones out and leaving endpoints may be old. Then nothing is
-/// sent until a tick and an exchange with a peer or the platform have passed.
+/// Returns false if `OnTick` has not run for `kFreshFor`: the process was
+/// paused, and its knowledge of unavailable zones and leaving endpoints may be
+/// outdated. It stays false until a tick and an exchange with a peer or the
+/// platform have passed. Nothing may be sent meanwhile. It is also false if the
+/// process was replaced, or has heard from neither peers nor the platform
+/// recently.
 bool KnowledgeIsFresh(const FleetState& state, Time now);
-/// Counts and copies; not for every call.
+/// Returns a snapshot for `/status`. It copies all members, so don't call it
+/// for each request.
 FleetView ViewOf(const FleetState& state, Time now);
 
-/// Nodes a caller may use, best first, own zone of `zone` first; leaving and
-/// gone ones are left out. Source of `GET /where`.
+/// Returns at most `most` nodes that a caller may use, best first: live ones
+/// before suspects, and nodes of `zone` before others. Leaving and gone nodes
+/// are omitted. Source of `GET /where`.
 std::vector<Member> Where(const FleetState& state, std::string_view zone,
                           std::size_t most, Time now);
 
-/// Longest pause between two calls of `OnTick`.
+/// Maximum interval between two calls of `OnTick`.
 inline constexpr std::chrono::milliseconds kFleetTick{50};
 
 }  // namespace egretladder::fleet
--- a/fleet/include/egretladder/fleet/lane.h
+++ b/fleet/include/egretladder/fleet/lane.h
@@ -1,7 +1,8 @@
-// At most once for calls that may not be repeated, without a store.
+// At-most-once execution of calls that are not repeatable, without a store.
 //
-// A lane names one incarnation of one node; only it may run the lane's calls.
-// docs/design/lanes.md argues why no two nodes can run one key.
+// A lane is a signed token that names one incarnation of one node; only that
+// process may run the calls with the lane. docs/design/lanes.md shows why no
+// two nodes can run the same key.
 #pragma once
 
 #include <chrono>
@@ -19,114 +20,121 @@
 
 using kernel::Time;
 
-/// A lane as it travels in the `Egretladder-Lane` header.
+/// A lane as sent in the `Egretladder-Lane` header.
 struct Lane {
   std::string node;
   std::uint64_t incarnation = 0;
   std::uint64_t number = 0;
-  std::chrono::milliseconds expires{};  ///< On the owner's clock, since start.
-  std::string signature;                ///< By the owner; only it can check it.
+  /// Time since the owner's start, on its clock.
+  std::chrono::milliseconds expires{};
+  /// Signature by the owner, which alone can verify it.
+  std::string signature;
 };
 
-/// The header's text; `DecodeLane` reads it back.
+/// Returns the header's text; `DecodeLane` is its inverse.
 std::string Encode(const Lane& lane);
-/// Fails with `kInvalidInput` on anything that `Encode` does not make.
+/// Parses the header's text. Fails with `kInvalidInput` on anything that
+/// `Encode` doesn't produce.
 kernel::Result<Lane> DecodeLane(std::string_view text);
 
-/// The complete answer of a call, kept until its lane expires.
+/// The complete answer of a call, kept until its lane has expired.
 struct StoredAnswer {
   int status = 0;
   std::string content_type;
   std::string body;
 };
 
-/// Numbers one waiting caller of a key.
+/// Identifies one waiting caller of a key.
 using WaiterId = std::uint64_t;
 
-/// What the owner does with a call.
-struct RunCall {};     ///< Recorded; run it now.
-struct JoinCall {};    ///< It runs already; this caller gets its answer.
-struct RepeatAnswer {  ///< It ran; here is its answer.
+/// The alternatives of `LaneDecision`.
+struct RunCall {};   ///< The call was recorded and must be run now.
+struct JoinCall {};  ///< The call is in progress; this caller gets its answer.
+struct RepeatAnswer {  ///< The call has run; this is its answer.
   std::shared_ptr<const StoredAnswer> answer;
 };
-struct OutcomeUnknown {};  ///< It was sent and its answer was lost.
+struct OutcomeUnknown {};  ///< The call was sent and its answer was lost.
 /// Why a call with a lane is refused.
 enum class LaneRefusal : std::uint8_t {
-  kExpired,    ///< Never recorded after expiry: "unknown", not "not run".
+  kExpired,    ///< The lane has expired; whether the call ran is unknown.
   kForged,     ///< The signature is not the owner's.
-  kKeyBurned,  ///< It was said to be "not run"; it never will.
-  kOtherBody,  ///< The key came before with another body.
-  kTableFull,  ///< Not recorded, so not run.
+  kKeyBurned,  ///< A caller was told "not run"; the key never runs.
+  kOtherBody,  ///< The key was used before with another body.
+  kTableFull,  ///< The table is full. The call was not recorded and not run.
 };
-/// It is not run by this call.
+/// The call is refused and not run by this request.
 struct RefuseCall {
   LaneRefusal why = LaneRefusal::kExpired;
-  bool not_run = false;  ///< True only when that is certain.
+  /// True only if the key certainly has not run and never will.
+  bool not_run = false;
 };
-/// The owner's word on one call of a key.
+/// The owner's decision on one call of a key.
 using LaneDecision =
     std::variant<RunCall, JoinCall, RepeatAnswer, OutcomeUnknown, RefuseCall>;
 
-/// The reason as logs and error answers show it.
+/// Returns the reason as logs and error answers show it.
 const char* NameOf(LaneRefusal why);
 
 struct LanesState;
-/// Lets `LanesPtr` own a type that only the sources know.
+/// Deleter that lets `LanesPtr` own an incomplete type.
 struct LanesDelete {
   void operator()(LanesState* state) const;
 };
-/// Owns the lanes of one incarnation and the keys they hold.
+/// Owns the lanes of one incarnation and the keys recorded for them.
 using LanesPtr = std::unique_ptr<LanesState, LanesDelete>;
 
-/// `secret` signs this incarnation's lanes.
+/// Creates the state of one incarnation, whose lanes are signed with `secret`.
 LanesPtr StartLanes(std::string node, std::uint64_t incarnation,
                     std::string secret, Time now);
 
-/// A new signed lane, for callers of `GET /where`.
+/// Returns a new signed lane for a caller of `GET /where`.
 Lane IssueLane(LanesState& state, Time now);
 
-/// True when `lane` is this incarnation's own.
+/// Returns true if this incarnation issued `lane`.
 bool OwnsLane(const LanesState& state, const Lane& lane);
 
-/// Records the key, or says what became of it. Only for an own lane.
+/// Records the key of a call, or returns what became of an earlier call with
+/// the same key. A lane of another owner is refused as forged.
 LaneDecision BeginCall(LanesState& state, const Lane& lane,
                        const std::string& key, std::uint64_t body_hash,
                        WaiterId waiter, Time now);
 
-/// Asked right before the first byte goes out, after any pause: false when the
-/// lane has expired or the key is burned meanwhile; then it must not be sent.
-/// True at most once, unless `MarkUnsent` came between.
+/// Returns true if the call may be sent, and marks it as sent. Call it right
+/// before the first byte is sent, after any pause. Returns false if the lane
+/// has expired or the key was refused meanwhile. Returns true at most once,
+/// unless `MarkUnsent` was called in between.
 bool MaySend(LanesState& state, const Lane& lane, const std::string& key,
              Time now);
-/// The attempt that `MaySend` let go certainly did not run (refused connection,
-/// refused unrun by the endpoint): another attempt may be sent. False when the
-/// key is not in progress.
+/// Records that the attempt admitted by `MaySend` certainly did not run,
+/// because the connection was refused or the endpoint rejected it before
+/// running it. Another attempt may then be sent. Returns false if the key is
+/// not in progress.
 bool MarkUnsent(LanesState& state, const Lane& lane, const std::string& key);
 
-/// The call ended with an answer; returns the waiters that get it.
+/// Records the answer of a call and returns the waiters that get it.
 std::vector<WaiterId> FinishCall(LanesState& state, const Lane& lane,
                                  const std::string& key, StoredAnswer answer,
                                  Time now);
-/// The call was sent and its answer is lost; returns the waiters.
+/// Records that the call was sent and its answer was lost; returns the waiters.
 std::vector<WaiterId> LoseCall(LanesState& state, const Lane& lane,
                                const std::string& key, Time now);
-/// The call was certainly never sent and never will be; returns the waiters,
-/// which may be told "not run".
+/// Records that the call was never sent and never will be. Returns the waiters,
+/// which may be told that it was not run.
 std::vector<WaiterId> BurnCall(LanesState& state, const Lane& lane,
                                const std::string& key, Time now);
 
-/// Forgets keys of expired lanes. Call at `kLaneSweep`.
+/// Removes the keys of expired lanes. Call it at least every `kLaneSweep`.
 void SweepLanes(LanesState& state, Time now);
 
-/// Keys held and bytes they take.
+/// Number of keys in the table and the bytes that they take.
 struct LanesView {
   std::size_t keys = 0;
   std::size_t bytes = 0;
 };
-/// What the keys take now.
+/// Returns the current size of the key table.
 LanesView ViewOf(const LanesState& state);
 
-/// Longest pause between two calls of `SweepLanes`.
+/// Maximum interval between two calls of `SweepLanes`.
 inline constexpr std::chrono::milliseconds kLaneSweep{1000};
 
 }  // namespace egretladder::fleet
--- a/fleet/include/egretladder/fleet/lease.h
+++ b/fleet/include/egretladder/fleet/lease.h
@@ -1,10 +1,9 @@
-// Slots of an endpoint shared out among nodes: what the keeper grants and what
-// a holder may use. docs/design/slots.md argues why the sum stays within what
-// the endpoint bears.
+// Slot leases of an endpoint: what its keeper grants and what a holder may use.
+// docs/design/slots.md shows why the sum stays within the endpoint's capacity.
 //
-// Load: a zone starts cold under full load. Without leases each of N nodes
-// learns its own limit, and together they start N times the work on an endpoint
-// that bears two requests.
+// The critical case is a zone that starts cold under full load. Without leases
+// each of N nodes learns its own limit, and together they start N times the
+// work on an endpoint that can take two requests.
 #pragma once
 
 #include <cstdint>
@@ -23,125 +22,147 @@
 
 using kernel::Time;
 
-/// Slots granted in answer to one ask.
+/// Slots granted in answer to one request for slots (ask).
 struct Grant {
   std::uint64_t ask_number = 0;
   std::uint32_t slots = 0;
 };
 
-/// A process that asked for slots. A restarted one is another holder: what its
-/// predecessor was granted stays out until it lapses.
+/// A process that requested slots. A restarted process is another holder: the
+/// slots granted to its predecessor stay in use until the lease lapses.
 struct Holder {
   Sender process;
   std::uint64_t ask_number = 0;
   std::uint32_t wanted = 0;
-  std::uint32_t urgent = 0;  ///< Of `wanted`: for work of the top tier.
-  /// Calls that it last said to run. They go on when its lease lapses: a long
-  /// answer takes longer than any lease.
+  /// The part of `wanted` that is for work of the top tier.
+  std::uint32_t urgent = 0;
+  /// Calls in flight by the holder's last request. They continue when its lease
+  /// lapses, since a long answer takes longer than any lease.
   std::uint32_t in_flight = 0;
   Time asked{};
-  bool claimed = false;  ///< Said what an earlier keeper's total was.
-  bool known = false;    ///< Its calls are no strangers' any more.
-  /// Any of them may be the one in use, until an ask shows otherwise. Time
-  /// alone ends none: a call begun in a lease's last moment runs on after it.
+  /// The holder has reported the total of an earlier keeper.
+  bool claimed = false;
+  bool known = false;  ///< The holder's calls are no longer among
+                       ///< `KeeperBook::unattributed_calls`.
+  /// Grants of which any may be the one in use, until a later request shows
+  /// otherwise. A grant isn't removed when its time is over, because a call
+  /// that began in the last moment of a lease continues after it.
   std::vector<Grant> grants;
-  bool replaced = false;  ///< A newer process of the node has asked.
+  /// A newer process of the same node has requested slots.
+  bool replaced = false;
 };
 
-/// What the keeper of one endpoint keeps.
+/// State that the keeper of one endpoint holds.
 struct KeeperBook {
   policy::SlotState slots;
-  std::uint32_t floor_sum = 0;  ///< Of all nodes; never leased.
+  /// Slots without a lease, of all nodes. They are never leased.
+  std::uint32_t floor_sum = 0;
   std::vector<Holder> holders;
-  std::uint32_t claimed = 0;  ///< Total of an earlier keeper, by the holders.
+  /// The total of an earlier keeper as reported by the holders.
+  std::uint32_t claimed = 0;
   Time opened{};
   Time resumed{};
-  /// Calls of nodes that this keeper has not heard since it began: at first all
-  /// that run, by the first report; each node's first ask takes its own off.
+  /// Calls of nodes from which this keeper has not heard since it began. It
+  /// starts as the number of calls that the first report shows; the first
+  /// request of each node subtracts that node's calls.
   std::uint32_t unattributed_calls = 0;
   Time take_over_until{};
   std::optional<policy::EngineReport> report;
-  bool ready = false;  ///< Strangers are counted; slots may be granted.
+  /// The unattributed calls are known, so slots may be granted.
+  bool ready = false;
   Time report_at{};
-  Time sign_of_life{};  ///< Last report or answer in time.
+  Time sign_of_life{};  ///< Time of the last report or timely answer.
   Time next_report{};
 };
 
-/// Starts the book of an endpoint: as cold, whatever it was.
+/// Initializes the keeper's state of an endpoint, which counts as cold whatever
+/// its state was.
 void OpenBook(KeeperBook& book, const rules::Endpoint& endpoint, Time now);
-/// Goes on with a book after a break in which nobody else kept the endpoint.
-/// One without reports may have restarted unseen: it counts as cold.
+/// Resumes keeping after a break in which no other node kept the endpoint. An
+/// endpoint without reports may have restarted unnoticed, so it counts as cold
+/// after a break longer than `kReportTimeout`.
 void ResumeBook(KeeperBook& book, const rules::Endpoint& endpoint, Time stopped,
                 Time now);
-/// A round of asks has passed on an endpoint without reports: each of the
-/// `silent` nodes may have a call there.
+/// Called when a round of requests has passed on an endpoint without reports:
+/// assumes that each of the `silent` nodes has one call there.
 void AssumeUnattributedCalls(KeeperBook& book, std::uint32_t silent);
 
-/// Takes over what a new version says the endpoint bears.
+/// Applies the endpoint's capacity from a new version of the rules.
 void UpdateCapacity(KeeperBook& book, const rules::Endpoint& endpoint,
                     Time now);
 
-/// What may be leased now.
+/// Returns the number of slots that may be leased in all.
 std::uint32_t PoolOf(const KeeperBook& book);
-/// Most that holders may be using now, beside their floors: what they were
-/// granted or, if more, what they said to run.
+/// Returns the maximum number of slots that holders may be using now beyond
+/// their lease-free ones: for each holder, its largest grant or, if greater,
+/// its calls in flight.
 std::uint32_t GrantedSum(const KeeperBook& book);
 
-/// Takes an ask into account: its evidence, what it wants, what it held.
-/// Returns why the endpoint's slots changed, if they did.
+/// Applies a request for slots: its evidence, the demand, and the grants that
+/// it ends. Returns why the endpoint's slots changed, if they did.
 policy::SlotReason TakeAsk(KeeperBook& book, const Sender& from,
                            std::uint64_t number, const SlotAsk& ask, Time now);
 
-/// Grants `from` its part of the pool, never more than is left beside what the
-/// others may still use. O(holders log holders).
+/// Grants `from` its share of the leasable slots, never more than remain beside
+/// what the others may still use. Returns the number of slots granted.
+/// O(holders log holders).
 std::uint32_t GrantSlots(KeeperBook& book, const Sender& from, Time now);
 
-/// A report of the endpoint, or none. Returns why its slots changed.
+/// Applies a report of the endpoint; null if it could not be read. Returns why
+/// the endpoint's slots changed, if they did.
 policy::SlotReason TakeReport(KeeperBook& book,
                               const policy::EngineReport* report, Time now);
 
-/// A holder that may use more than its part, and what it is told to keep.
+/// A holder that may use more than its share, and the grant that it keeps.
 struct LeaseReduction {
   Sender process;
   Grant keep;
 };
-/// Holders whose grants exceed their part by now, for instance because the
-/// endpoint turned cold: they are told at once, before their leases lapse.
+/// Returns the holders whose grants exceed their share, for instance because
+/// the endpoint turned cold. They are told at once, before their leases lapse.
 std::vector<LeaseReduction> FindOverallocatedHolders(KeeperBook& book,
                                                      Time now);
 
-/// What a holder knows of its own slots at one endpoint.
+/// State of a holder's own slots at one endpoint.
 struct HeldSlots {
-  std::uint32_t floor = 0;   ///< Needs no lease.
-  std::uint32_t leased = 0;  ///< Until `until`.
+  std::uint32_t floor = 0;   ///< Slots that need no lease.
+  std::uint32_t leased = 0;  ///< Slots leased until `until`.
   Time until{};
-  std::uint64_t ask_number = 0;  ///< That the lease answers.
+  /// Number of the request that the lease answers.
+  std::uint64_t ask_number = 0;
   Time last_lease{};
-  std::uint32_t total = 0;  ///< Of all nodes, by that lease.
-  std::uint64_t boot = 0;   ///< Of the endpoint, as the keeper last reported.
-  Time dropped{};           ///< Leases asked for before don't count.
+  /// Slots of the endpoint over all nodes, according to that lease.
+  std::uint32_t total = 0;
+  /// Boot of the endpoint that the keeper last reported.
+  std::uint64_t boot = 0;
+  Time dropped{};  ///< Leases requested before this time are ignored.
   SlotDemand demand;
-  bool down = false;  ///< Died or refused since the last ask.
+  bool down = false;  ///< The endpoint died or refused connections since the
+                      ///< last request.
   policy::SlotEvidence evidence;
   Time last_ask{};
-  bool had_enough_slots = true;  ///< Had all it wanted when it asked last.
-  std::string keeper;            ///< That granted the lease.
-  std::uint32_t next_voter = 0;  ///< Of nodes asked while none answers.
+  /// The last request was sent while there were enough slots.
+  bool had_enough_slots = true;
+  std::string keeper;  ///< Node that granted the lease.
+  /// Counter that selects the next voter to ask while none answers.
+  std::uint32_t next_voter = 0;
 };
 
-/// Slots this node may fill now.
+/// Returns the number of slots that this node may use now.
 std::uint32_t UsableSlots(const HeldSlots& held, Time now);
 
-/// Takes a lease that answers the ask sent at `asked`; the time it has runs
-/// from there. Answers to earlier asks than the last one are ignored; of two
-/// answers to one ask the smaller counts. Returns true when it counted.
+/// Applies a lease that answers the request sent at `asked`; its duration
+/// counts from that time. Answers to requests before the last answered one are
+/// ignored; of two answers to the same request the smaller counts. Returns true
+/// if the lease was applied.
 bool TakeLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now);
 
-/// The endpoint restarted under this node's work: nothing of the lease may be
-/// used any more, nor of one that is under way.
+/// Drops the lease because the endpoint restarted while this node used it.
+/// Answers that are still under way are ignored as well.
 void DropLease(HeldSlots& held, Time now);
 
-/// True when it is time to ask: after `every`, sooner when work begins to wait.
+/// Returns true if a request for slots is due: after `every`, or sooner if work
+/// has begun to wait.
 bool AskIsDue(const HeldSlots& held, std::chrono::milliseconds every, Time now);
 
 }  // namespace egretladder::fleet
--- a/fleet/include/egretladder/fleet/limits.h
+++ b/fleet/include/egretladder/fleet/limits.h
@@ -1,5 +1,6 @@
-// Periods and bounds of what nodes share, each with its reason. The relations
-// between them that safety rests on are checked at the end.
+// Intervals, timeouts and size limits of the state that nodes share, each with
+// its reason. The static assertion below checks the relation between them that
+// safety depends on.
 #pragma once
 
 #include <chrono>
@@ -8,153 +9,180 @@
 
 namespace egretladder::fleet {
 
-/// How long a caller may use a lane after `/where` gave it. Long enough for the
-/// retries of a call that timed out; the table of keys grows with it.
+/// How long a caller may use a lane after `/where` issued it. Long enough for
+/// the retries of a call that timed out; the key table grows in proportion.
 inline constexpr std::chrono::minutes kLaneLife{10};
-/// How long an ended call stays in the table past its lane's expiry, so that
-/// a call which began just before the expiry can still be asked for.
+/// How long an ended call stays in the table after its lane has expired, so
+/// that the outcome of a call which began just before the expiry can still be
+/// queried.
 inline constexpr std::chrono::seconds kAnswerLinger{60};
-/// Keys in the table. 12,000 requests a second over 390 nodes, a tenth of them
-/// not repeatable, make about 2,000 in a lane's life; this leaves room for a
-/// burst on one node of fifty times that.
+/// Maximum number of keys in the table. 12,000 requests a second over 390
+/// nodes, a tenth of them not repeatable, make about 2,000 within a lane's
+/// lifetime; the limit leaves room for a burst of fifty times that on one node.
 inline constexpr std::size_t kMaxLaneKeys = 100'000;
-/// Bytes of stored answers and keys, a quarter of a node's 256 MB.
+/// Maximum size of the stored answers and keys in bytes: a quarter of a node's
+/// 256 MB.
 inline constexpr std::size_t kLaneBytesMost = std::size_t{64} << 20U;
-/// Counted for a call in progress until its answer is known, so that answers
-/// which arrive together still fit.
+/// Bytes reserved for a call in progress until its answer is known, so that
+/// answers which arrive at the same time still fit.
 inline constexpr std::size_t kReservedAnswerBytes = std::size_t{64} << 10U;
-/// Callers that wait for one key. More than a few means a caller gone wild.
+/// Maximum number of callers that wait for one key. More than a few indicates a
+/// misbehaving caller.
 inline constexpr std::size_t kMaxWaitersPerKey = 64;
-/// Longest node name in a lane and longest lane in a header.
+/// Maximum size in bytes of an encoded lane in a header, including the node
+/// name.
 inline constexpr std::size_t kMaxLaneTextBytes = 512;
 
-/// A process whose ticks stood still for longer was paused: it may hold leases
-/// that lapsed and zones that are out. Ticks come every 50 ms; a loop that is
-/// late by eight of them has something else to mend.
+/// A gap between ticks above this means that the process was paused: it may
+/// hold leases that have lapsed and not know of zones that went out. Ticks come
+/// every 50 ms, so a delay of eight ticks is no longer ordinary load.
 inline constexpr std::chrono::milliseconds kFreshFor{400};
 
-/// Without a word from any peer or the platform for longer, a node sends no new
-/// work: a zone may be out since. Below the 3 s allowed, above four pings.
+/// A node that has heard from neither a peer nor the platform for this long
+/// sends no new work, because a zone may have gone out since. Below the 3 s
+/// that are allowed and above four ping intervals.
 inline constexpr std::chrono::milliseconds kIsolationTimeout{2500};
 
-/// Between two pings to the same peer. Two fit into a mandate, so that one lost
-/// message changes nothing.
+/// Interval between two pings to the same peer. Two pings fit into the lifetime
+/// of a peer's support, so that one lost message changes nothing.
 inline constexpr std::chrono::milliseconds kPingInterval{600};
-/// A peer that answered so lately knows this process: pings to it leave out who
-/// they come from, five sixths of their size.
+/// A peer that answered within this time knows this process. Pings to it omit
+/// the member list, which is five sixths of their size.
 inline constexpr std::chrono::milliseconds kRecentContactTime{1200};
-/// A peer unheard for so long is left out of `/where`.
+/// A peer that was not heard for this long is omitted from `/where`.
 inline constexpr std::chrono::milliseconds kSuspectAfter{2000};
-/// How long an answered ping counts as support for a keeper, from its sending.
+/// How long an answered ping counts as support for a keeper, measured from when
+/// the ping was sent.
 inline constexpr std::chrono::milliseconds kMandate{1500};
-/// Longest lease of slots, from the asking. Shorter ones cost more messages,
-/// longer ones keep a dead node's slots away from the others.
+/// Maximum duration of a slot lease, measured from when it was requested.
+/// Shorter leases cost more messages; longer ones keep a dead node's slots from
+/// the others.
 inline constexpr std::chrono::milliseconds kLeaseLife{2500};
-/// A peer unheard for so long counts as gone in votes. Above a mandate and a
-/// lease, so that nobody is voted out whose leases still run; the rest allows
-/// for clocks that differ by a fifth.
+/// A peer that was not heard for this long counts as gone in votes. The value
+/// exceeds the lifetime of support plus a lease, so that no node is voted out
+/// while its leases are valid; the rest allows for clocks whose rates differ by
+/// a fifth.
 inline constexpr std::chrono::milliseconds kGoneTimeout{5000};
 static_assert(kGoneTimeout * 4 >= (kMandate + kLeaseLife) * 5,
               "two keepers could lease at once");
-/// A report at most so much older than a keeper's beginning shows all calls
-/// that its predecessor's leases let in: they had lapsed by then.
+/// A report may be older than the start of a keeper by up to this much and
+/// still show all calls that its predecessor's leases admitted: the leases had
+/// lapsed by then.
 inline constexpr std::chrono::milliseconds kMaxInitialReportLead{
     kGoneTimeout - kMandate - kLeaseLife};
-/// How long a supporter must have answered without a break before it counts:
-/// what a former keeper leased by its vote has lapsed then.
+/// How long a voter must have answered without a break before its support
+/// counts: by then, everything that a former keeper leased with its vote has
+/// lapsed.
 inline constexpr std::chrono::milliseconds kSupportWait{kMandate + kLeaseLife};
-/// A keeper that said it leaves leased nothing since; after a lease and some
-/// more it counts as gone.
+/// A keeper that announced its leave has granted no leases since then. It
+/// counts as gone after a lease duration and a margin of a quarter.
 inline constexpr std::chrono::milliseconds kLeaveTimeout{kLeaseLife +
                                                          kLeaseLife / 4};
 
-/// Nodes that vote on the keeper of an endpoint: all of today's fleets, and a
-/// fixed few of a large one, so that pings don't grow with its size.
+/// Maximum number of nodes that vote on the keeper of an endpoint. A small
+/// fleet votes as a whole; in a large one the fixed number keeps pings from
+/// growing with its size.
 inline constexpr std::size_t kMaxVoters = 7;
-/// Peers drawn at random in each round, besides the voters.
+/// Peers chosen at random in each round, in addition to the voters.
 inline constexpr std::size_t kRandomPeersPerRound = 1;
-/// Members in one message. These four bound its size.
+/// Maximum number of members in one message. This limit and the next three
+/// bound its size.
 inline constexpr std::size_t kMembersTold = 3;
-/// Nodes named as gone in one message.
+/// Maximum number of nodes listed as gone in one message.
 inline constexpr std::size_t kMaxGoneNodesPerMessage = 64;
-/// Blamed bodies in one message.
+/// Maximum number of quarantined request bodies in one message.
 inline constexpr std::size_t kMaxQuarantineNoticesPerMessage = 16;
-/// Leaving VMs in one message.
+/// Maximum number of leaving VMs in one message.
 inline constexpr std::size_t kMaxLeavingVmsPerMessage = 32;
-/// A VM notice is forgotten so long after the list was read that showed it.
+/// How long a notice about a leaving VM is kept, measured from when the VM list
+/// that contained it was read.
 inline constexpr std::chrono::seconds kVmNoticeLifetime{10};
-/// Peers told at once of a new version or a new blame; doubles in each hop.
+/// Number of peers that are told at once of a new rules version or a new
+/// quarantine. Each of them forwards it, so the number of informed nodes
+/// multiplies with each hop.
 inline constexpr std::size_t kUrgentGossipFanout = 6;
 
-/// Nodes of each zone that watch the platform: all of today's fleets, so that
-/// one which reads is enough, and 20 of 390 nodes.
+/// Number of nodes in each zone that watch the platform: every node of a small
+/// fleet, so that one successful reader is enough, and 20 of 390 nodes.
 inline constexpr std::size_t kReadersPerZone = 4;
-/// Between two reads of the VM list by a reader.
+/// Interval between two reads of the VM list by a reader.
 inline constexpr std::chrono::milliseconds kVmListInterval{1000};
-/// Between two reads by any other node, drawn from half to one and a half:
-/// 370 nodes make 12 calls a second of it.
+/// Mean interval between two reads by a node that is not a reader; the actual
+/// one is drawn between half and one and a half of it. 370 nodes make 12 calls
+/// a second.
 inline constexpr std::chrono::seconds kRareReadInterval{60};
-/// First wait after a failed read; doubles.
+/// Initial backoff after a failed read; it doubles with each further failure.
 inline constexpr std::chrono::milliseconds kInitialReadBackoff{500};
-/// Longest such wait.
+/// Maximum backoff after failed reads.
 inline constexpr std::chrono::milliseconds kMaxReadBackoff{10'000};
-/// A watch that was not answered for so long is given up.
+/// A read or watch that was not answered within this time is abandoned.
 inline constexpr std::chrono::seconds kReadTimeout{60};
-/// How long a starting node waits for a peer's word before it trusts the
-/// platform, whose data may be old.
+/// How long a starting node waits to hear from a peer before it accepts a
+/// document from the platform, whose data may be outdated.
 inline constexpr std::chrono::milliseconds kStartupPeerTimeout{1000};
-/// Between two asks for a version that peers have and this node lacks.
+/// Minimum interval between two requests for a rules version that peers have
+/// and this node lacks.
 inline constexpr std::chrono::milliseconds kRulesAskInterval{300};
 
-/// Between two asks for slots: with few endpoints, so that a cold one grows
-/// fast; with more than `kFewEndpoints`, where asks and leases are most of the
-/// control's bytes; and the least between asks that hurry because work waits.
+/// Interval between two slot requests to a keeper with few endpoints. It is
+/// short so that the limit of a cold endpoint grows fast.
 inline constexpr std::chrono::milliseconds kSlotAskInterval{600};
-/// The same with more endpoints than `kFewEndpoints`.
+/// Interval between two slot requests with more than `kMaxFastAskEndpoints`
+/// endpoints, where requests and leases are most of the control traffic.
 inline constexpr std::chrono::milliseconds kManyEndpointsAskInterval{1200};
-/// Endpoints up to which asks come at `kAskEvery`.
+/// Maximum number of endpoints at which slots are requested every
+/// `kSlotAskInterval`.
 inline constexpr std::size_t kMaxFastAskEndpoints = 20;
-/// The least between two asks.
+/// Minimum interval between slot requests that are sent early because work
+/// waits.
 inline constexpr std::chrono::milliseconds kMinSlotAskInterval{100};
-/// Calls of a silent holder still run at the endpoint, perhaps; forgotten after
-/// the longest ordinary answer.
+/// Calls of a silent holder may still run at the endpoint. They are counted for
+/// this long, which covers the longest ordinary answer.
 inline constexpr std::chrono::seconds kSilentCallRetention{60};
-/// A holder that has not asked for so long has no part in sharing out.
+/// A holder that has not requested slots for this long gets no share of them.
 inline constexpr std::chrono::milliseconds kHolderSilenceTimeout{2250};
-/// One in so many of the slots that an endpoint bears cold needs no lease. More
-/// would lie idle at their owners while others wait; none would leave nodes
-/// without a keeper nothing at any endpoint.
+/// One of this many slots of a cold endpoint needs no lease. A larger part
+/// would leave slots idle at their owners while other nodes wait; with none,
+/// nodes without a keeper could send nothing to any endpoint.
 inline constexpr std::uint32_t kFloorDivisor = 4;
-/// Without a lease for so long, others than the first in rank are asked too.
+/// A holder that has had no lease for this long also asks voters other than the
+/// first available one.
 inline constexpr std::chrono::milliseconds kKeeperAnswerTimeout{2000};
-/// Lots for slots that don't go round are drawn anew so often.
+/// Interval at which the order of holders is drawn anew when there are fewer
+/// slots than holders.
 inline constexpr std::chrono::seconds kLotteryInterval{4};
-/// Between two reports an endpoint is asked for by its keeper.
+/// Interval at which a keeper reads an endpoint's report.
 inline constexpr std::chrono::milliseconds kReportInterval{500};
-/// An endpoint whose reports fail for so long, and that answers nobody, counts
-/// as restarted.
+/// An endpoint whose reports have failed for this long, and from which no
+/// answers arrive, is treated as restarted.
 inline constexpr std::chrono::milliseconds kReportTimeout{1000};
-/// Up to so many endpoints a node uses all of them; of more, so many for each
-/// target.
+/// Up to this many endpoints, a node uses all of them. With more, it uses
+/// `kEndpointsPerTarget` for each target.
 inline constexpr std::size_t kMaxUnrestrictedEndpoints = 32;
-/// Endpoints for each target when there are more than `kEndpointsAll`.
+/// Number of endpoints used for each target when there are more than
+/// `kMaxUnrestrictedEndpoints`.
 inline constexpr std::size_t kEndpointsPerTarget = 2;
 
-/// Loads that the whole fleet asks of the weight store in a minute.
+/// Maximum number of model loads per minute that the whole fleet requests from
+/// the weight store.
 inline constexpr std::int64_t kMaxModelLoadsPerMinute = 30;
-/// How long a model stays before it may be unloaded again: a load takes minutes
-/// of an engine's time, and a placement that wavers would spend them all.
+/// Minimum time for which a model stays loaded: a load takes minutes of an
+/// engine's time, and a placement that oscillates would spend all of it on
+/// loads.
 inline constexpr std::chrono::minutes kMinModelResidency{5};
-/// An order that no report shows as done is given up and decided anew.
+/// An order that no report confirms within this time is abandoned and decided
+/// again.
 inline constexpr std::chrono::minutes kOrderTimeout{3};
-/// Quiet time before an engine that ignores fencing numbers gets an order:
-/// above the time in which a former keeper finds out that it is none.
+/// Time without changes before an engine that ignores fencing numbers gets an
+/// order: longer than a former keeper takes to notice that it no longer is the
+/// keeper.
 inline constexpr std::chrono::milliseconds kUnfencedWait{kGoneTimeout +
                                                          kMandate};
-/// A report older than that says nothing about what is loaded.
+/// Maximum age of a report for it to count as evidence of which models are
+/// loaded.
 inline constexpr std::chrono::milliseconds kMaxReportAge{3000};
-/// A process that was paused and hears nobody acts on what it knew after that,
-/// when the rules list no other node.
+/// A process that was paused and hears no peer trusts its knowledge again after
+/// this time if the rules list no other node.
 inline constexpr std::chrono::milliseconds kMaxWakeCheckTime{2000};
 
 }  // namespace egretladder::fleet
--- a/fleet/include/egretladder/fleet/membership.h
+++ b/fleet/include/egretladder/fleet/membership.h
@@ -1,9 +1,10 @@
-// Which peers are heard, in both directions, and what they vote.
+// Membership: which peers are reachable in both directions, and how they vote.
 //
-// Heartbeats travel by gossip; a peer is told apart from its predecessor by its
-// incarnation. Nobody is declared dead for others: each node judges by what it
-// heard itself, and says in its votes whom it counts as gone.
-// Source: SWIM with Lifeguard (a slow process blames itself first).
+// Heartbeats are spread by gossip; the incarnation distinguishes a process from
+// its predecessor. No node declares another dead on behalf of others: each
+// judges by what it heard itself and lists in its votes the nodes that it
+// counts as gone. Source: SWIM with Lifeguard (a slow process first suspects
+// itself).
 #pragma once
 
 #include <cstdint>
@@ -29,108 +30,118 @@
   Time sent{};
 };
 
-/// Answers of a peer to this node's own pings: proof that both directions work.
+/// A peer's answers to this node's own pings. They prove that messages pass in
+/// both directions.
 struct Contact {
   bool any = false;
-  Time sent{};          ///< When the last answered ping was sent.
-  Time since{};         ///< Start of the answers without a break.
-  Time digest_since{};  ///< Since when they carry this node's nodes digest.
+  Time sent{};   ///< Time when the last answered ping was sent.
+  Time since{};  ///< Start of the current period of answers without a break.
+  Time digest_since{};  ///< Time since which the answers contain this node's
+                        ///< `nodes_digest`.
 };
 
-/// Whom a peer counts as gone, as of the ping it answered.
+/// Nodes that a peer counts as gone, as of its last answer to a ping.
 struct Vote {
   std::uint64_t nodes_digest = 0;
   std::vector<std::string> gone;
 };
 
-/// What this node knows of one other node.
+/// One node's state of another node.
 struct Peer {
   Member member;
   bool published = false;
-  bool expected = false;  ///< Should ping this node, as it may keep an endpoint
-                          ///< that both vote on.
-  Time heard{};           ///< When its heartbeat last rose here, by any path.
-  Time direct{};          ///< When it spoke itself.
+  bool expected = false;  ///< The peer should ping this node because it may
+                          ///< keep an endpoint on which both vote.
+  Time heard{};   ///< Time when its heartbeat last increased here, by any path.
+  Time direct{};  ///< Time of the last message from the peer itself.
   Time leaving_since{};
   Contact contact;
   Vote vote;
   std::deque<PingSent> pings;
 };
 
-/// What one node knows of itself and of all others.
+/// One node's state of itself and all others.
 struct MembershipState {
   Member self;
   bool replaced = false;  ///< A newer process runs under this node's name.
   std::uint64_t nodes_digest = 0;
   std::map<std::string, Peer, std::less<>> peers;
-  std::uint64_t pings = 0;  ///< Number of the last one.
+  std::uint64_t pings = 0;  ///< Number of the last ping.
 };
 
-/// Takes over the published nodes: new ones get the benefit of the doubt.
+/// Applies the list of published nodes. A new node counts as heard now.
 void UpdatePublishedNodes(MembershipState& state, const rules::Rules& rules,
                           Time now);
 
-/// Marks the peers whose silence is worth a vote: of the voters of an endpoint,
-/// those up to the first that is there.
+/// Marks the peers whose silence is counted in votes: the voters of an endpoint
+/// up to the first one that is alive.
 void MarkExpectedKeepers(MembershipState& state,
                          const std::vector<std::string>& voters, Time now);
 
-/// Takes one relayed member into account. Returns true when it was news.
+/// Applies the gossip about one member. Returns false if it is about a process
+/// that was replaced, or there is no room for another unpublished peer.
 bool HearMember(MembershipState& state, const Member& told, bool direct,
                 Time now);
 
-/// Takes a peer's gossip: its members, its answer to a ping, its votes. False
-/// when it comes from a process that was replaced and must be ignored.
+/// Applies a peer's gossip: its members, its answer to a ping, its votes.
+/// Returns false if it comes from a process that was replaced and must be
+/// ignored.
 bool HearGossip(MembershipState& state, const Sender& from,
                 const Gossip& gossip, Time now);
 
-/// Takes note of a message that carries nothing of its sender. One never heard
-/// of, or whose predecessor is silent, is believed: in a large fleet a keeper
-/// hears most of its holders by their asks only. False: it was replaced.
+/// Records a message that contains no data about its sender. A sender that was
+/// never heard, or whose predecessor is silent, is accepted, because the keeper
+/// in a large fleet hears from most of its holders only by their requests.
+/// Returns false if the sender was replaced.
 bool HearSender(MembershipState& state, const Sender& from, Time now);
 
-/// True for a message from the process that runs under the name now.
+/// Returns true if the message is from the current process of the node.
 bool IsCurrent(const MembershipState& state, const Sender& from);
 
-/// Numbers a ping to `peer` and remembers when it went out.
+/// Assigns a number to a ping to `peer` and records when it was sent.
 std::uint64_t NumberPing(MembershipState& state, Peer& peer, Time now);
 
-/// This process was paused: what it did not hear meanwhile is its own fault.
+/// Counts all peers as heard now. Called after a pause of this process, which
+/// caused the silence itself.
 void ForgivePeers(MembershipState& state, Time now);
 
-/// What a peer's silence, or its own word that it leaves, makes of it by `now`.
+/// Returns the peer's state at `now`, by its silence and its own announcements.
 MemberState StateOf(const Peer& peer, Time now);
 
-/// True when the peer may be passed over as a keeper: unheard for `kGoneAfter`,
-/// or left and its leases lapsed.
+/// Returns true if the peer may be skipped as a keeper: it was not heard for
+/// `kGoneTimeout`, or it announced its leave and its leases have lapsed.
 bool CountsAsGone(const Peer& peer, Time now);
 
-/// Members worth telling: news first, then some drawn at random.
+/// Returns the members to include in a message: recent changes first, then
+/// members chosen at random.
 std::vector<Member> MembersToTell(const MembershipState& state,
                                   kernel::Random& random, Time now);
-/// Names of this node's votes.
+/// Returns the names of the nodes that this node counts as gone in its votes.
 std::vector<std::string> ListGoneVotes(const MembershipState& state, Time now);
 
-/// True when `voter` answered this node within a mandate and without a break
-/// for long enough. `keeping`: the duty goes on from an earlier list of nodes.
+/// Returns true if `voter` answered this node recently and has done so without
+/// a break for long enough. If `keeping` is true, this node keeps the endpoint
+/// already, and a change of the list of nodes doesn't restart that time.
 bool IsSupportedBy(const MembershipState& state, std::string_view voter,
                    bool keeping, Time now);
-/// True when `voter` has answered this node without a break since `then`, and
-/// so supported nobody else meanwhile.
+/// Returns true if `voter` has answered this node without a break since `then`,
+/// and so has supported no other node meanwhile.
 bool IsSupportedSince(const MembershipState& state, std::string_view voter,
                       Time then);
-/// True when `voter` said within a mandate that `node` is gone.
+/// Returns true if `voter` recently reported that `node` is gone.
 bool VotesGone(const MembershipState& state, std::string_view voter,
                std::string_view node, Time now);
 
-/// True when this node may keep an endpoint with these voters, first choice
-/// first: a majority supports it, and for each node before it a majority says
-/// that it is gone. Two nodes can't both hold that while a lease of either
-/// runs: docs/design/slots.md. `keeping`: it did so up to now.
+/// Returns true if this node may keep an endpoint with these voters, in order
+/// of preference: a majority supports it, and for each node before it a
+/// majority reports that node as gone. Two nodes can't both meet this condition
+/// while a lease granted by either is valid; see docs/design/slots.md.
+/// `keeping`: this node has kept the endpoint up to now.
 bool MayKeep(const MembershipState& state,
              const std::vector<std::string>& voters, bool keeping, Time now);
 
-/// True when any peer answered within `kIsolatedAfter`.
+/// Returns true if any peer answered a ping sent within the last
+/// `kIsolationTimeout`.
 bool HasRecentContact(const MembershipState& state, Time now);
 
 }  // namespace egretladder::fleet
--- a/fleet/include/egretladder/fleet/orders.h
+++ b/fleet/include/egretladder/fleet/orders.h
@@ -1,8 +1,9 @@
 // Orders to engines: which endpoint holds which models, and the next order that
-// brings it there.
+// leads there.
 //
-// Placement is a pure function of the rules, so two nodes that both believe
-// they keep an endpoint give it the same order. docs/design/orders.md.
+// Placement is a pure function of the rules, so two nodes that both consider
+// themselves the keeper of an endpoint give it the same order. See
+// docs/design/orders.md.
 #pragma once
 
 #include <cstdint>
@@ -17,67 +18,70 @@
 
 using kernel::Time;
 
-/// Models that each endpoint should hold, by endpoint handle.
+/// Models that each endpoint should hold, indexed by endpoint handle.
 using Placement = std::vector<std::vector<rules::TargetHandle>>;
 
-/// Places `copies` of each model on endpoints that take work, serve it and have
-/// room, spread over zones. The same on every node with the same version.
+/// Places `copies` of each model on endpoints that take work, serve the model
+/// and have room for it, spread over zones. Returns the same placement on every
+/// node with the same rules version.
 Placement PlaceModels(const rules::Rules& rules,
                       const std::vector<bool>& takes_work);
 
-/// What an order asks an engine to do with a model.
+/// Type of an order to an engine.
 enum class OrderKind : std::uint8_t { kLoad, kUnload };
 
-/// An order that the reports don't show as done yet.
+/// An order that no report has confirmed yet.
 struct OpenOrder {
   OrderKind kind = OrderKind::kLoad;
   rules::TargetHandle target;
   Time sent{};
 };
 
-/// What the keeper of one endpoint remembers of its orders.
+/// State of the orders to one endpoint, held by its keeper.
 struct EndpointOrders {
   Time kept_since{};
-  Time changed{};  ///< When `loaded` last changed in a report.
+  Time changed{};  ///< Time when `loaded` last changed in a report.
   std::vector<rules::TargetHandle> loaded;
   std::map<rules::TargetHandle, Time> loaded_since;
   std::optional<OpenOrder> open;
 };
 
-/// The node's own part of the weight store's budget.
+/// Orders of all endpoints that this node keeps, and the node's share of the
+/// weight store's budget.
 struct OrdersState {
   Placement placement;
   std::map<rules::EndpointHandle, EndpointOrders> kept;
   Time next_load{};
 };
 
-/// Takes a report's models into account; closes the order that they fulfil.
+/// Applies the models that a report shows as loaded and closes the order that
+/// they confirm.
 void SeeLoaded(EndpointOrders& orders,
                const std::vector<rules::TargetHandle>& loaded, Time now);
 
-/// What the next order depends on besides the endpoint's own orders.
+/// Input of the next decision besides the endpoint's own orders.
 struct OrderInput {
   std::vector<rules::TargetHandle> desired;
   std::uint32_t max_loaded_models = 1;
   bool honours_fencing = false;
-  bool store_free = false;  ///< The weight store's budget allows a load.
-  /// Loaded models that may go: another endpoint, whose place it is to hold
-  /// them, shows them loaded in a fresh report.
+  bool store_free = false;  ///< The weight store's budget allows a load now.
+  /// Loaded models that may be unloaded: a recent report shows them loaded at
+  /// another endpoint that should hold them.
   std::vector<rules::TargetHandle> spare;
 };
 
-/// An order that is not sent yet.
+/// An order that was decided but not sent yet.
 struct NextOrder {
   OrderKind kind = OrderKind::kLoad;
   rules::TargetHandle target;
 };
 
-/// The order to give now, if any; the caller records it as `open`.
+/// Returns the order to give now, if any. The caller records it as `open`.
 std::optional<NextOrder> DecideOrder(const EndpointOrders& orders,
                                      const OrderInput& input, Time now);
 
-/// The pause between two loads of one node that keeps the whole fleet within
-/// the weight store's budget.
+/// Returns the interval between two loads by one of `nodes` nodes that keeps
+/// the whole fleet within the weight store's budget.
 std::chrono::milliseconds LoadPause(std::size_t nodes);
 
 }  // namespace egretladder::fleet
--- a/fleet/src/config.cc
+++ b/fleet/src/config.cc
@@ -9,10 +9,11 @@
 namespace egretladder::fleet {
 namespace {
 
-/// Pause of a watch that was answered: only to break up lockstep.
+/// Maximum pause after a watch was answered. It only prevents nodes from
+/// reading in lockstep.
 constexpr std::chrono::milliseconds kMaxWatchPause{100};
 
-/// The version that a refused document claims; 0: none could be read.
+/// Returns the version that a refused document states; 0 if it can't be read.
 std::uint64_t ClaimedVersion(const std::string& text) {
   const auto entries = kernel::ReadIni(text, "rules");
   if (!entries) return 0;
--- a/fleet/src/electorate.cc
+++ b/fleet/src/electorate.cc
@@ -14,7 +14,7 @@
 using rules::NodeHandle;
 using rules::Rules;
 
-/// Mixes two hashes into a rank. Source: the finaliser of splitmix64.
+/// Combines two hashes into a rank. Source: the finaliser of splitmix64.
 std::uint64_t Mix(std::uint64_t left, std::uint64_t right) {
   std::uint64_t bits = left ^ (right * 0x9E3779B97F4A7C15U);
   bits = (bits ^ (bits >> 30U)) * 0xBF58476D1CE4E5B9U;
@@ -22,7 +22,7 @@
   return bits ^ (bits >> 31U);
 }
 
-/// 0: same zone, 1: same region, 2: elsewhere.
+/// Returns 0 for the same zone, 1 for the same region, otherwise 2.
 int Distance(const Rules& rules, rules::ZoneHandle left,
              rules::ZoneHandle right) {
   if (left == right) return 0;
@@ -128,7 +128,8 @@
 
 bool IsReader(const Rules& rules, std::string_view node) {
   const NodeHandle self = FindNode(rules, node);
-  if (!IsValid(self)) return true;  // Not published: can't rely on others.
+  if (!IsValid(self))
+    return true;  // An unpublished node can't rely on other readers.
   const rules::ZoneHandle zone = rules.nodes[self.idx].zone;
   const std::uint64_t own = kernel::HashBytes(node);
   std::size_t before = 0;
--- a/fleet/src/fleet.cc
+++ b/fleet/src/fleet.cc
@@ -10,8 +10,9 @@
 namespace egretladder::fleet {
 namespace {
 
-/// A process whose ticks stood still acts on nothing it knew before: leases and
-/// votes go by the clock, and its peers' silence was its own.
+/// Detects that the process was paused. It then trusts nothing that it knew
+/// before: leases and votes depend on the clock, and the silence of its peers
+/// was caused by its own pause.
 void DetectPause(FleetState& state, Time now) {
   const bool paused = now - state.fresh.last_tick > kFreshFor;
   state.fresh.last_tick = now;
--- a/fleet/src/fleet_gossip.cc
+++ b/fleet/src/fleet_gossip.cc
@@ -1,4 +1,4 @@
-// Rounds of gossip: pings to voters and a few others, answers, votes.
+// Gossip rounds: pings to voters and a few other peers, replies, votes.
 #include <algorithm>
 #include <set>
 
@@ -24,7 +24,8 @@
     const FleetState& state, Time now) {
   std::vector<policy::QuarantineNotice> blames =
       policy::ListQuarantineNotices(state.poison, now);
-  // The newest have the longest left; older ones were told before.
+  // Notices with more deaths come first, then the newest, which have the
+  // longest time left. Older ones were sent before.
   std::sort(blames.begin(), blames.end(), [](const auto& a, const auto& b) {
     return a.deaths != b.deaths ? a.deaths > b.deaths : a.left > b.left;
   });
@@ -63,8 +64,8 @@
   out.emplace_back(SendMessage{peer.member.peer_address, std::move(gossip)});
 }
 
-/// True when this node may have to keep the endpoint soon: it is the first, or
-/// none of those before it seems to be there.
+/// Returns true if this node may soon have to keep the endpoint: it is the
+/// first voter, or none of those before it is alive.
 bool MayKeepSoon(const FleetState& state, const EndpointState& endpoint,
                  Time now) {
   if (endpoint.rank >= endpoint.voters.size()) return false;
@@ -179,8 +180,8 @@
   std::set<std::string> voters;
   AddVoters(state, now, voters);
   for (const std::string& node : voters) Ping(state, node, false, now, out);
-  // These carry members too: so the word of nodes that share no endpoint goes
-  // round, within a fixed number of bytes.
+  // Pings to random peers include members, so that news reaches nodes that
+  // share no endpoint within a fixed number of bytes.
   std::set<std::string> others;
   AddRandom(state, kRandomPeersPerRound, others);
   for (const std::string& node : others) Ping(state, node, true, now, out);
@@ -214,8 +215,8 @@
   ApplyVmNotices(state, gossip.leaving_vms, now);
   ApplyQuarantineNotices(state, gossip.quarantined, now, out);
   CompareVersions(state, from, gossip, now, out);
-  // An answer to a ping sent after waking shows that no newer version was
-  // missed, at least not by this peer.
+  // An answer to a ping sent after a pause shows that no newer version was
+  // missed, at least none known to this peer.
   const Peer& peer = state.members.peers.find(from.node)->second;
   const bool answered = gossip.ack != 0 && peer.contact.any;
   if (state.fresh.is_resuming && answered &&
--- a/fleet/src/fleet_keeper.cc
+++ b/fleet/src/fleet_keeper.cc
@@ -1,4 +1,4 @@
-// Endpoints that this node keeps: whether it may, reports, leases, orders.
+// Endpoints that this node keeps: election, reports, leases, orders.
 #include <algorithm>
 
 #include "egretladder/kernel/log.h"
@@ -18,9 +18,10 @@
                                    endpoint.book.has_value(), now);
 }
 
-/// True when a majority has supported this node without a break since it
-/// stopped: it lost its mandate for a moment only, and what it leased before is
-/// still out. A fresh book would lease the same slots again.
+/// Returns true if a majority has supported this node without a break since it
+/// stopped keeping the endpoint. It lost its mandate only briefly, and its
+/// leases may still be in use; a new keeper state would lease the same slots
+/// again.
 bool NobodyElseKept(const FleetState& state, const EndpointState& endpoint) {
   const auto unbroken = static_cast<std::size_t>(std::count_if(
       endpoint.voters.begin(), endpoint.voters.end(),
@@ -60,7 +61,8 @@
           " no longer.");
 }
 
-/// Published nodes, this one among them, without an ask in the book.
+/// Returns the number of published nodes, including this one, that have not
+/// requested slots.
 std::uint32_t SilentNodes(const FleetState& state, const KeeperBook& book) {
   const auto asked = [&](const std::string& node) {
     return std::any_of(
@@ -82,7 +84,8 @@
   out.emplace_back(ReadReport{handle});
 }
 
-/// Models that another endpoint, whose place they are, shows as loaded.
+/// Returns the models that a recent report shows as loaded at another endpoint
+/// that should hold them.
 std::vector<rules::TargetHandle> SpareModels(const FleetState& state,
                                              EndpointHandle handle, Time now) {
   std::vector<rules::TargetHandle> spare;
@@ -153,7 +156,8 @@
   lease.slots = slots;
   lease.left = kLeaseLife;
   lease.ask_number = ask_number;
-  // Until the keeper knows what it took over, what a former one said counts.
+  // Until this keeper knows what it has taken over, the total of its
+  // predecessor stays valid.
   const KeeperBook& book = *state.endpoints[handle.idx].book;
   lease.total = book.ready ? book.slots.slots : 0;
   FillReport(state, book, lease, now);
@@ -211,8 +215,8 @@
         FindEndpoint(*state.config.rules, ask.endpoint);
     if (!IsValid(handle)) continue;
     EndpointState& endpoint = state.endpoints[handle.idx];
-    // Judged anew for each ask: this process may have been paused since its
-    // last tick, and another node may keep the endpoint by now.
+    // Checked again for each request: this process may have been paused since
+    // its last tick, and another node may keep the endpoint by now.
     if (!endpoint.book.has_value() || !MayKeep(state, endpoint, now)) continue;
     const std::uint32_t pool_before = PoolOf(*endpoint.book);
     leases.leases.push_back(
--- a/fleet/src/fleet_rules.cc
+++ b/fleet/src/fleet_rules.cc
@@ -1,4 +1,4 @@
-// The rules in force: read, held back at start, passed on.
+// Reading the rules, holding them back at start, and passing them on.
 #include <algorithm>
 
 #include "egretladder/kernel/log.h"
@@ -18,8 +18,9 @@
                      });
 }
 
-/// True while a starting node with seeds waits for a peer's word: the platform
-/// may serve old data, and a version once left must not come back.
+/// Returns true while a starting node with seeds waits to hear from a peer. The
+/// platform may serve old data, and a version that was replaced must not come
+/// into force again.
 bool WaitsForPeers(const FleetState& state, Time now) {
   return state.config.rules == nullptr && !state.options.seeds.empty() &&
          now < state.config.hold_until && !HasRecentContact(state.members, now);
@@ -79,7 +80,8 @@
 
 void ReadPlatform(FleetState& state, Time now, Actions& out) {
   const ReadPace pace = GetReadPace(state, now);
-  // A node cut off during its watch can't tell whether the watch still stands.
+  // A node that was isolated during its watch can't tell whether the connection
+  // still exists.
   if (pace == ReadPace::kAlone && state.config.read.reading &&
       now - state.config.read.began >= kIsolationTimeout) {
     state.config.read.reading = false;
@@ -111,8 +113,8 @@
     state.fresh.is_resuming =
         state.fresh.is_resuming && now <= state.fresh.resumed_at;
   }
-  // A service that answers a watch with what is known already would be asked
-  // without a pause otherwise.
+  // Without this pause, a service that answers a watch at once with a known
+  // version would be called in a tight loop.
   const bool at_once = now - state.config.read.began < kInitialReadBackoff;
   const bool useless = at_once && text != nullptr &&
                        GetRulesVersion(state) == before &&
--- a/fleet/src/fleet_slots.cc
+++ b/fleet/src/fleet_slots.cc
@@ -1,4 +1,4 @@
-// Endpoints as this node uses them: available or not, slots, asks for leases.
+// Endpoints that this node uses: availability, slots, requests for leases.
 #include <algorithm>
 
 #include "fleet_state_p.h"
@@ -27,7 +27,8 @@
          !IsLeavingVm(state, row.source.name, now);
 }
 
-/// Places models anew when an endpoint began or ceased to take work.
+/// Recomputes the placement of models after an endpoint began or ceased to take
+/// work.
 void UpdatePlacement(FleetState& state, Time now) {
   const rules::Rules& rules = *state.config.rules;
   std::vector<bool> takes_work(rules.endpoints.size());
@@ -60,9 +61,10 @@
   endpoint.rank = static_cast<std::size_t>(found - endpoint.voters.begin());
 }
 
-/// Nodes to ask for slots: the one that answered last. Without an answer, the
-/// first that seems there and, in turn, each other one, since this node's view
-/// of who is there may be wrong. Only a node that keeps the endpoint answers.
+/// Returns the nodes to ask for slots: the one that granted the last lease or,
+/// if that was too long ago, the first voter that is alive and each other voter
+/// in turn, since this node's view of which voters are alive may be wrong. Only
+/// a node that keeps the endpoint answers.
 std::vector<std::string> KeepersToAsk(const FleetState& state,
                                       EndpointState& endpoint, Time now) {
   HeldSlots& held = endpoint.held;
@@ -85,7 +87,8 @@
   return {*first, other};
 }
 
-/// The first ask whose answer could still be taken; see `TakeLease`.
+/// Returns the number of the first request whose answer may still be applied;
+/// see `ApplyLease`.
 std::uint64_t LiveFrom(const FleetState& state, const HeldSlots& held,
                        Time now) {
   std::uint64_t first = state.asks;
@@ -253,8 +256,8 @@
   held.evidence.failed += evidence.failed;
   if (evidence.boot == 0) return;
   held.evidence.boot = evidence.boot;
-  // An answer of another boot than the keeper knew when it leased: the lease
-  // was for a warm endpoint that is gone.
+  // The answer is from another boot than the keeper reported with the lease.
+  // The lease was for a warm endpoint that no longer exists.
   if (held.boot != 0 && held.boot != evidence.boot) DropLease(held, now);
 }
 
@@ -271,8 +274,8 @@
     held.down = true;
     Announce(state, handle, policy::SlotReason::kStarted, now, out);
   }
-  // Told at once: the caller sends the body again within seconds, perhaps to
-  // another node, and a third endpoint would die.
+  // Peers are told at once: the caller will send the body again within seconds,
+  // perhaps to another node, where it would kill a third endpoint.
   if (!running.empty()) GossipToRandomPeers(state, now, out);
 }
 
--- a/fleet/src/fleet_state_p.h
+++ b/fleet/src/fleet_state_p.h
@@ -1,4 +1,5 @@
-// The fleet's whole state and the steps between its parts.
+// The complete state of the fleet and the functions that its source files
+// share.
 #pragma once
 
 #include <deque>
@@ -16,26 +17,33 @@
 
 namespace egretladder::fleet {
 
-/// One endpoint, as holder and perhaps as keeper. Indexed by handle.
+/// State of one endpoint, for this node as a holder and possibly as its keeper.
+/// Indexed by handle.
 struct EndpointState {
   bool used = false;
   bool available = false;
-  bool has_reports = false;  ///< An engine; plain services have none.
+  /// The endpoint is an engine; plain services have no reports.
+  bool has_reports = false;
   std::uint32_t announced = 0;
-  std::vector<std::string> voters;  ///< First choice first.
-  std::size_t rank = 0;             ///< Of this node; voters.size(): none.
+  /// Names of the voters in order of preference.
+  std::vector<std::string> voters;
+  /// Index of this node in `voters`; `voters.size()` if it is not one.
+  std::size_t rank = 0;
   HeldSlots held;
-  std::optional<KeeperBook> book;    ///< While this node keeps the endpoint.
-  std::optional<KeeperBook> former;  ///< Of the last time it did.
+  std::optional<KeeperBook> book;  ///< Set while this node keeps the endpoint.
+  std::optional<KeeperBook> former;  ///< Keeper state of the previous period in
+                                     ///< which this node kept the endpoint.
   Time stopped{};
-  std::optional<policy::EngineReport> report;  ///< Last one seen.
+  /// The last report that reached this node.
+  std::optional<policy::EngineReport> report;
   Time report_at{};
 };
 
-/// Whether this process may act on what it knows.
+/// Tells whether this process may act on its knowledge.
 struct Freshness {
   Time last_tick{};
-  bool is_resuming = false;  ///< Paused, and nothing heard since.
+  /// The process was paused and has heard nothing since.
+  bool is_resuming = false;
   Time resumed_at{};
 };
 
@@ -45,11 +53,13 @@
   MembershipState members;
   ConfigState config;
   ReadSchedule vm_list;
-  /// Endpoints shown as leaving, with when the list that said so was read.
+  /// VMs that the VM list shows as leaving, with the time when that list was
+  /// read.
   std::map<std::string, Time, std::less<>> leaving_vms;
   policy::PoisonState poison;
   std::vector<EndpointState> endpoints;
-  std::vector<bool> takes_work;  ///< By rules and VM list; for placement.
+  /// Input of the placement, from the rules and the VM list.
+  std::vector<bool> takes_work;
   OrdersState orders;
   std::uint64_t asks = 0;
   std::map<std::uint64_t, Time> asks_sent;
@@ -66,7 +76,7 @@
                   Time now, Actions& out);
 const std::string& FindPeerAddress(const FleetState& state,
                                    std::string_view node);
-/// The endpoint's line in the rules in force, which there must be.
+/// Returns the endpoint's entry in the rules in force, which must exist.
 inline const rules::Endpoint& GetEndpointRules(const FleetState& state,
                                                EndpointHandle endpoint) {
   return state.config.rules->endpoints[endpoint.idx];
--- a/fleet/src/lane.cc
+++ b/fleet/src/lane.cc
@@ -12,17 +12,17 @@
 namespace {
 
 enum class KeyState : std::uint8_t {
-  kRecorded,  ///< Not sent yet.
-  kSent,      ///< Its first byte may be out.
-  kDone,      ///< Answered.
-  kLost,      ///< Sent, and its answer is lost.
-  kBurned,    ///< Said to be "not run".
+  kRecorded,  ///< The call is recorded but not sent yet.
+  kSent,      ///< The first byte may have been sent.
+  kDone,      ///< The answer is stored.
+  kLost,      ///< The call was sent and its answer was lost.
+  kBurned,    ///< A caller was told "not run"; the key never runs.
 };
 
 struct CallRecord {
   KeyState state = KeyState::kRecorded;
   std::uint64_t body_hash = 0;
-  std::chrono::milliseconds expires{};  ///< Of its lane.
+  std::chrono::milliseconds expires{};  ///< Expiry of the call's lane.
   std::chrono::milliseconds ended{};
   std::vector<WaiterId> waiters;
   std::shared_ptr<const StoredAnswer> answer;
@@ -32,7 +32,8 @@
   return call.state == KeyState::kRecorded || call.state == KeyState::kSent;
 }
 
-/// What a record takes besides its answer: node of the table, waiters, string.
+/// Bytes that a record takes besides its key and answer: table node, waiters,
+/// string overhead.
 constexpr std::size_t kRecordOverhead = 192;
 
 std::size_t RecordBytes(const std::string& key, const CallRecord& call) {
@@ -55,11 +56,11 @@
   std::uint64_t incarnation = 0;
   std::string secret;
   Time started{};
-  /// The latest moment seen. An expiry stays an expiry when a clock is set
-  /// back: forgotten keys would run again otherwise.
+  /// The latest time seen. A lane that has expired stays expired if the clock
+  /// is set back; otherwise keys that were removed could run again.
   Time latest{};
   std::uint64_t issued = 0;
-  /// Lanes up to this number take no new keys; see `RefuseFull`.
+  /// Lanes up to this number accept no new keys; see `RefuseTableFull`.
   std::uint64_t closed_through = 0;
   std::unordered_map<std::string, CallRecord> calls;
   std::size_t bytes = 0;
@@ -86,7 +87,7 @@
   return found == state.calls.end() ? nullptr : &found->second;
 }
 
-/// Ends a call in `next` and hands out its waiters.
+/// Moves a call to the final state `next` and returns its waiters.
 std::vector<WaiterId> EndCall(LanesState& state, const std::string& full_key,
                               CallRecord& call, KeyState next, Time now) {
   state.bytes -= RecordBytes(full_key, call);
@@ -98,8 +99,8 @@
 
 LaneDecision RepeatCall(CallRecord& call, std::uint64_t body_hash,
                         WaiterId waiter) {
-  // "Not run" would be wrong here: the key's first body may have run, and a
-  // caller whose retry differs in a date only would believe it had not.
+  // "Not run" would be wrong here: the first body of the key may have run, and
+  // a caller whose retry differs only in a date would believe that it had not.
   if (call.body_hash != body_hash) {
     return RefuseCall{LaneRefusal::kOtherBody, false};
   }
@@ -119,10 +120,11 @@
   return JoinCall{};
 }
 
-/// Refuses a key that can't be recorded, for good: the lanes issued so far take
-/// no new keys any more. Without that, a second copy of the call that arrives
-/// when there is room again would run after its caller heard "not run". One
-/// number holds for all of them, since a full table can't hold burned keys.
+/// Refuses a key that can't be recorded, permanently: no lane issued so far
+/// accepts new keys afterwards. Otherwise a second copy of the call that
+/// arrives when there is room again would run after its caller was told "not
+/// run". One number covers all refused keys, since a full table can't record
+/// them.
 LaneDecision RefuseTableFull(LanesState& state) {
   state.closed_through = state.issued;
   return RefuseCall{LaneRefusal::kTableFull, true};
@@ -181,11 +183,12 @@
   if (CallRecord* call = Find(state, lane, key); call != nullptr) {
     return RepeatCall(*call, body_hash, waiter);
   }
-  // The key may have run and been forgotten.
+  // The key may have run and been removed from the table.
   if (IsExpired(state, lane, now)) {
     return RefuseCall{LaneRefusal::kExpired, false};
   }
-  // Before its expiry no key is forgotten: an unrecorded one never ran.
+  // No key is removed before its lane expires, so an unrecorded key has never
+  // run.
   if (lane.number <= state.closed_through) {
     return RefuseCall{LaneRefusal::kTableFull, true};
   }
@@ -224,7 +227,8 @@
                                  const std::string& key, StoredAnswer answer,
                                  Time now) {
   CallRecord* call = Find(state, lane, key);
-  // An answer that arrives after its call was given up is still its outcome.
+  // An answer that arrives after its call was given up still decides the
+  // outcome.
   const bool open = call != nullptr &&
                     (IsInProgress(*call) || call->state == KeyState::kLost);
   if (!open) return {};
--- a/fleet/src/lane_p.h
+++ b/fleet/src/lane_p.h
@@ -1,4 +1,4 @@
-// Shared between the text form of lanes and their table.
+// Shared between the encoding of lanes and the key table.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace egretladder::fleet {
 
-/// The part of a lane that its signature covers, besides the node's name.
+/// Returns the encoded fields of a lane that its signature covers, besides the
+/// node's name.
 std::string LaneFields(const Lane& lane);
 
 }  // namespace egretladder::fleet
--- a/fleet/src/lane_text.cc
+++ b/fleet/src/lane_text.cc
@@ -20,7 +20,8 @@
   return {digits.data(), end.ptr};
 }
 
-/// Takes the hexadecimal number before the next dot off `text`.
+/// Parses the hexadecimal number before the next dot and removes both from
+/// `text`.
 bool ConsumeHex(std::string_view& text, std::uint64_t& number) {
   const std::size_t dot = text.find('.');
   if (dot == std::string_view::npos || dot == 0) return false;
--- a/fleet/src/lease_holder.cc
+++ b/fleet/src/lease_holder.cc
@@ -10,9 +10,10 @@
 
 bool TakeLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now) {
   if (lease.ask_number < held.ask_number || asked <= held.dropped) return false;
-  // Counted from the asking: the keeper counts from later on, so the holder's
-  // lease is over first, however long the answer was under way. The process may
-  // stand still for `kFreshFor` without noticing, so it ends earlier by that.
+  // The lease counts from when it was requested. The keeper counts from a later
+  // time, so the holder's lease ends first, however long the answer was under
+  // way. It ends earlier by `kFreshFor`, because the process may be paused for
+  // that long without noticing.
   const Time until = asked + std::min(lease.left, kLeaseLife) - kFreshFor;
   if (lease.ask_number == held.ask_number) {
     held.leased = std::min(held.leased, lease.slots);
@@ -38,8 +39,8 @@
               Time now) {
   const auto since = now - held.last_ask;
   if (since >= every) return true;
-  // Once for each time that work begins to wait: under load that lasts, asking
-  // more often brings no more slots.
+  // Only once each time that work begins to wait: under sustained load, more
+  // frequent requests bring no more slots.
   const bool hurry = held.down || (held.had_enough_slots &&
                                    held.demand.wanted > UsableSlots(held, now));
   return hurry && since >= kMinSlotAskInterval;
--- a/fleet/src/lease_keeper.cc
+++ b/fleet/src/lease_keeper.cc
@@ -31,9 +31,10 @@
   return now - holder.asked <= kHolderSilenceTimeout;
 }
 
-/// How long calls of a silent holder count. A report shows them within seconds;
-/// without one, or while the endpoint bears too little to risk it, they count
-/// as long as an ordinary answer may take.
+/// Returns how long the calls of a silent holder count. A report shows them
+/// within seconds. Without a report, or while the endpoint's capacity is too
+/// small to risk an error, they count for as long as an ordinary answer may
+/// take.
 std::chrono::milliseconds SilentCallsKept(const KeeperBook& book) {
   const bool warm = book.slots.slots > book.slots.cold_max_in_flight;
   return warm && book.report.has_value()
@@ -41,8 +42,8 @@
              : std::chrono::milliseconds(kSilentCallRetention);
 }
 
-/// Forgets holders that have been silent for longer than a lease and what it
-/// started may last.
+/// Removes holders that have been silent for longer than both a lease and the
+/// calls begun under it may last.
 void Prune(KeeperBook& book, Time now) {
   const auto kept = std::max(SilentCallsKept(book), kLeaseLife);
   std::erase_if(book.holders, [&](const Holder& holder) {
@@ -50,40 +51,43 @@
   });
 }
 
-/// Calls at the endpoint that no holder's entry stands for.
+/// Returns the number of calls at the endpoint that no holder accounts for.
 std::uint32_t CountUnattributedCalls(const KeeperBook& book, Time now) {
   if (now - book.opened >= SilentCallsKept(book)) return 0;
   if (book.report.has_value()) return book.unattributed_calls;
-  // One slot stays to begin with: its answers let the endpoint grow, while none
-  // would leave it idle for as long as strangers count.
+  // One slot stays usable: its answers let the limit grow, while the endpoint
+  // would be idle for as long as unattributed calls count otherwise.
   return std::min(book.unattributed_calls, book.slots.cold_max_in_flight - 1);
 }
 
-/// A report taken before a former keeper's last leases lapsed misses the calls
-/// that they let in.
+/// Returns true if the report was made late enough to show all calls that a
+/// former keeper's leases admitted. One made before the last of these leases
+/// lapsed may miss some.
 bool CoversAllUnattributedCalls(const KeeperBook& book,
                                 const policy::EngineReport& report, Time now) {
   return now - report.age >= book.opened - kMaxInitialReportLead;
 }
 
-/// Nothing that ran before a new boot runs on. (A death that a node reports is
-/// no proof of one: a process that was paused notices long after.) Holders that
-/// ask say so themselves, and may have calls there again already; the silent
-/// ones can't.
+/// Resets the calls in flight of silent holders after a new boot, which ended
+/// everything that ran before. (A death that a node reports doesn't prove a new
+/// boot, since a process that was paused notices it long after.) Active holders
+/// report their own calls and may already have new ones; the silent ones can't.
 void ForgetSilentCalls(KeeperBook& book, Time now) {
   for (Holder& holder : book.holders) {
     if (!IsActiveHolder(holder, now)) holder.in_flight = 0;
   }
 }
 
-/// A keeper that begins, or goes on after a break, first needs to know what
-/// runs at the endpoint and whether it restarted meanwhile.
+/// Returns true if the keeper knows what runs at the endpoint and whether it
+/// has restarted. It must find out first when it begins or resumes after a
+/// break.
 bool MayGrant(const KeeperBook& book) {
   return book.ready &&
          (!book.report.has_value() || book.report_at >= book.resumed);
 }
 
-/// A newer process of a node has asked: calls of its predecessor are gone.
+/// Marks the holders of a node's older processes as replaced, because a newer
+/// one has requested slots and the calls of its predecessors are gone.
 void ForgetCallsOf(KeeperBook& book, const Sender& newer) {
   for (Holder& holder : book.holders) {
     const bool older = holder.process.node == newer.node &&
@@ -100,8 +104,9 @@
   std::uint32_t slots = 0;
 };
 
-/// Holders in the order of their lots. Lots are drawn anew every few seconds:
-/// with fewer slots than holders the same few would have them for ever.
+/// Returns the active holders in a random order that changes every
+/// `kLotteryInterval`. With a fixed order and fewer slots than holders, the
+/// same few would always get them.
 std::vector<Share> DrawLots(const KeeperBook& book, Time now) {
   const auto draw =
       static_cast<std::uint64_t>(now.time_since_epoch() / kLotteryInterval);
@@ -118,15 +123,15 @@
   return parts;
 }
 
-/// What a round of sharing out gives a holder at most.
+/// Limits of a holder's share in the rounds of `AllocateSlots`.
 std::uint32_t UrgentLimit(const Holder& holder) { return holder.urgent; }
 std::uint32_t WantedLimit(const Holder& holder) { return holder.wanted; }
 std::uint32_t Unlimited(const Holder& /*holder*/) {
   return std::numeric_limits<std::uint32_t>::max();
 }
 
-/// Gives slots one by one until each holder has what `bound` says. Returns what
-/// is left. Source: max-min fairness.
+/// Distributes slots one by one until each holder has reached its `bound`.
+/// Returns the number of slots left. Source: max-min fairness.
 std::uint32_t DistributeUpTo(std::vector<Share>& parts,
                              std::uint32_t (*bound)(const Holder&),
                              std::uint32_t left) {
@@ -144,11 +149,12 @@
   return left;
 }
 
-/// Work of the top tier first: callers keep to their nodes, and with equal
-/// parts the questions of a busy node wait while the batch of another has slots
-/// (2 of 24 runs of a batch beside a burst of buyers had under 90 in 100 in
-/// time). Then what each wants, then what is left, so that an idle node can
-/// start its next call without asking.
+/// Divides the leasable slots. Work of the top tier comes first: callers stay
+/// with their nodes, and with equal shares the requests of a busy node would
+/// wait while the batch work of another has slots (in 2 of 24 runs of a batch
+/// beside a burst of top-tier requests, fewer than 90 of 100 were answered in
+/// time). Then each holder gets what it wants, then what is left, so that an
+/// idle node can start its next call without asking.
 std::vector<Share> AllocateSlots(const KeeperBook& book, Time now) {
   std::vector<Share> parts = DrawLots(book, now);
   std::uint32_t left = DistributeUpTo(parts, UrgentLimit, PoolOf(book));
@@ -164,10 +170,11 @@
   return 0;
 }
 
-/// A keeper that takes over an endpoint which did not restart goes on from what
-/// its holders last heard, in place of a cold start: a node that stops would
-/// throw its warm endpoints back to the few requests they bear cold. Of several
-/// claims the lowest counts, since any of them may be old.
+/// Applies the total that a holder last heard from the former keeper, if the
+/// endpoint has not restarted since. With a cold start instead, each node that
+/// stops would reduce its warm endpoints to their cold capacity of a few
+/// requests. The lowest of several claims counts, since any of them may be
+/// outdated.
 void InheritTotal(KeeperBook& book, Holder& holder, const SlotAsk& ask,
                   Time now) {
   if (!book.ready || holder.claimed) return;
@@ -189,7 +196,8 @@
                             book.slots.max_in_flight, boot, now);
 }
 
-/// A new boot ends the calls that ran before it.
+/// Applies evidence about the endpoint. A new boot ends the calls that ran
+/// before it.
 policy::SlotReason ApplyEvidence(KeeperBook& book,
                                  const policy::SlotEvidence& evidence,
                                  Time now) {
@@ -262,7 +270,7 @@
     holder->process = from;
     ForgetCallsOf(book, from);
   }
-  // A doubled or overtaken ask would count its evidence twice.
+  // The evidence of a duplicated or reordered request must not count twice.
   if (number <= holder->ask_number) return policy::SlotReason::kUnchanged;
   holder->ask_number = number;
   holder->wanted = std::max(ask.wanted, ask.in_flight);
@@ -270,7 +278,7 @@
   holder->in_flight = ask.in_flight;
   if (book.ready && !holder->known) {
     holder->known = true;
-    // Without a report each silent node was put down for one call.
+    // Without a report, each silent node was assumed to have one call.
     const std::uint32_t own =
         book.report.has_value() ? ask.in_flight : std::max(ask.in_flight, 1U);
     book.unattributed_calls -= std::min(book.unattributed_calls, own);
@@ -335,8 +343,8 @@
   for (const Holder& holder : book.holders) {
     const std::uint32_t part = FindShare(parts, holder);
     if (Outstanding(holder) <= part) continue;
-    // No more than the last ask was granted: its answer may have been lost, and
-    // this one taken in its place.
+    // At most the slots granted for the last request: the answer to it may have
+    // been lost, and this one is applied in its place.
     std::uint32_t granted = 0;
     for (const Grant& grant : holder.grants) {
       if (grant.ask_number == holder.ask_number) granted = grant.slots;
--- a/fleet/src/membership.cc
+++ b/fleet/src/membership.cc
@@ -9,11 +9,11 @@
 namespace egretladder::fleet {
 namespace {
 
-/// Pings to one peer that may still be answered.
+/// Maximum number of unanswered pings remembered for one peer.
 constexpr std::size_t kMaxOpenPings = 8;
-/// Peers outside the published list that are remembered.
+/// Maximum number of unpublished peers that are remembered.
 constexpr std::size_t kMaxUnpublishedPeers = 64;
-/// A change is told first for so long.
+/// How long a change takes precedence in gossip.
 constexpr std::chrono::seconds kNewsDuration{5};
 
 bool IsNewer(const Member& told, const Member& known) {
@@ -21,7 +21,7 @@
          std::tie(known.started, known.incarnation);
 }
 
-/// Puts the process that `told` speaks of in place of the one known.
+/// Replaces the known process of a node by the one that `told` describes.
 void Replace(Peer& peer, const Member& told, Time now) {
   peer.member = told;
   peer.heard = now;
@@ -31,13 +31,14 @@
   peer.pings.clear();
 }
 
-/// Returns false when `told` is of a process that was replaced.
+/// Merges gossip about a peer. Returns false if `told` describes a process that
+/// was replaced.
 bool Merge(Peer& peer, const Member& told, bool direct, Time now) {
   Member& known = peer.member;
   if (told.incarnation != known.incarnation) {
-    // A VM's wall clock may be behind its predecessor's, which would keep the
-    // new process out for ever: once the old one is silent, a direct word of
-    // the new one counts whatever its start time.
+    // The wall clock of a VM may be behind that of its predecessor, which would
+    // exclude the new process forever. Once the old one is silent, a message
+    // from the new process itself counts whatever its start time.
     const bool silent = direct && now - peer.heard > kSuspectAfter;
     if (!IsNewer(told, known) && !silent) return false;
     Replace(peer, told, now);
@@ -77,8 +78,8 @@
   const Time sent = ping->sent;
   peer.pings.erase(peer.pings.begin(), ping + 1);
   Contact& contact = peer.contact;
-  // Between two answers further apart the peer may have counted this node as
-  // gone and supported another keeper.
+  // If two answers are further apart, the peer may have counted this node as
+  // gone and supported another keeper in between.
   const bool unbroken = contact.any && now - contact.sent < kGoneTimeout;
   if (!unbroken) contact.since = now;
   const bool same_digest = gossip.nodes_digest == state.nodes_digest;
@@ -150,8 +151,8 @@
   }
   if (!IsCurrent(state, from)) return false;
   Peer& peer = state.peers.find(from.node)->second;
-  // A ping that is answered counts as heard, even when its heartbeat came here
-  // earlier by another way: the answer is support, and no vote may contradict
+  // A ping that will be answered counts as heard, even if its heartbeat arrived
+  // earlier by another path: the answer is support, and no vote may contradict
   // it too soon.
   if (gossip.reply_wanted) peer.heard = now;
   peer.direct = now;
@@ -212,9 +213,10 @@
   std::vector<Member> news{state.self};
   std::vector<const Member*> others;
   for (const auto& [name, peer] : state.peers) {
-    // Only what the peer said here itself, and lately, is passed on. Hearsay of
-    // hearsay would look new at each receiver, and a dead node would stay in
-    // callers' answers for as long as the rumour takes to go round.
+    // Only recent information that came from the peer itself is forwarded.
+    // Information from third parties would look new to each receiver, and a
+    // dead node would stay in the answers to callers until the gossip about it
+    // stops circulating.
     if (peer.member.heartbeat == 0 || now - peer.direct > kRecentContactTime)
       continue;
     const bool leaves = peer.member.state == MemberState::kLeaving;
--- a/fleet/src/orders.cc
+++ b/fleet/src/orders.cc
@@ -18,7 +18,7 @@
   return std::find(targets.begin(), targets.end(), target) != targets.end();
 }
 
-/// Models in the order of their names: handles differ between nodes.
+/// Returns the models sorted by name, because handles differ between nodes.
 std::vector<TargetHandle> ModelsByName(const Rules& rules) {
   std::vector<TargetHandle> models;
   for (std::uint32_t i = 0; i < rules.targets.size(); ++i) {
@@ -35,8 +35,8 @@
   return models;
 }
 
-/// The best endpoint with room for one more copy; the zone with the fewest
-/// copies goes first.
+/// Returns the best endpoint with room for one more copy, preferring the zone
+/// with the fewest copies; invalid if there is none.
 EndpointHandle PickEndpoint(const Rules& rules, const Placement& placement,
                             const std::vector<bool>& takes_work,
                             TargetHandle model) {
@@ -63,10 +63,10 @@
   return best;
 }
 
-/// True when a former keeper's orders can't clash with this one's any more. An
-/// engine that honours fencing numbers refuses the old ones itself; for others
-/// the keeper waits until its predecessor's mandate is over and the engine's
-/// models have stood still.
+/// Returns true if orders of a former keeper can no longer conflict with those
+/// of this one. An engine that honours fencing numbers rejects the old ones
+/// itself. For others, the keeper waits until its predecessor's mandate is over
+/// and the engine's models have not changed for a while.
 bool MayOrder(const EndpointOrders& orders, bool honours_fencing, Time now) {
   if (honours_fencing) return true;
   return now - orders.kept_since >= kUnfencedWait &&
@@ -124,7 +124,8 @@
 
 std::optional<NextOrder> DecideOrder(const EndpointOrders& orders,
                                      const OrderInput& input, Time now) {
-  // One at a time: an engine that loads two models at once serves neither.
+  // One order at a time: an engine that loads two models at once serves
+  // neither.
   if (orders.open.has_value()) return std::nullopt;
   if (!MayOrder(orders, input.honours_fencing, now)) return std::nullopt;
   for (const TargetHandle target : input.desired) {
