--- a/fleet/include/egretladder/fleet/config.h
+++ b/fleet/include/egretladder/fleet/config.h
@@ -76,12 +76,13 @@
 };
 
 /// Returns true and marks a read as begun if one is due.
-bool BeginRead(ReadSchedule& plan, Time now);
-/// Records the end of a read and schedules the next one after `every`. If
+bool BeginRead(ReadSchedule& schedule, Time now);
+/// Records the end of a read and schedules the next one after `interval`. If
 /// `could_read` is false, the pause grows exponentially with jitter instead, so
 /// that the whole fleet doesn't send requests at once when a service recovers.
-void EndRead(ReadSchedule& plan, bool could_read,
-             std::chrono::milliseconds every, kernel::Random& random, Time now);
+void EndRead(ReadSchedule& schedule, bool could_read,
+             std::chrono::milliseconds interval, kernel::Random& random,
+             Time now);
 
 /// Returns the interval between two reads of the rules that bring nothing new.
 std::chrono::milliseconds RulesReadInterval(ReadPace pace,
--- a/fleet/include/egretladder/fleet/fleet.h
+++ b/fleet/include/egretladder/fleet/fleet.h
@@ -186,11 +186,11 @@
 /// for each request.
 FleetView ViewOf(const FleetState& state, Time now);
 
-/// Returns at most `most` nodes that a caller may use, best first: live ones
-/// before suspects, and nodes of `zone` before others. Leaving and gone nodes
-/// are omitted. Source of `GET /where`.
+/// Returns at most `max_nodes` nodes that a caller may use, best first: live
+/// ones before suspects, and nodes of `zone` before others. Leaving and gone
+/// nodes are omitted. Source of `GET /where`.
 std::vector<Member> Where(const FleetState& state, std::string_view zone,
-                          std::size_t most, Time now);
+                          std::size_t max_nodes, Time now);
 
 /// Maximum interval between two calls of `OnTick`.
 inline constexpr std::chrono::milliseconds kFleetTick{50};
--- a/fleet/include/egretladder/fleet/lease.h
+++ b/fleet/include/egretladder/fleet/lease.h
@@ -77,40 +77,42 @@
 
 /// Initializes the keeper's state of an endpoint, which counts as cold whatever
 /// its state was.
-void OpenBook(KeeperBook& book, const rules::Endpoint& endpoint, Time now);
+void OpenBook(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
+              Time now);
 /// Resumes keeping after a break in which no other node kept the endpoint. An
 /// endpoint without reports may have restarted unnoticed, so it counts as cold
 /// after a break longer than `kReportTimeout`.
-void ResumeBook(KeeperBook& book, const rules::Endpoint& endpoint, Time stopped,
-                Time now);
+void ResumeBook(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
+                Time stopped, Time now);
 /// Called when a round of requests has passed on an endpoint without reports:
 /// assumes that each of the `silent` nodes has one call there.
-void AssumeUnattributedCalls(KeeperBook& book, std::uint32_t silent);
+void AssumeUnattributedCalls(KeeperBook& keeper_state, std::uint32_t silent);
 
 /// Applies the endpoint's capacity from a new version of the rules.
-void UpdateCapacity(KeeperBook& book, const rules::Endpoint& endpoint,
+void UpdateCapacity(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
                     Time now);
 
 /// Returns the number of slots that may be leased in all.
-std::uint32_t PoolOf(const KeeperBook& book);
+std::uint32_t PoolOf(const KeeperBook& keeper_state);
 /// Returns the maximum number of slots that holders may be using now beyond
 /// their lease-free ones: for each holder, its largest grant or, if greater,
 /// its calls in flight.
-std::uint32_t GrantedSum(const KeeperBook& book);
+std::uint32_t GrantedSum(const KeeperBook& keeper_state);
 
 /// Applies a request for slots: its evidence, the demand, and the grants that
 /// it ends. Returns why the endpoint's slots changed, if they did.
-policy::SlotReason TakeAsk(KeeperBook& book, const Sender& from,
+policy::SlotReason TakeAsk(KeeperBook& keeper_state, const Sender& from,
                            std::uint64_t number, const SlotAsk& ask, Time now);
 
 /// Grants `from` its share of the leasable slots, never more than remain beside
 /// what the others may still use. Returns the number of slots granted.
 /// O(holders log holders).
-std::uint32_t GrantSlots(KeeperBook& book, const Sender& from, Time now);
+std::uint32_t GrantSlots(KeeperBook& keeper_state, const Sender& from,
+                         Time now);
 
 /// Applies a report of the endpoint; null if it could not be read. Returns why
 /// the endpoint's slots changed, if they did.
-policy::SlotReason TakeReport(KeeperBook& book,
+policy::SlotReason TakeReport(KeeperBook& keeper_state,
                               const policy::EngineReport* report, Time now);
 
 /// A holder that may use more than its share, and the grant that it keeps.
@@ -120,7 +122,7 @@
 };
 /// Returns the holders whose grants exceed their share, for instance because
 /// the endpoint turned cold. They are told at once, before their leases lapse.
-std::vector<LeaseReduction> FindOverallocatedHolders(KeeperBook& book,
+std::vector<LeaseReduction> FindOverallocatedHolders(KeeperBook& keeper_state,
                                                      Time now);
 
 /// State of a holder's own slots at one endpoint.
@@ -161,8 +163,9 @@
 /// Answers that are still under way are ignored as well.
 void DropLease(HeldSlots& held, Time now);
 
-/// Returns true if a request for slots is due: after `every`, or sooner if work
-/// has begun to wait.
-bool AskIsDue(const HeldSlots& held, std::chrono::milliseconds every, Time now);
+/// Returns true if a request for slots is due: after `interval`, or sooner if
+/// work has begun to wait.
+bool AskIsDue(const HeldSlots& held, std::chrono::milliseconds interval,
+              Time now);
 
 }  // namespace egretladder::fleet
--- a/fleet/src/config.cc
+++ b/fleet/src/config.cc
@@ -88,30 +88,31 @@
          DocumentResult::kRefused;
 }
 
-bool BeginRead(ReadSchedule& plan, Time now) {
-  if (plan.reading && now - plan.began < kReadTimeout) return false;
-  if (now < plan.next) return false;
-  plan.reading = true;
-  plan.began = now;
+bool BeginRead(ReadSchedule& schedule, Time now) {
+  if (schedule.reading && now - schedule.began < kReadTimeout) return false;
+  if (now < schedule.next) return false;
+  schedule.reading = true;
+  schedule.began = now;
   return true;
 }
 
-void EndRead(ReadSchedule& plan, bool could_read,
-             std::chrono::milliseconds every, kernel::Random& random,
+void EndRead(ReadSchedule& schedule, bool could_read,
+             std::chrono::milliseconds interval, kernel::Random& random,
              Time now) {
-  plan.reading = false;
+  schedule.reading = false;
   if (could_read) {
-    plan.failures = 0;
-    plan.answered = now;
-    plan.ever_answered = true;
-    plan.next = now + every;
+    schedule.failures = 0;
+    schedule.answered = now;
+    schedule.ever_answered = true;
+    schedule.next = now + interval;
     return;
   }
-  const std::uint32_t doublings = std::min(plan.failures, 5U);
-  ++plan.failures;
+  const std::uint32_t doublings = std::min(schedule.failures, 5U);
+  ++schedule.failures;
   const auto pause =
       std::min(kInitialReadBackoff * (1U << doublings), kMaxReadBackoff);
-  plan.next = now + std::max(Jittered(pause, random), kInitialReadBackoff / 2);
+  schedule.next =
+      now + std::max(Jittered(pause, random), kInitialReadBackoff / 2);
 }
 
 std::chrono::milliseconds RulesReadInterval(ReadPace pace,
--- a/fleet/src/electorate.cc
+++ b/fleet/src/electorate.cc
@@ -45,13 +45,13 @@
 
 std::vector<NodeHandle> FindVoters(const Rules& rules,
                                    EndpointHandle endpoint) {
-  const rules::Endpoint& row = rules.endpoints[endpoint.idx];
-  const std::uint64_t seed = kernel::HashBytes(row.source.name);
+  const rules::Endpoint& endpoint_rules = rules.endpoints[endpoint.idx];
+  const std::uint64_t seed = kernel::HashBytes(endpoint_rules.source.name);
   std::vector<Ranked> ranked;
   for (std::uint32_t i = 0; i < rules.nodes.size(); ++i) {
     const rules::Node& node = rules.nodes[i];
     if (!node.source.present) continue;
-    ranked.push_back({Distance(rules, node.zone, row.zone),
+    ranked.push_back({Distance(rules, node.zone, endpoint_rules.zone),
                       Mix(seed, kernel::HashBytes(node.source.name)), i});
   }
   const std::size_t count = std::min(ranked.size(), kMaxVoters);
--- a/fleet/src/fleet.cc
+++ b/fleet/src/fleet.cc
@@ -23,26 +23,27 @@
   state.next_round = now;
   state.config.read.reading = false;
   state.config.read.next = now;
-  kernel::Log(kernel::LogPart::kFleet, kernel::LogLevel::kWarning,
-              "The process was paused. It asks its peers before it sends.");
+  kernel::Log(
+      kernel::LogPart::kFleet, kernel::LogLevel::kWarning,
+      "The process was paused. It contacts its peers before it sends work.");
 }
 
-bool OthersPublished(const FleetState& state) {
+bool HasOtherPublishedNodes(const FleetState& state) {
   return std::any_of(state.members.peers.begin(), state.members.peers.end(),
                      [](const auto& entry) { return entry.second.published; });
 }
 
-bool ReadLately(const ReadSchedule& plan, Time now) {
-  return plan.ever_answered && now - plan.answered <= kIsolationTimeout;
+bool WasReadRecently(const ReadSchedule& schedule, Time now) {
+  return schedule.ever_answered && now - schedule.answered <= kIsolationTimeout;
 }
 
-void ForgetNotices(FleetState& state, Time now) {
+void PruneVmNotices(FleetState& state, Time now) {
   std::erase_if(state.leaving_vms, [&](const auto& entry) {
     return now - entry.second >= kVmNoticeLifetime;
   });
 }
 
-int PreferenceOf(const Member& member, std::string_view zone) {
+int PreferenceRank(const Member& member, std::string_view zone) {
   const int far = member.zone == zone ? 0 : 1;
   return member.state == MemberState::kAlive ? far : far + 2;
 }
@@ -78,7 +79,7 @@
   self.started = options.started;
   state->fresh.last_tick = now;
   state->config.hold_until = now + kStartupPeerTimeout;
-  StartRound(*state, now, out);
+  StartGossipRound(*state, now, out);
   ReadPlatform(*state, now, out);
   return state;
 }
@@ -86,10 +87,10 @@
 void OnTick(FleetState& state, Time now, Actions& out) {
   DetectPause(state, now);
   ReleaseHeldBack(state, now, out);
-  StartRound(state, now, out);
+  StartGossipRound(state, now, out);
   ReadPlatform(state, now, out);
   if (state.config.rules == nullptr) return;
-  ForgetNotices(state, now);
+  PruneVmNotices(state, now);
   UpdateKeeping(state, now, out);
   AskForSlots(state, now, out);
   AnnounceEndpoints(state, now, out);
@@ -138,14 +139,15 @@
 bool KnowledgeIsFresh(const FleetState& state, Time now) {
   if (now - state.fresh.last_tick > kFreshFor) return false;
   if (state.members.replaced) return false;
-  const bool others = OthersPublished(state);
+  const bool others = HasOtherPublishedNodes(state);
   if (state.fresh.is_resuming &&
       (others || now - state.fresh.resumed_at < kMaxWakeCheckTime)) {
     return false;
   }
   if (!others) return true;
   return HasRecentContact(state.members, now) ||
-         ReadLately(state.config.read, now) || ReadLately(state.vm_list, now);
+         WasReadRecently(state.config.read, now) ||
+         WasReadRecently(state.vm_list, now);
 }
 
 FleetView ViewOf(const FleetState& state, Time now) {
@@ -165,13 +167,13 @@
     view.members.back().state = StateOf(peer, now);
   }
   for (const EndpointState& endpoint : state.endpoints) {
-    if (endpoint.book.has_value()) ++view.keeper_of;
+    if (endpoint.keeper_state.has_value()) ++view.keeper_of;
   }
   return view;
 }
 
 std::vector<Member> Where(const FleetState& state, std::string_view zone,
-                          std::size_t most, Time now) {
+                          std::size_t max_nodes, Time now) {
   std::vector<Member> members;
   const rules::Rules* rules = state.config.rules.get();
   const auto leaves = [&](const std::string& name) {
@@ -194,10 +196,10 @@
   }
   std::stable_sort(members.begin(), members.end(),
                    [&](const Member& left, const Member& right) {
-                     return PreferenceOf(left, zone) <
-                            PreferenceOf(right, zone);
+                     return PreferenceRank(left, zone) <
+                            PreferenceRank(right, zone);
                    });
-  if (members.size() > most) members.resize(most);
+  if (members.size() > max_nodes) members.resize(max_nodes);
   return members;
 }
 
--- a/fleet/src/fleet_gossip.cc
+++ b/fleet/src/fleet_gossip.cc
@@ -22,16 +22,18 @@
 
 std::vector<policy::QuarantineNotice> MakeQuarantineGossip(
     const FleetState& state, Time now) {
-  std::vector<policy::QuarantineNotice> blames =
+  std::vector<policy::QuarantineNotice> quarantine_notices =
       policy::ListQuarantineNotices(state.poison, now);
   // Notices with more deaths come first, then the newest, which have the
   // longest time left. Older ones were sent before.
-  std::sort(blames.begin(), blames.end(), [](const auto& a, const auto& b) {
-    return a.deaths != b.deaths ? a.deaths > b.deaths : a.left > b.left;
-  });
-  if (blames.size() > kMaxQuarantineNoticesPerMessage)
-    blames.resize(kMaxQuarantineNoticesPerMessage);
-  return blames;
+  std::sort(quarantine_notices.begin(), quarantine_notices.end(),
+            [](const auto& a, const auto& b) {
+              return a.deaths != b.deaths ? a.deaths > b.deaths
+                                          : a.left > b.left;
+            });
+  if (quarantine_notices.size() > kMaxQuarantineNoticesPerMessage)
+    quarantine_notices.resize(kMaxQuarantineNoticesPerMessage);
+  return quarantine_notices;
 }
 
 Gossip MakeGossip(FleetState& state, Time now) {
@@ -54,9 +56,9 @@
   Peer& peer = found->second;
   if (peer.member.peer_address.empty()) return;
   Gossip gossip = MakeGossip(state, now);
-  const bool knows_us = !with_members && peer.contact.any &&
-                        now - peer.contact.sent < kRecentContactTime;
-  if (!knows_us) {
+  const bool knows_this_node = !with_members && peer.contact.any &&
+                               now - peer.contact.sent < kRecentContactTime;
+  if (!knows_this_node) {
     gossip.members = MembersToTell(state.members, state.random, now);
   }
   gossip.reply_wanted = true;
@@ -66,8 +68,8 @@
 
 /// Returns true if this node may soon have to keep the endpoint: it is the
 /// first voter, or none of those before it is alive.
-bool MayKeepSoon(const FleetState& state, const EndpointState& endpoint,
-                 Time now) {
+bool MightKeepSoon(const FleetState& state, const EndpointState& endpoint,
+                   Time now) {
   if (endpoint.rank >= endpoint.voters.size()) return false;
   for (std::size_t i = 0; i < endpoint.rank; ++i) {
     const auto found = state.members.peers.find(endpoint.voters[i]);
@@ -90,7 +92,7 @@
 void AddVoters(const FleetState& state, Time now,
                std::set<std::string>& targets) {
   for (const EndpointState& endpoint : state.endpoints) {
-    if (!MayKeepSoon(state, endpoint, now)) continue;
+    if (!MightKeepSoon(state, endpoint, now)) continue;
     for (const std::string& voter : endpoint.voters) {
       if (voter != state.members.self.node) targets.insert(voter);
     }
@@ -133,10 +135,11 @@
   }
 }
 
-void ApplyQuarantineNotices(FleetState& state,
-                            const std::vector<policy::QuarantineNotice>& blames,
-                            Time now, Actions& out) {
-  for (const policy::QuarantineNotice& told : blames) {
+void ApplyQuarantineNotices(
+    FleetState& state,
+    const std::vector<policy::QuarantineNotice>& quarantine_notices, Time now,
+    Actions& out) {
+  for (const policy::QuarantineNotice& told : quarantine_notices) {
     if (!policy::ApplyQuarantineNotice(state.poison, told, now)) continue;
     out.emplace_back(QuarantineAdded{told.fingerprint, told.left});
   }
@@ -170,7 +173,7 @@
                                             : found->second.member.peer_address;
 }
 
-void StartRound(FleetState& state, Time now, Actions& out) {
+void StartGossipRound(FleetState& state, Time now, Actions& out) {
   if (now < state.next_round) return;
   const auto jitter = milliseconds(kernel::RandomBelow(
       state.random, static_cast<std::uint64_t>(kPingInterval.count() / 5)));
--- a/fleet/src/fleet_keeper.cc
+++ b/fleet/src/fleet_keeper.cc
@@ -15,14 +15,14 @@
 
 bool MayKeep(const FleetState& state, const EndpointState& endpoint, Time now) {
   return !state.leaving && MayKeep(state.members, endpoint.voters,
-                                   endpoint.book.has_value(), now);
+                                   endpoint.keeper_state.has_value(), now);
 }
 
 /// Returns true if a majority has supported this node without a break since it
 /// stopped keeping the endpoint. It lost its mandate only briefly, and its
 /// leases may still be in use; a new keeper state would lease the same slots
 /// again.
-bool NobodyElseKept(const FleetState& state, const EndpointState& endpoint) {
+bool HadNoOtherKeeper(const FleetState& state, const EndpointState& endpoint) {
   const auto unbroken = static_cast<std::size_t>(std::count_if(
       endpoint.voters.begin(), endpoint.voters.end(),
       [&](const std::string& voter) {
@@ -32,41 +32,43 @@
 }
 
 void StartKeeping(FleetState& state, EndpointHandle handle, Time now) {
-  const rules::Endpoint& row = GetEndpointRules(state, handle);
+  const rules::Endpoint& endpoint_rules = GetEndpointRules(state, handle);
   EndpointState& endpoint = state.endpoints[handle.idx];
-  if (endpoint.former.has_value() && NobodyElseKept(state, endpoint)) {
-    endpoint.book = std::move(endpoint.former);
-    ResumeBook(*endpoint.book, row, endpoint.stopped, now);
+  if (endpoint.former_keeper_state.has_value() &&
+      HadNoOtherKeeper(state, endpoint)) {
+    endpoint.keeper_state = std::move(endpoint.former_keeper_state);
+    ResumeBook(*endpoint.keeper_state, endpoint_rules, endpoint.stopped, now);
   } else {
-    endpoint.book.emplace();
-    OpenBook(*endpoint.book, row, now);
+    endpoint.keeper_state.emplace();
+    OpenBook(*endpoint.keeper_state, endpoint_rules, now);
   }
-  endpoint.former.reset();
+  endpoint.former_keeper_state.reset();
   EndpointOrders& orders = state.orders.kept[handle];
   orders = {};
   orders.kept_since = now;
   orders.changed = now;
   Log(LogPart::kFleet, LogLevel::kInfo,
-      "Keeps endpoint " + row.source.name + ".");
+      "Started keeping endpoint " + endpoint_rules.source.name + ".");
 }
 
 void StopKeeping(FleetState& state, EndpointHandle handle, Time now) {
   EndpointState& endpoint = state.endpoints[handle.idx];
-  endpoint.former = std::move(endpoint.book);
-  endpoint.book.reset();
+  endpoint.former_keeper_state = std::move(endpoint.keeper_state);
+  endpoint.keeper_state.reset();
   endpoint.stopped = now;
   state.orders.kept.erase(handle);
   Log(LogPart::kFleet, LogLevel::kInfo,
-      "Keeps endpoint " + GetEndpointRules(state, handle).source.name +
-          " no longer.");
+      "Stopped keeping endpoint " +
+          GetEndpointRules(state, handle).source.name + ".");
 }
 
 /// Returns the number of published nodes, including this one, that have not
 /// requested slots.
-std::uint32_t SilentNodes(const FleetState& state, const KeeperBook& book) {
+std::uint32_t SilentNodes(const FleetState& state,
+                          const KeeperBook& keeper_state) {
   const auto asked = [&](const std::string& node) {
     return std::any_of(
-        book.holders.begin(), book.holders.end(),
+        keeper_state.holders.begin(), keeper_state.holders.end(),
         [&](const Holder& holder) { return holder.process.node == node; });
   };
   std::uint32_t silent = asked(state.members.self.node) ? 0 : 1;
@@ -76,11 +78,11 @@
   return silent;
 }
 
-void AskReport(FleetState& state, EndpointHandle handle, Time now,
-               Actions& out) {
+void RequestReport(FleetState& state, EndpointHandle handle, Time now,
+                   Actions& out) {
   EndpointState& endpoint = state.endpoints[handle.idx];
-  if (!endpoint.has_reports || now < endpoint.book->next_report) return;
-  endpoint.book->next_report = now + kReportInterval;
+  if (!endpoint.has_reports || now < endpoint.keeper_state->next_report) return;
+  endpoint.keeper_state->next_report = now + kReportInterval;
   out.emplace_back(ReadReport{handle});
 }
 
@@ -105,7 +107,7 @@
   return spare;
 }
 
-std::size_t NodesCount(const FleetState& state) {
+std::size_t CountNodes(const FleetState& state) {
   return state.members.peers.size() + 1;
 }
 
@@ -115,11 +117,11 @@
   const bool fresh =
       endpoint.report.has_value() && now - endpoint.report_at <= kMaxReportAge;
   if (!endpoint.available || !fresh) return;
-  const rules::Endpoint& row = GetEndpointRules(state, handle);
+  const rules::Endpoint& endpoint_rules = GetEndpointRules(state, handle);
   OrderInput input;
   input.desired = state.orders.placement[handle.idx];
-  input.max_loaded_models = row.max_loaded_models;
-  input.honours_fencing = row.honours_fencing;
+  input.max_loaded_models = endpoint_rules.max_loaded_models;
+  input.honours_fencing = endpoint_rules.honours_fencing;
   input.store_free = now >= state.orders.next_load;
   input.spare = SpareModels(state, handle, now);
   EndpointOrders& orders = state.orders.kept[handle];
@@ -127,23 +129,23 @@
   if (!next.has_value()) return;
   orders.open = OpenOrder{next->kind, next->target, now};
   if (next->kind == OrderKind::kLoad) {
-    state.orders.next_load = now + LoadPause(NodesCount(state));
+    state.orders.next_load = now + LoadPause(CountNodes(state));
   }
   out.emplace_back(
       OrderEngine{handle, next->kind, next->target, GetRulesVersion(state)});
 }
 
-void FillReport(const FleetState& state, const KeeperBook& book,
+void FillReport(const FleetState& state, const KeeperBook& keeper_state,
                 SlotLease& lease, Time now) {
-  if (!book.report.has_value()) return;
-  const policy::EngineReport& report = *book.report;
+  if (!keeper_state.report.has_value()) return;
+  const policy::EngineReport& report = *keeper_state.report;
   lease.boot = report.boot;
   lease.running = report.running;
   lease.waiting = report.waiting;
   lease.cache_used_per_mille = static_cast<std::uint32_t>(
       std::clamp(report.cache_used, 0.0, 1.0) * 1000);
   lease.report_age =
-      report.age + duration_cast<milliseconds>(now - book.report_at);
+      report.age + duration_cast<milliseconds>(now - keeper_state.report_at);
   for (const rules::TargetHandle target : report.loaded) {
     lease.loaded.push_back(state.config.rules->targets[target.idx].source.name);
   }
@@ -158,9 +160,9 @@
   lease.ask_number = ask_number;
   // Until this keeper knows what it has taken over, the total of its
   // predecessor stays valid.
-  const KeeperBook& book = *state.endpoints[handle.idx].book;
-  lease.total = book.ready ? book.slots.slots : 0;
-  FillReport(state, book, lease, now);
+  const KeeperBook& keeper_state = *state.endpoints[handle.idx].keeper_state;
+  lease.total = keeper_state.ready ? keeper_state.slots.slots : 0;
+  FillReport(state, keeper_state, lease, now);
   return lease;
 }
 
@@ -169,30 +171,31 @@
 void LogSlots(const FleetState& state, EndpointHandle handle,
               policy::SlotReason reason) {
   if (reason == policy::SlotReason::kUnchanged) return;
-  const KeeperBook& book = *state.endpoints[handle.idx].book;
+  const KeeperBook& keeper_state = *state.endpoints[handle.idx].keeper_state;
   Log(LogPart::kFleet, LogLevel::kInfo,
       "Endpoint " + GetEndpointRules(state, handle).source.name + " has " +
-          std::to_string(book.slots.slots) +
+          std::to_string(keeper_state.slots.slots) +
           " slots: " + policy::NameOf(reason) + ".");
 }
 
 void UpdateKeeping(FleetState& state, Time now, Actions& out) {
   for (std::uint32_t i = 0; i < state.endpoints.size(); ++i) {
     EndpointState& endpoint = state.endpoints[i];
-    const bool keeps = endpoint.book.has_value();
+    const bool keeps = endpoint.keeper_state.has_value();
     const bool may = MayKeep(state, endpoint, now);
     if (may && !keeps) StartKeeping(state, {i}, now);
     if (!may && keeps) StopKeeping(state, {i}, now);
-    if (!endpoint.book.has_value()) continue;
+    if (!endpoint.keeper_state.has_value()) continue;
     // An engine whose reports can't be read is treated like a service.
     const auto wait = endpoint.has_reports
                           ? kHolderSilenceTimeout + kReportTimeout
                           : kHolderSilenceTimeout;
-    if (!endpoint.book->ready && now - endpoint.book->opened >= wait) {
-      AssumeUnattributedCalls(*endpoint.book,
-                              SilentNodes(state, *endpoint.book));
+    if (!endpoint.keeper_state->ready &&
+        now - endpoint.keeper_state->opened >= wait) {
+      AssumeUnattributedCalls(*endpoint.keeper_state,
+                              SilentNodes(state, *endpoint.keeper_state));
     }
-    AskReport(state, {i}, now, out);
+    RequestReport(state, {i}, now, out);
     GiveOrder(state, {i}, now, out);
   }
 }
@@ -200,9 +203,9 @@
 SlotLease AnswerAsk(FleetState& state, EndpointHandle handle,
                     const Sender& from, std::uint64_t number,
                     const SlotAsk& ask, Time now) {
-  KeeperBook& book = *state.endpoints[handle.idx].book;
-  LogSlots(state, handle, TakeAsk(book, from, number, ask, now));
-  const std::uint32_t slots = GrantSlots(book, from, now);
+  KeeperBook& keeper_state = *state.endpoints[handle.idx].keeper_state;
+  LogSlots(state, handle, TakeAsk(keeper_state, from, number, ask, now));
+  const std::uint32_t slots = GrantSlots(keeper_state, from, now);
   return MakeLease(state, handle, slots, number, now);
 }
 
@@ -217,11 +220,12 @@
     EndpointState& endpoint = state.endpoints[handle.idx];
     // Checked again for each request: this process may have been paused since
     // its last tick, and another node may keep the endpoint by now.
-    if (!endpoint.book.has_value() || !MayKeep(state, endpoint, now)) continue;
-    const std::uint32_t pool_before = PoolOf(*endpoint.book);
+    if (!endpoint.keeper_state.has_value() || !MayKeep(state, endpoint, now))
+      continue;
+    const std::uint32_t pool_before = PoolOf(*endpoint.keeper_state);
     leases.leases.push_back(
         AnswerAsk(state, handle, from, asks.number, ask, now));
-    if (PoolOf(*endpoint.book) < pool_before) {
+    if (PoolOf(*endpoint.keeper_state) < pool_before) {
       ReduceLeases(state, handle, now, out);
     }
   }
@@ -234,7 +238,7 @@
                   Actions& out) {
   EndpointState& endpoint = state.endpoints[handle.idx];
   for (const LeaseReduction& cut :
-       FindOverallocatedHolders(*endpoint.book, now)) {
+       FindOverallocatedHolders(*endpoint.keeper_state, now)) {
     SlotLeases leases;
     leases.leases.push_back(
         MakeLease(state, handle, cut.keep.slots, cut.keep.ask_number, now));
@@ -258,13 +262,13 @@
     endpoint.report_at = now - report->age;
     out.emplace_back(ReportSeen{handle, *report});
   }
-  if (!endpoint.book.has_value()) return;
-  const std::uint32_t pool_before = PoolOf(*endpoint.book);
-  LogSlots(state, handle, TakeReport(*endpoint.book, report, now));
+  if (!endpoint.keeper_state.has_value()) return;
+  const std::uint32_t pool_before = PoolOf(*endpoint.keeper_state);
+  LogSlots(state, handle, TakeReport(*endpoint.keeper_state, report, now));
   if (report != nullptr) {
     SeeLoaded(state.orders.kept[handle], report->loaded, now);
   }
-  if (PoolOf(*endpoint.book) < pool_before) {
+  if (PoolOf(*endpoint.keeper_state) < pool_before) {
     ReduceLeases(state, handle, now, out);
   }
 }
--- a/fleet/src/fleet_rules.cc
+++ b/fleet/src/fleet_rules.cc
@@ -11,7 +11,8 @@
 using kernel::LogLevel;
 using kernel::LogPart;
 
-bool OthersPublished(const rules::Rules& rules, const std::string& self) {
+bool HasOtherPublishedNodes(const rules::Rules& rules,
+                            const std::string& self) {
   return std::any_of(rules.nodes.begin(), rules.nodes.end(),
                      [&](const rules::Node& node) {
                        return node.source.present && node.source.name != self;
@@ -35,7 +36,7 @@
 ReadPace GetReadPace(const FleetState& state, Time now) {
   if (state.config.rules == nullptr) return ReadPace::kAlone;
   const bool others =
-      OthersPublished(*state.config.rules, state.members.self.node);
+      HasOtherPublishedNodes(*state.config.rules, state.members.self.node);
   if (others && !HasRecentContact(state.members, now)) return ReadPace::kAlone;
   return IsReader(*state.config.rules, state.members.self.node)
              ? ReadPace::kWatch
@@ -116,13 +117,13 @@
   // Without this pause, a service that answers a watch at once with a known
   // version would be called in a tight loop.
   const bool at_once = now - state.config.read.began < kInitialReadBackoff;
-  const bool useless = at_once && text != nullptr &&
-                       GetRulesVersion(state) == before &&
-                       !state.config.has_held_document;
+  const bool brought_nothing_new = at_once && text != nullptr &&
+                                   GetRulesVersion(state) == before &&
+                                   !state.config.has_held_document;
   EndRead(state.config.read, text != nullptr,
-          useless ? std::max(RulesReadInterval(pace, state.random),
-                             kInitialReadBackoff)
-                  : RulesReadInterval(pace, state.random),
+          brought_nothing_new ? std::max(RulesReadInterval(pace, state.random),
+                                         kInitialReadBackoff)
+                              : RulesReadInterval(pace, state.random),
           state.random, now);
 }
 
--- a/fleet/src/fleet_slots.cc
+++ b/fleet/src/fleet_slots.cc
@@ -21,10 +21,10 @@
 }
 
 bool IsAvailable(const FleetState& state, std::uint32_t idx, Time now) {
-  const rules::Endpoint& row = state.config.rules->endpoints[idx];
+  const rules::Endpoint& endpoint_rules = state.config.rules->endpoints[idx];
   return state.endpoints[idx].used && !state.members.replaced &&
-         TakesWork(*state.config.rules, row) &&
-         !IsLeavingVm(state, row.source.name, now);
+         TakesWork(*state.config.rules, endpoint_rules) &&
+         !IsLeavingVm(state, endpoint_rules.source.name, now);
 }
 
 /// Recomputes the placement of models after an endpoint began or ceased to take
@@ -33,9 +33,9 @@
   const rules::Rules& rules = *state.config.rules;
   std::vector<bool> takes_work(rules.endpoints.size());
   for (std::uint32_t i = 0; i < rules.endpoints.size(); ++i) {
-    const rules::Endpoint& row = rules.endpoints[i];
-    takes_work[i] =
-        TakesWork(rules, row) && !IsLeavingVm(state, row.source.name, now);
+    const rules::Endpoint& endpoint_rules = rules.endpoints[i];
+    takes_work[i] = TakesWork(rules, endpoint_rules) &&
+                    !IsLeavingVm(state, endpoint_rules.source.name, now);
   }
   if (takes_work == state.takes_work) return;
   state.takes_work = std::move(takes_work);
@@ -89,8 +89,8 @@
 
 /// Returns the number of the first request whose answer may still be applied;
 /// see `ApplyLease`.
-std::uint64_t LiveFrom(const FleetState& state, const HeldSlots& held,
-                       Time now) {
+std::uint64_t FirstLiveAsk(const FleetState& state, const HeldSlots& held,
+                           Time now) {
   std::uint64_t first = state.asks;
   for (const auto& [number, sent] : state.asks_sent) {
     if (now - sent >= kLeaseLife - kFreshFor) continue;
@@ -113,7 +113,7 @@
   ask.urgent = BeyondFloor(held, held.demand.urgent);
   ask.total = held.total;
   ask.total_boot = held.boot;
-  ask.live_from = LiveFrom(state, held, now);
+  ask.live_from = FirstLiveAsk(state, held, now);
   ask.down = held.down;
   ask.evidence = held.evidence;
   held.evidence = {};
@@ -130,7 +130,7 @@
   const Sender self{state.members.self.node, state.members.self.incarnation};
   SlotLeases leases;
   for (const auto& [endpoint, ask] : asks) {
-    if (!state.endpoints[endpoint.idx].book.has_value()) continue;
+    if (!state.endpoints[endpoint.idx].keeper_state.has_value()) continue;
     leases.leases.push_back(AnswerAsk(state, endpoint, self, number, ask, now));
   }
   ApplyLeases(state, self.node, leases, now, out);
@@ -163,10 +163,11 @@
   for (std::uint32_t i = 0; i < rules.endpoints.size(); ++i) {
     state.endpoints[i].used = used[i];
     ApplyEndpoint(state, i);
-    KeeperBook* book = state.endpoints[i].book.has_value()
-                           ? &*state.endpoints[i].book
-                           : nullptr;
-    if (book != nullptr) UpdateCapacity(*book, rules.endpoints[i], now);
+    KeeperBook* keeper_state = state.endpoints[i].keeper_state.has_value()
+                                   ? &*state.endpoints[i].keeper_state
+                                   : nullptr;
+    if (keeper_state != nullptr)
+      UpdateCapacity(*keeper_state, rules.endpoints[i], now);
   }
   UpdatePublishedNodes(state.members, rules, now);
 }
@@ -195,12 +196,13 @@
 
 void AskForSlots(FleetState& state, Time now, Actions& out) {
   std::map<std::string, Asks> by_keeper;
-  const auto every = state.endpoints.size() <= kMaxFastAskEndpoints
-                         ? kSlotAskInterval
-                         : kManyEndpointsAskInterval;
+  const auto interval = state.endpoints.size() <= kMaxFastAskEndpoints
+                            ? kSlotAskInterval
+                            : kManyEndpointsAskInterval;
   for (std::uint32_t i = 0; i < state.endpoints.size(); ++i) {
     EndpointState& endpoint = state.endpoints[i];
-    if (!endpoint.available || !AskIsDue(endpoint.held, every, now)) continue;
+    if (!endpoint.available || !AskIsDue(endpoint.held, interval, now))
+      continue;
     const auto keepers = KeepersToAsk(state, endpoint, now);
     if (keepers.empty()) continue;
     const SlotAsk ask = MakeAsk(state, {i}, now);
@@ -240,7 +242,7 @@
     }
     endpoint.report = report;
     endpoint.report_at = now - report.age;
-    if (!endpoint.book.has_value())
+    if (!endpoint.keeper_state.has_value())
       out.emplace_back(ReportSeen{handle, report});
   }
 }
--- a/fleet/src/fleet_state_p.h
+++ b/fleet/src/fleet_state_p.h
@@ -30,9 +30,11 @@
   /// Index of this node in `voters`; `voters.size()` if it is not one.
   std::size_t rank = 0;
   HeldSlots held;
-  std::optional<KeeperBook> book;  ///< Set while this node keeps the endpoint.
-  std::optional<KeeperBook> former;  ///< Keeper state of the previous period in
-                                     ///< which this node kept the endpoint.
+  std::optional<KeeperBook>
+      keeper_state;  ///< Set while this node keeps the endpoint.
+  std::optional<KeeperBook>
+      former_keeper_state;  ///< Keeper state of the previous period in
+                            ///< which this node kept the endpoint.
   Time stopped{};
   /// The last report that reached this node.
   std::optional<policy::EngineReport> report;
@@ -69,7 +71,7 @@
 };
 
 // fleet_gossip.cc
-void StartRound(FleetState& state, Time now, Actions& out);
+void StartGossipRound(FleetState& state, Time now, Actions& out);
 void GossipToRandomPeers(FleetState& state, Time now, Actions& out);
 void GossipToVoters(FleetState& state, Time now, Actions& out);
 void HandleGossip(FleetState& state, const Sender& from, const Gossip& gossip,
--- a/fleet/src/lease_holder.cc
+++ b/fleet/src/lease_holder.cc
@@ -35,15 +35,16 @@
   held.dropped = now;
 }
 
-bool AskIsDue(const HeldSlots& held, std::chrono::milliseconds every,
+bool AskIsDue(const HeldSlots& held, std::chrono::milliseconds interval,
               Time now) {
   const auto since = now - held.last_ask;
-  if (since >= every) return true;
+  if (since >= interval) return true;
   // Only once each time that work begins to wait: under sustained load, more
   // frequent requests bring no more slots.
-  const bool hurry = held.down || (held.had_enough_slots &&
-                                   held.demand.wanted > UsableSlots(held, now));
-  return hurry && since >= kMinSlotAskInterval;
+  const bool is_urgent =
+      held.down ||
+      (held.had_enough_slots && held.demand.wanted > UsableSlots(held, now));
+  return is_urgent && since >= kMinSlotAskInterval;
 }
 
 }  // namespace egretladder::fleet
--- a/fleet/src/lease_keeper.cc
+++ b/fleet/src/lease_keeper.cc
@@ -10,15 +10,15 @@
 namespace egretladder::fleet {
 namespace {
 
-bool IsSame(const Sender& left, const Sender& right) {
+bool IsSameProcess(const Sender& left, const Sender& right) {
   return left.node == right.node && left.incarnation == right.incarnation;
 }
 
-Holder* Find(KeeperBook& book, const Sender& process) {
-  const auto found =
-      std::find_if(book.holders.begin(), book.holders.end(),
-                   [&](const Holder& h) { return IsSame(h.process, process); });
-  return found == book.holders.end() ? nullptr : &*found;
+Holder* Find(KeeperBook& keeper_state, const Sender& process) {
+  const auto found = std::find_if(
+      keeper_state.holders.begin(), keeper_state.holders.end(),
+      [&](const Holder& h) { return IsSameProcess(h.process, process); });
+  return found == keeper_state.holders.end() ? nullptr : &*found;
 }
 
 std::uint32_t Outstanding(const Holder& holder) {
@@ -35,45 +35,47 @@
 /// within seconds. Without a report, or while the endpoint's capacity is too
 /// small to risk an error, they count for as long as an ordinary answer may
 /// take.
-std::chrono::milliseconds SilentCallsKept(const KeeperBook& book) {
-  const bool warm = book.slots.slots > book.slots.cold_max_in_flight;
-  return warm && book.report.has_value()
+std::chrono::milliseconds SilentCallsKept(const KeeperBook& keeper_state) {
+  const bool warm =
+      keeper_state.slots.slots > keeper_state.slots.cold_max_in_flight;
+  return warm && keeper_state.report.has_value()
              ? kMaxReportAge
              : std::chrono::milliseconds(kSilentCallRetention);
 }
 
 /// Removes holders that have been silent for longer than both a lease and the
 /// calls begun under it may last.
-void Prune(KeeperBook& book, Time now) {
-  const auto kept = std::max(SilentCallsKept(book), kLeaseLife);
-  std::erase_if(book.holders, [&](const Holder& holder) {
+void PruneHolders(KeeperBook& keeper_state, Time now) {
+  const auto kept = std::max(SilentCallsKept(keeper_state), kLeaseLife);
+  std::erase_if(keeper_state.holders, [&](const Holder& holder) {
     return now - holder.asked >= (holder.replaced ? kLeaseLife : kept);
   });
 }
 
 /// Returns the number of calls at the endpoint that no holder accounts for.
-std::uint32_t CountUnattributedCalls(const KeeperBook& book, Time now) {
-  if (now - book.opened >= SilentCallsKept(book)) return 0;
-  if (book.report.has_value()) return book.unattributed_calls;
+std::uint32_t CountUnattributedCalls(const KeeperBook& keeper_state, Time now) {
+  if (now - keeper_state.opened >= SilentCallsKept(keeper_state)) return 0;
+  if (keeper_state.report.has_value()) return keeper_state.unattributed_calls;
   // One slot stays usable: its answers let the limit grow, while the endpoint
   // would be idle for as long as unattributed calls count otherwise.
-  return std::min(book.unattributed_calls, book.slots.cold_max_in_flight - 1);
+  return std::min(keeper_state.unattributed_calls,
+                  keeper_state.slots.cold_max_in_flight - 1);
 }
 
 /// Returns true if the report was made late enough to show all calls that a
 /// former keeper's leases admitted. One made before the last of these leases
 /// lapsed may miss some.
-bool CoversAllUnattributedCalls(const KeeperBook& book,
+bool CoversAllUnattributedCalls(const KeeperBook& keeper_state,
                                 const policy::EngineReport& report, Time now) {
-  return now - report.age >= book.opened - kMaxInitialReportLead;
+  return now - report.age >= keeper_state.opened - kMaxInitialReportLead;
 }
 
 /// Resets the calls in flight of silent holders after a new boot, which ended
 /// everything that ran before. (A death that a node reports doesn't prove a new
 /// boot, since a process that was paused notices it long after.) Active holders
 /// report their own calls and may already have new ones; the silent ones can't.
-void ForgetSilentCalls(KeeperBook& book, Time now) {
-  for (Holder& holder : book.holders) {
+void ClearSilentCalls(KeeperBook& keeper_state, Time now) {
+  for (Holder& holder : keeper_state.holders) {
     if (!IsActiveHolder(holder, now)) holder.in_flight = 0;
   }
 }
@@ -81,15 +83,15 @@
 /// Returns true if the keeper knows what runs at the endpoint and whether it
 /// has restarted. It must find out first when it begins or resumes after a
 /// break.
-bool MayGrant(const KeeperBook& book) {
-  return book.ready &&
-         (!book.report.has_value() || book.report_at >= book.resumed);
+bool CanGrant(const KeeperBook& keeper_state) {
+  return keeper_state.ready && (!keeper_state.report.has_value() ||
+                                keeper_state.report_at >= keeper_state.resumed);
 }
 
 /// Marks the holders of a node's older processes as replaced, because a newer
 /// one has requested slots and the calls of its predecessors are gone.
-void ForgetCallsOf(KeeperBook& book, const Sender& newer) {
-  for (Holder& holder : book.holders) {
+void MarkReplacedHolders(KeeperBook& keeper_state, const Sender& newer) {
+  for (Holder& holder : keeper_state.holders) {
     const bool older = holder.process.node == newer.node &&
                        holder.process.incarnation != newer.incarnation;
     if (!older) continue;
@@ -107,11 +109,11 @@
 /// Returns the active holders in a random order that changes every
 /// `kLotteryInterval`. With a fixed order and fewer slots than holders, the
 /// same few would always get them.
-std::vector<Share> DrawLots(const KeeperBook& book, Time now) {
+std::vector<Share> DrawLots(const KeeperBook& keeper_state, Time now) {
   const auto draw =
       static_cast<std::uint64_t>(now.time_since_epoch() / kLotteryInterval);
   std::vector<Share> parts;
-  for (const Holder& holder : book.holders) {
+  for (const Holder& holder : keeper_state.holders) {
     if (!IsActiveHolder(holder, now)) continue;
     parts.push_back({&holder, kernel::HashBytes(holder.process.node, draw), 0});
   }
@@ -155,9 +157,9 @@
 /// beside a burst of top-tier requests, fewer than 90 of 100 were answered in
 /// time). Then each holder gets what it wants, then what is left, so that an
 /// idle node can start its next call without asking.
-std::vector<Share> AllocateSlots(const KeeperBook& book, Time now) {
-  std::vector<Share> parts = DrawLots(book, now);
-  std::uint32_t left = DistributeUpTo(parts, UrgentLimit, PoolOf(book));
+std::vector<Share> AllocateSlots(const KeeperBook& keeper_state, Time now) {
+  std::vector<Share> parts = DrawLots(keeper_state, now);
+  std::uint32_t left = DistributeUpTo(parts, UrgentLimit, PoolOf(keeper_state));
   left = DistributeUpTo(parts, WantedLimit, left);
   DistributeUpTo(parts, Unlimited, left);
   return parts;
@@ -175,71 +177,77 @@
 /// stops would reduce its warm endpoints to their cold capacity of a few
 /// requests. The lowest of several claims counts, since any of them may be
 /// outdated.
-void InheritTotal(KeeperBook& book, Holder& holder, const SlotAsk& ask,
+void InheritTotal(KeeperBook& keeper_state, Holder& holder, const SlotAsk& ask,
                   Time now) {
-  if (!book.ready || holder.claimed) return;
+  if (!keeper_state.ready || holder.claimed) return;
   holder.claimed = true;
-  const bool same_boot = book.report.has_value() && ask.total_boot != 0 &&
-                         book.report->boot == ask.total_boot &&
-                         book.slots.boot == ask.total_boot;
-  if (!same_boot || ask.total == 0 || now >= book.take_over_until) return;
-  if (book.claimed != 0 && ask.total >= book.claimed) return;
-  book.claimed = ask.total;
-  book.slots.slots = std::clamp(ask.total, book.slots.cold_max_in_flight,
-                                book.slots.max_in_flight);
-  book.slots.since = now;
+  const bool same_boot = keeper_state.report.has_value() &&
+                         ask.total_boot != 0 &&
+                         keeper_state.report->boot == ask.total_boot &&
+                         keeper_state.slots.boot == ask.total_boot;
+  if (!same_boot || ask.total == 0 || now >= keeper_state.take_over_until)
+    return;
+  if (keeper_state.claimed != 0 && ask.total >= keeper_state.claimed) return;
+  keeper_state.claimed = ask.total;
+  keeper_state.slots.slots =
+      std::clamp(ask.total, keeper_state.slots.cold_max_in_flight,
+                 keeper_state.slots.max_in_flight);
+  keeper_state.slots.since = now;
 }
 
-policy::SlotReason Restart(KeeperBook& book, std::uint64_t boot, Time now) {
-  book.take_over_until = now;
-  return policy::StartSlots(book.slots, book.slots.cold_max_in_flight,
-                            book.slots.max_in_flight, boot, now);
+policy::SlotReason Restart(KeeperBook& keeper_state, std::uint64_t boot,
+                           Time now) {
+  keeper_state.take_over_until = now;
+  return policy::StartSlots(keeper_state.slots,
+                            keeper_state.slots.cold_max_in_flight,
+                            keeper_state.slots.max_in_flight, boot, now);
 }
 
 /// Applies evidence about the endpoint. A new boot ends the calls that ran
 /// before it.
-policy::SlotReason ApplyEvidence(KeeperBook& book,
+policy::SlotReason ApplyEvidence(KeeperBook& keeper_state,
                                  const policy::SlotEvidence& evidence,
                                  Time now) {
-  const std::uint64_t boot = book.slots.boot;
-  const auto reason = policy::OnEvidence(book.slots, evidence, now);
-  if (boot != 0 && book.slots.boot != boot) {
-    ForgetSilentCalls(book, now);
+  const std::uint64_t boot = keeper_state.slots.boot;
+  const auto reason = policy::OnEvidence(keeper_state.slots, evidence, now);
+  if (boot != 0 && keeper_state.slots.boot != boot) {
+    ClearSilentCalls(keeper_state, now);
   }
   return reason;
 }
 
 }  // namespace
 
-void OpenBook(KeeperBook& book, const rules::Endpoint& endpoint, Time now) {
-  book = {};
-  book.floor_sum = FloorSum(endpoint);
-  book.opened = now;
-  book.sign_of_life = now;
-  book.take_over_until = now + kLeaseLife;
-  policy::StartSlots(book.slots, endpoint.cold_max_in_flight,
+void OpenBook(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
+              Time now) {
+  keeper_state = {};
+  keeper_state.floor_sum = FloorSum(endpoint);
+  keeper_state.opened = now;
+  keeper_state.sign_of_life = now;
+  keeper_state.take_over_until = now + kLeaseLife;
+  policy::StartSlots(keeper_state.slots, endpoint.cold_max_in_flight,
                      endpoint.max_in_flight, 0, now);
 }
 
-void ResumeBook(KeeperBook& book, const rules::Endpoint& endpoint, Time stopped,
-                Time now) {
-  UpdateCapacity(book, endpoint, now);
-  book.resumed = now;
+void ResumeBook(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
+                Time stopped, Time now) {
+  UpdateCapacity(keeper_state, endpoint, now);
+  keeper_state.resumed = now;
   const bool unseen =
-      now - stopped > kReportTimeout && !book.report.has_value();
-  if (unseen) Restart(book, book.slots.boot, now);
+      now - stopped > kReportTimeout && !keeper_state.report.has_value();
+  if (unseen) Restart(keeper_state, keeper_state.slots.boot, now);
 }
 
-void AssumeUnattributedCalls(KeeperBook& book, std::uint32_t silent) {
-  book.ready = true;
-  book.unattributed_calls = silent;
-  for (Holder& holder : book.holders) holder.known = true;
+void AssumeUnattributedCalls(KeeperBook& keeper_state, std::uint32_t silent) {
+  keeper_state.ready = true;
+  keeper_state.unattributed_calls = silent;
+  for (Holder& holder : keeper_state.holders) holder.known = true;
 }
 
-void UpdateCapacity(KeeperBook& book, const rules::Endpoint& endpoint,
+void UpdateCapacity(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
                     Time now) {
-  policy::SlotState& slots = book.slots;
-  book.floor_sum = FloorSum(endpoint);
+  policy::SlotState& slots = keeper_state.slots;
+  keeper_state.floor_sum = FloorSum(endpoint);
   if (slots.max_in_flight == endpoint.max_in_flight &&
       slots.cold_max_in_flight == endpoint.cold_max_in_flight) {
     return;
@@ -250,25 +258,26 @@
   slots.slots = std::clamp(before, 1U, slots.max_in_flight);
 }
 
-std::uint32_t PoolOf(const KeeperBook& book) {
-  return book.slots.slots > book.floor_sum ? book.slots.slots - book.floor_sum
-                                           : 0;
+std::uint32_t PoolOf(const KeeperBook& keeper_state) {
+  return keeper_state.slots.slots > keeper_state.floor_sum
+             ? keeper_state.slots.slots - keeper_state.floor_sum
+             : 0;
 }
 
-std::uint32_t GrantedSum(const KeeperBook& book) {
+std::uint32_t GrantedSum(const KeeperBook& keeper_state) {
   std::uint32_t sum = 0;
-  for (const Holder& holder : book.holders) sum += Outstanding(holder);
+  for (const Holder& holder : keeper_state.holders) sum += Outstanding(holder);
   return sum;
 }
 
-policy::SlotReason TakeAsk(KeeperBook& book, const Sender& from,
+policy::SlotReason TakeAsk(KeeperBook& keeper_state, const Sender& from,
                            std::uint64_t number, const SlotAsk& ask, Time now) {
-  Prune(book, now);
-  Holder* holder = Find(book, from);
+  PruneHolders(keeper_state, now);
+  Holder* holder = Find(keeper_state, from);
   if (holder == nullptr) {
-    holder = &book.holders.emplace_back();
+    holder = &keeper_state.holders.emplace_back();
     holder->process = from;
-    ForgetCallsOf(book, from);
+    MarkReplacedHolders(keeper_state, from);
   }
   // The evidence of a duplicated or reordered request must not count twice.
   if (number <= holder->ask_number) return policy::SlotReason::kUnchanged;
@@ -276,71 +285,76 @@
   holder->wanted = std::max(ask.wanted, ask.in_flight);
   holder->urgent = std::min(ask.urgent, holder->wanted);
   holder->in_flight = ask.in_flight;
-  if (book.ready && !holder->known) {
+  if (keeper_state.ready && !holder->known) {
     holder->known = true;
     // Without a report, each silent node was assumed to have one call.
-    const std::uint32_t own =
-        book.report.has_value() ? ask.in_flight : std::max(ask.in_flight, 1U);
-    book.unattributed_calls -= std::min(book.unattributed_calls, own);
+    const std::uint32_t own = keeper_state.report.has_value()
+                                  ? ask.in_flight
+                                  : std::max(ask.in_flight, 1U);
+    keeper_state.unattributed_calls -=
+        std::min(keeper_state.unattributed_calls, own);
   }
   std::erase_if(holder->grants, [&](const Grant& grant) {
     return grant.ask_number < ask.live_from;
   });
   holder->asked = now;
-  if (ask.down) return Restart(book, book.slots.boot, now);
-  if (ask.evidence.in_time > 0) book.sign_of_life = now;
-  InheritTotal(book, *holder, ask, now);
-  return ApplyEvidence(book, ask.evidence, now);
+  if (ask.down) return Restart(keeper_state, keeper_state.slots.boot, now);
+  if (ask.evidence.in_time > 0) keeper_state.sign_of_life = now;
+  InheritTotal(keeper_state, *holder, ask, now);
+  return ApplyEvidence(keeper_state, ask.evidence, now);
 }
 
-std::uint32_t GrantSlots(KeeperBook& book, const Sender& from, Time now) {
-  Prune(book, now);
-  Holder* holder = Find(book, from);
-  if (holder == nullptr || !MayGrant(book)) return 0;
-  const std::uint32_t others = GrantedSum(book) - Outstanding(*holder) +
-                               CountUnattributedCalls(book, now);
-  const std::uint32_t pool = PoolOf(book);
+std::uint32_t GrantSlots(KeeperBook& keeper_state, const Sender& from,
+                         Time now) {
+  PruneHolders(keeper_state, now);
+  Holder* holder = Find(keeper_state, from);
+  if (holder == nullptr || !CanGrant(keeper_state)) return 0;
+  const std::uint32_t others = GrantedSum(keeper_state) - Outstanding(*holder) +
+                               CountUnattributedCalls(keeper_state, now);
+  const std::uint32_t pool = PoolOf(keeper_state);
   const std::uint32_t left = pool > others ? pool - others : 0;
   const std::uint32_t slots =
-      std::min(FindShare(AllocateSlots(book, now), *holder), left);
+      std::min(FindShare(AllocateSlots(keeper_state, now), *holder), left);
   if (slots > 0) holder->grants.push_back({holder->ask_number, slots});
   return slots;
 }
 
-policy::SlotReason TakeReport(KeeperBook& book,
+policy::SlotReason TakeReport(KeeperBook& keeper_state,
                               const policy::EngineReport* report, Time now) {
   if (report == nullptr) {
-    const bool lost = now - book.sign_of_life > kReportTimeout;
-    if (!lost || book.slots.slots <= book.slots.cold_max_in_flight) {
+    const bool lost = now - keeper_state.sign_of_life > kReportTimeout;
+    if (!lost ||
+        keeper_state.slots.slots <= keeper_state.slots.cold_max_in_flight) {
       return policy::SlotReason::kUnchanged;
     }
-    return Restart(book, book.slots.boot, now);
+    return Restart(keeper_state, keeper_state.slots.boot, now);
   }
-  const bool first = !book.report.has_value();
-  book.report = *report;
-  book.report_at = now;
-  book.sign_of_life = now;
+  const bool first = !keeper_state.report.has_value();
+  keeper_state.report = *report;
+  keeper_state.report_at = now;
+  keeper_state.sign_of_life = now;
   const std::uint32_t running = report->running + report->waiting;
-  if (book.ready) {
-    book.unattributed_calls = std::min(book.unattributed_calls, running);
-  } else if (CoversAllUnattributedCalls(book, *report, now)) {
-    book.ready = true;
-    book.unattributed_calls = running;
+  if (keeper_state.ready) {
+    keeper_state.unattributed_calls =
+        std::min(keeper_state.unattributed_calls, running);
+  } else if (CoversAllUnattributedCalls(keeper_state, *report, now)) {
+    keeper_state.ready = true;
+    keeper_state.unattributed_calls = running;
   }
-  if (first && book.slots.boot == 0) {
-    book.slots.boot = report->boot;
+  if (first && keeper_state.slots.boot == 0) {
+    keeper_state.slots.boot = report->boot;
     return policy::SlotReason::kUnchanged;
   }
-  return ApplyEvidence(book, {0, 0, 0, report->boot}, now);
+  return ApplyEvidence(keeper_state, {0, 0, 0, report->boot}, now);
 }
 
-std::vector<LeaseReduction> FindOverallocatedHolders(KeeperBook& book,
+std::vector<LeaseReduction> FindOverallocatedHolders(KeeperBook& keeper_state,
                                                      Time now) {
-  Prune(book, now);
+  PruneHolders(keeper_state, now);
   std::vector<LeaseReduction> cuts;
-  if (GrantedSum(book) <= PoolOf(book)) return cuts;
-  const std::vector<Share> parts = AllocateSlots(book, now);
-  for (const Holder& holder : book.holders) {
+  if (GrantedSum(keeper_state) <= PoolOf(keeper_state)) return cuts;
+  const std::vector<Share> parts = AllocateSlots(keeper_state, now);
+  for (const Holder& holder : keeper_state.holders) {
     const std::uint32_t part = FindShare(parts, holder);
     if (Outstanding(holder) <= part) continue;
     // At most the slots granted for the last request: the answer to it may have
--- a/fleet/src/membership.cc
+++ b/fleet/src/membership.cc
@@ -69,8 +69,8 @@
   return &peer;
 }
 
-void TakeAck(MembershipState& state, Peer& peer, const Gossip& gossip,
-             Time now) {
+void ApplyAck(MembershipState& state, Peer& peer, const Gossip& gossip,
+              Time now) {
   const auto ping =
       std::find_if(peer.pings.begin(), peer.pings.end(),
                    [&](const PingSent& p) { return p.number == gossip.ack; });
@@ -156,7 +156,7 @@
   // it too soon.
   if (gossip.reply_wanted) peer.heard = now;
   peer.direct = now;
-  if (gossip.ack != 0) TakeAck(state, peer, gossip, now);
+  if (gossip.ack != 0) ApplyAck(state, peer, gossip, now);
   return true;
 }
 
--- a/fleet/src/orders.cc
+++ b/fleet/src/orders.cc
@@ -67,7 +67,7 @@
 /// of this one. An engine that honours fencing numbers rejects the old ones
 /// itself. For others, the keeper waits until its predecessor's mandate is over
 /// and the engine's models have not changed for a while.
-bool MayOrder(const EndpointOrders& orders, bool honours_fencing, Time now) {
+bool CanOrder(const EndpointOrders& orders, bool honours_fencing, Time now) {
   if (honours_fencing) return true;
   return now - orders.kept_since >= kUnfencedWait &&
          now - orders.changed >= kUnfencedWait;
@@ -127,7 +127,7 @@
   // One order at a time: an engine that loads two models at once serves
   // neither.
   if (orders.open.has_value()) return std::nullopt;
-  if (!MayOrder(orders, input.honours_fencing, now)) return std::nullopt;
+  if (!CanOrder(orders, input.honours_fencing, now)) return std::nullopt;
   for (const TargetHandle target : input.desired) {
     if (Contains(orders.loaded, target)) continue;
     if (!input.store_free) return std::nullopt;
