--- a/fleet/include/egretladder/fleet/electorate.h
+++ b/fleet/include/egretladder/fleet/electorate.h
@@ -31,11 +31,12 @@
 /// all nodes. It is a fraction of the capacity of the cold endpoint, so that
 /// these slots can't overload it even when it has just started. An endpoint
 /// with too little capacity to divide has none.
-std::uint32_t FloorSum(const rules::Endpoint& endpoint);
+std::uint32_t TotalFloorSlots(const rules::Endpoint& endpoint);
 /// Returns the share of the endpoint's lease-free slots that belongs to `node`.
 /// The slots are distributed over the voters in turn.
-std::uint32_t FloorOf(const rules::Rules& rules, rules::EndpointHandle endpoint,
-                      std::string_view node);
+std::uint32_t NodeFloorSlots(const rules::Rules& rules,
+                             rules::EndpointHandle endpoint,
+                             std::string_view node);
 
 /// Returns, by endpoint handle, whether a node sends work to the endpoint: to
 /// all of them, or to a limited number for each target when there are many.
--- a/fleet/include/egretladder/fleet/lease.h
+++ b/fleet/include/egretladder/fleet/lease.h
@@ -53,7 +53,7 @@
 };
 
 /// State that the keeper of one endpoint holds.
-struct KeeperBook {
+struct KeeperState {
   policy::SlotState slots;
   /// Slots without a lease, of all nodes. They are never leased.
   std::uint32_t floor_sum = 0;
@@ -77,43 +77,43 @@
 
 /// Initializes the keeper's state of an endpoint, which counts as cold whatever
 /// its state was.
-void OpenBook(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
-              Time now);
+void InitKeeperState(KeeperState& keeper_state, const rules::Endpoint& endpoint,
+                     Time now);
 /// Resumes keeping after a break in which no other node kept the endpoint. An
 /// endpoint without reports may have restarted unnoticed, so it counts as cold
 /// after a break longer than `kReportTimeout`.
-void ResumeBook(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
-                Time stopped, Time now);
+void ResumeKeeperState(KeeperState& keeper_state,
+                       const rules::Endpoint& endpoint, Time stopped, Time now);
 /// Called when a round of requests has passed on an endpoint without reports:
 /// assumes that each of the `silent` nodes has one call there.
-void AssumeUnattributedCalls(KeeperBook& keeper_state, std::uint32_t silent);
+void AssumeUnattributedCalls(KeeperState& keeper_state, std::uint32_t silent);
 
 /// Applies the endpoint's capacity from a new version of the rules.
-void UpdateCapacity(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
+void UpdateCapacity(KeeperState& keeper_state, const rules::Endpoint& endpoint,
                     Time now);
 
 /// Returns the number of slots that may be leased in all.
-std::uint32_t PoolOf(const KeeperBook& keeper_state);
+std::uint32_t LeasableSlots(const KeeperState& keeper_state);
 /// Returns the maximum number of slots that holders may be using now beyond
 /// their lease-free ones: for each holder, its largest grant or, if greater,
 /// its calls in flight.
-std::uint32_t GrantedSum(const KeeperBook& keeper_state);
+std::uint32_t TotalOutstandingSlots(const KeeperState& keeper_state);
 
 /// Applies a request for slots: its evidence, the demand, and the grants that
 /// it ends. Returns why the endpoint's slots changed, if they did.
-policy::SlotReason TakeAsk(KeeperBook& keeper_state, const Sender& from,
-                           std::uint64_t number, const SlotAsk& ask, Time now);
+policy::SlotReason ApplyAsk(KeeperState& keeper_state, const Sender& from,
+                            std::uint64_t number, const SlotAsk& ask, Time now);
 
 /// Grants `from` its share of the leasable slots, never more than remain beside
 /// what the others may still use. Returns the number of slots granted.
 /// O(holders log holders).
-std::uint32_t GrantSlots(KeeperBook& keeper_state, const Sender& from,
+std::uint32_t GrantSlots(KeeperState& keeper_state, const Sender& from,
                          Time now);
 
 /// Applies a report of the endpoint; null if it could not be read. Returns why
 /// the endpoint's slots changed, if they did.
-policy::SlotReason TakeReport(KeeperBook& keeper_state,
-                              const policy::EngineReport* report, Time now);
+policy::SlotReason ApplyReport(KeeperState& keeper_state,
+                               const policy::EngineReport* report, Time now);
 
 /// A holder that may use more than its share, and the grant that it keeps.
 struct LeaseReduction {
@@ -122,7 +122,7 @@
 };
 /// Returns the holders whose grants exceed their share, for instance because
 /// the endpoint turned cold. They are told at once, before their leases lapse.
-std::vector<LeaseReduction> FindOverallocatedHolders(KeeperBook& keeper_state,
+std::vector<LeaseReduction> FindOverallocatedHolders(KeeperState& keeper_state,
                                                      Time now);
 
 /// State of a holder's own slots at one endpoint.
@@ -157,7 +157,7 @@
 /// counts from that time. Answers to requests before the last answered one are
 /// ignored; of two answers to the same request the smaller counts. Returns true
 /// if the lease was applied.
-bool TakeLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now);
+bool ApplyLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now);
 
 /// Drops the lease because the endpoint restarted while this node used it.
 /// Answers that are still under way are ignored as well.
--- a/fleet/include/egretladder/fleet/limits.h
+++ b/fleet/include/egretladder/fleet/limits.h
@@ -11,18 +11,18 @@
 
 /// How long a caller may use a lane after `/where` issued it. Long enough for
 /// the retries of a call that timed out; the key table grows in proportion.
-inline constexpr std::chrono::minutes kLaneLife{10};
+inline constexpr std::chrono::minutes kLaneLifetime{10};
 /// How long an ended call stays in the table after its lane has expired, so
 /// that the outcome of a call which began just before the expiry can still be
 /// queried.
-inline constexpr std::chrono::seconds kAnswerLinger{60};
+inline constexpr std::chrono::seconds kAnswerRetention{60};
 /// Maximum number of keys in the table. 12,000 requests a second over 390
 /// nodes, a tenth of them not repeatable, make about 2,000 within a lane's
 /// lifetime; the limit leaves room for a burst of fifty times that on one node.
 inline constexpr std::size_t kMaxLaneKeys = 100'000;
 /// Maximum size of the stored answers and keys in bytes: a quarter of a node's
 /// 256 MB.
-inline constexpr std::size_t kLaneBytesMost = std::size_t{64} << 20U;
+inline constexpr std::size_t kMaxLaneTableBytes = std::size_t{64} << 20U;
 /// Bytes reserved for a call in progress until its answer is known, so that
 /// answers which arrive at the same time still fit.
 inline constexpr std::size_t kReservedAnswerBytes = std::size_t{64} << 10U;
@@ -36,7 +36,7 @@
 /// A gap between ticks above this means that the process was paused: it may
 /// hold leases that have lapsed and not know of zones that went out. Ticks come
 /// every 50 ms, so a delay of eight ticks is no longer ordinary load.
-inline constexpr std::chrono::milliseconds kFreshFor{400};
+inline constexpr std::chrono::milliseconds kPauseThreshold{400};
 
 /// A node that has heard from neither a peer nor the platform for this long
 /// sends no new work, because a zone may have gone out since. Below the 3 s
@@ -50,34 +50,35 @@
 /// the member list, which is five sixths of their size.
 inline constexpr std::chrono::milliseconds kRecentContactTime{1200};
 /// A peer that was not heard for this long is omitted from `/where`.
-inline constexpr std::chrono::milliseconds kSuspectAfter{2000};
+inline constexpr std::chrono::milliseconds kSuspectTimeout{2000};
 /// How long an answered ping counts as support for a keeper, measured from when
 /// the ping was sent.
-inline constexpr std::chrono::milliseconds kMandate{1500};
+inline constexpr std::chrono::milliseconds kSupportLifetime{1500};
 /// Maximum duration of a slot lease, measured from when it was requested.
 /// Shorter leases cost more messages; longer ones keep a dead node's slots from
 /// the others.
-inline constexpr std::chrono::milliseconds kLeaseLife{2500};
+inline constexpr std::chrono::milliseconds kLeaseDuration{2500};
 /// A peer that was not heard for this long counts as gone in votes. The value
 /// exceeds the lifetime of support plus a lease, so that no node is voted out
 /// while its leases are valid; the rest allows for clocks whose rates differ by
 /// a fifth.
 inline constexpr std::chrono::milliseconds kGoneTimeout{5000};
-static_assert(kGoneTimeout * 4 >= (kMandate + kLeaseLife) * 5,
+static_assert(kGoneTimeout * 4 >= (kSupportLifetime + kLeaseDuration) * 5,
               "two keepers could lease at once");
 /// A report may be older than the start of a keeper by up to this much and
 /// still show all calls that its predecessor's leases admitted: the leases had
 /// lapsed by then.
 inline constexpr std::chrono::milliseconds kMaxInitialReportLead{
-    kGoneTimeout - kMandate - kLeaseLife};
+    kGoneTimeout - kSupportLifetime - kLeaseDuration};
 /// How long a voter must have answered without a break before its support
 /// counts: by then, everything that a former keeper leased with its vote has
 /// lapsed.
-inline constexpr std::chrono::milliseconds kSupportWait{kMandate + kLeaseLife};
+inline constexpr std::chrono::milliseconds kMinSupportDuration{
+    kSupportLifetime + kLeaseDuration};
 /// A keeper that announced its leave has granted no leases since then. It
 /// counts as gone after a lease duration and a margin of a quarter.
-inline constexpr std::chrono::milliseconds kLeaveTimeout{kLeaseLife +
-                                                         kLeaseLife / 4};
+inline constexpr std::chrono::milliseconds kLeaveTimeout{kLeaseDuration +
+                                                         kLeaseDuration / 4};
 
 /// Maximum number of nodes that vote on the keeper of an endpoint. A small
 /// fleet votes as a whole; in a large one the fixed number keeps pings from
@@ -87,7 +88,7 @@
 inline constexpr std::size_t kRandomPeersPerRound = 1;
 /// Maximum number of members in one message. This limit and the next three
 /// bound its size.
-inline constexpr std::size_t kMembersTold = 3;
+inline constexpr std::size_t kMaxMembersPerMessage = 3;
 /// Maximum number of nodes listed as gone in one message.
 inline constexpr std::size_t kMaxGoneNodesPerMessage = 64;
 /// Maximum number of quarantined request bodies in one message.
@@ -176,8 +177,8 @@
 /// Time without changes before an engine that ignores fencing numbers gets an
 /// order: longer than a former keeper takes to notice that it no longer is the
 /// keeper.
-inline constexpr std::chrono::milliseconds kUnfencedWait{kGoneTimeout +
-                                                         kMandate};
+inline constexpr std::chrono::milliseconds kUnfencedQuietTime{kGoneTimeout +
+                                                              kSupportLifetime};
 /// Maximum age of a report for it to count as evidence of which models are
 /// loaded.
 inline constexpr std::chrono::milliseconds kMaxReportAge{3000};
--- a/fleet/include/egretladder/fleet/membership.h
+++ b/fleet/include/egretladder/fleet/membership.h
@@ -80,33 +80,33 @@
 
 /// Applies the gossip about one member. Returns false if it is about a process
 /// that was replaced, or there is no room for another unpublished peer.
-bool HearMember(MembershipState& state, const Member& told, bool direct,
-                Time now);
+bool ApplyMemberGossip(MembershipState& state, const Member& told, bool direct,
+                       Time now);
 
 /// Applies a peer's gossip: its members, its answer to a ping, its votes.
 /// Returns false if it comes from a process that was replaced and must be
 /// ignored.
-bool HearGossip(MembershipState& state, const Sender& from,
-                const Gossip& gossip, Time now);
+bool ApplyGossip(MembershipState& state, const Sender& from,
+                 const Gossip& gossip, Time now);
 
 /// Records a message that contains no data about its sender. A sender that was
 /// never heard, or whose predecessor is silent, is accepted, because the keeper
 /// in a large fleet hears from most of its holders only by their requests.
 /// Returns false if the sender was replaced.
-bool HearSender(MembershipState& state, const Sender& from, Time now);
+bool RecordSender(MembershipState& state, const Sender& from, Time now);
 
 /// Returns true if the message is from the current process of the node.
 bool IsCurrent(const MembershipState& state, const Sender& from);
 
 /// Assigns a number to a ping to `peer` and records when it was sent.
-std::uint64_t NumberPing(MembershipState& state, Peer& peer, Time now);
+std::uint64_t RecordPing(MembershipState& state, Peer& peer, Time now);
 
 /// Counts all peers as heard now. Called after a pause of this process, which
 /// caused the silence itself.
-void ForgivePeers(MembershipState& state, Time now);
+void ResetPeerTimeouts(MembershipState& state, Time now);
 
 /// Returns the peer's state at `now`, by its silence and its own announcements.
-MemberState StateOf(const Peer& peer, Time now);
+MemberState GetMemberState(const Peer& peer, Time now);
 
 /// Returns true if the peer may be skipped as a keeper: it was not heard for
 /// `kGoneTimeout`, or it announced its leave and its leases have lapsed.
@@ -114,8 +114,8 @@
 
 /// Returns the members to include in a message: recent changes first, then
 /// members chosen at random.
-std::vector<Member> MembersToTell(const MembershipState& state,
-                                  kernel::Random& random, Time now);
+std::vector<Member> MakeMemberGossip(const MembershipState& state,
+                                     kernel::Random& random, Time now);
 /// Returns the names of the nodes that this node counts as gone in its votes.
 std::vector<std::string> ListGoneVotes(const MembershipState& state, Time now);
 
@@ -129,15 +129,15 @@
 bool IsSupportedSince(const MembershipState& state, std::string_view voter,
                       Time then);
 /// Returns true if `voter` recently reported that `node` is gone.
-bool VotesGone(const MembershipState& state, std::string_view voter,
-               std::string_view node, Time now);
+bool HasVotedGone(const MembershipState& state, std::string_view voter,
+                  std::string_view node, Time now);
 
 /// Returns true if this node may keep an endpoint with these voters, in order
 /// of preference: a majority supports it, and for each node before it a
 /// majority reports that node as gone. Two nodes can't both meet this condition
 /// while a lease granted by either is valid; see docs/design/slots.md.
 /// `keeping`: this node has kept the endpoint up to now.
-bool MayKeep(const MembershipState& state,
+bool CanKeep(const MembershipState& state,
              const std::vector<std::string>& voters, bool keeping, Time now);
 
 /// Returns true if any peer answered a ping sent within the last
--- a/fleet/include/egretladder/fleet/orders.h
+++ b/fleet/include/egretladder/fleet/orders.h
@@ -56,15 +56,17 @@
 
 /// Applies the models that a report shows as loaded and closes the order that
 /// they confirm.
-void SeeLoaded(EndpointOrders& orders,
-               const std::vector<rules::TargetHandle>& loaded, Time now);
+void ApplyLoadedModels(EndpointOrders& orders,
+                       const std::vector<rules::TargetHandle>& loaded,
+                       Time now);
 
 /// Input of the next decision besides the endpoint's own orders.
 struct OrderInput {
   std::vector<rules::TargetHandle> desired;
   std::uint32_t max_loaded_models = 1;
   bool honours_fencing = false;
-  bool store_free = false;  ///< The weight store's budget allows a load now.
+  bool has_load_budget =
+      false;  ///< The weight store's budget allows a load now.
   /// Loaded models that may be unloaded: a recent report shows them loaded at
   /// another endpoint that should hold them.
   std::vector<rules::TargetHandle> spare;
@@ -82,6 +84,6 @@
 
 /// Returns the interval between two loads by one of `nodes` nodes that keeps
 /// the whole fleet within the weight store's budget.
-std::chrono::milliseconds LoadPause(std::size_t nodes);
+std::chrono::milliseconds ModelLoadInterval(std::size_t nodes);
 
 }  // namespace egretladder::fleet
--- a/fleet/src/electorate.cc
+++ b/fleet/src/electorate.cc
@@ -73,14 +73,14 @@
   return digest;
 }
 
-std::uint32_t FloorSum(const rules::Endpoint& endpoint) {
+std::uint32_t TotalFloorSlots(const rules::Endpoint& endpoint) {
   return std::min(endpoint.cold_max_in_flight, endpoint.max_in_flight) /
          kFloorDivisor;
 }
 
-std::uint32_t FloorOf(const Rules& rules, EndpointHandle endpoint,
-                      std::string_view node) {
-  const std::uint32_t sum = FloorSum(rules.endpoints[endpoint.idx]);
+std::uint32_t NodeFloorSlots(const Rules& rules, EndpointHandle endpoint,
+                             std::string_view node) {
+  const std::uint32_t sum = TotalFloorSlots(rules.endpoints[endpoint.idx]);
   if (sum == 0) return 0;
   const std::vector<NodeHandle> voters = FindVoters(rules, endpoint);
   if (voters.empty()) return 0;
--- a/fleet/src/fleet.cc
+++ b/fleet/src/fleet.cc
@@ -14,12 +14,12 @@
 /// before: leases and votes depend on the clock, and the silence of its peers
 /// was caused by its own pause.
 void DetectPause(FleetState& state, Time now) {
-  const bool paused = now - state.fresh.last_tick > kFreshFor;
+  const bool paused = now - state.fresh.last_tick > kPauseThreshold;
   state.fresh.last_tick = now;
   if (!paused) return;
   state.fresh.is_resuming = true;
   state.fresh.resumed_at = now;
-  ForgivePeers(state.members, now);
+  ResetPeerTimeouts(state.members, now);
   state.next_round = now;
   state.config.read.reading = false;
   state.config.read.next = now;
@@ -137,7 +137,7 @@
 rules::RulesPtr RulesOf(const FleetState& state) { return state.config.rules; }
 
 bool KnowledgeIsFresh(const FleetState& state, Time now) {
-  if (now - state.fresh.last_tick > kFreshFor) return false;
+  if (now - state.fresh.last_tick > kPauseThreshold) return false;
   if (state.members.replaced) return false;
   const bool others = HasOtherPublishedNodes(state);
   if (state.fresh.is_resuming &&
@@ -164,7 +164,7 @@
   view.members.push_back(state.members.self);
   for (const auto& [name, peer] : state.members.peers) {
     view.members.push_back(peer.member);
-    view.members.back().state = StateOf(peer, now);
+    view.members.back().state = GetMemberState(peer, now);
   }
   for (const EndpointState& endpoint : state.endpoints) {
     if (endpoint.keeper_state.has_value()) ++view.keeper_of;
@@ -188,7 +188,7 @@
   }
   for (const auto& [name, peer] : state.members.peers) {
     Member member = peer.member;
-    member.state = StateOf(peer, now);
+    member.state = GetMemberState(peer, now);
     const bool there = member.state == MemberState::kAlive ||
                        member.state == MemberState::kSuspect;
     if (!peer.published || !there || leaves(name)) continue;
--- a/fleet/src/fleet_gossip.cc
+++ b/fleet/src/fleet_gossip.cc
@@ -59,10 +59,10 @@
   const bool knows_this_node = !with_members && peer.contact.any &&
                                now - peer.contact.sent < kRecentContactTime;
   if (!knows_this_node) {
-    gossip.members = MembersToTell(state.members, state.random, now);
+    gossip.members = MakeMemberGossip(state.members, state.random, now);
   }
   gossip.reply_wanted = true;
-  gossip.ping = NumberPing(state.members, peer, now);
+  gossip.ping = RecordPing(state.members, peer, now);
   out.emplace_back(SendMessage{peer.member.peer_address, std::move(gossip)});
 }
 
@@ -74,7 +74,7 @@
   for (std::size_t i = 0; i < endpoint.rank; ++i) {
     const auto found = state.members.peers.find(endpoint.voters[i]);
     if (found != state.members.peers.end() &&
-        StateOf(found->second, now) == MemberState::kAlive) {
+        GetMemberState(found->second, now) == MemberState::kAlive) {
       return false;
     }
   }
@@ -117,7 +117,7 @@
   for (const std::string& address : state.options.seeds) {
     if (address == state.options.peer_address) continue;
     Gossip gossip = MakeGossip(state, now);
-    gossip.members = MembersToTell(state.members, state.random, now);
+    gossip.members = MakeMemberGossip(state.members, state.random, now);
     gossip.reply_wanted = true;
     out.emplace_back(SendMessage{address, std::move(gossip)});
   }
@@ -208,7 +208,7 @@
 void HandleGossip(FleetState& state, const Sender& from, const Gossip& gossip,
                   Time now, Actions& out) {
   const bool was_replaced = state.members.replaced;
-  const bool current = HearGossip(state.members, from, gossip, now);
+  const bool current = ApplyGossip(state.members, from, gossip, now);
   if (state.members.replaced && !was_replaced) {
     kernel::Log(kernel::LogPart::kFleet, kernel::LogLevel::kError,
                 "A newer process runs as " + state.members.self.node +
@@ -230,7 +230,7 @@
   if (!gossip.reply_wanted || peer.member.peer_address.empty()) return;
   Gossip reply = MakeGossip(state, now);
   if (!gossip.members.empty()) {
-    reply.members = MembersToTell(state.members, state.random, now);
+    reply.members = MakeMemberGossip(state.members, state.random, now);
   }
   reply.ack = gossip.ping;
   out.emplace_back(
--- a/fleet/src/fleet_keeper.cc
+++ b/fleet/src/fleet_keeper.cc
@@ -13,8 +13,8 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-bool MayKeep(const FleetState& state, const EndpointState& endpoint, Time now) {
-  return !state.leaving && MayKeep(state.members, endpoint.voters,
+bool CanKeep(const FleetState& state, const EndpointState& endpoint, Time now) {
+  return !state.leaving && CanKeep(state.members, endpoint.voters,
                                    endpoint.keeper_state.has_value(), now);
 }
 
@@ -37,10 +37,11 @@
   if (endpoint.former_keeper_state.has_value() &&
       HadNoOtherKeeper(state, endpoint)) {
     endpoint.keeper_state = std::move(endpoint.former_keeper_state);
-    ResumeBook(*endpoint.keeper_state, endpoint_rules, endpoint.stopped, now);
+    ResumeKeeperState(*endpoint.keeper_state, endpoint_rules, endpoint.stopped,
+                      now);
   } else {
     endpoint.keeper_state.emplace();
-    OpenBook(*endpoint.keeper_state, endpoint_rules, now);
+    InitKeeperState(*endpoint.keeper_state, endpoint_rules, now);
   }
   endpoint.former_keeper_state.reset();
   EndpointOrders& orders = state.orders.kept[handle];
@@ -65,7 +66,7 @@
 /// Returns the number of published nodes, including this one, that have not
 /// requested slots.
 std::uint32_t SilentNodes(const FleetState& state,
-                          const KeeperBook& keeper_state) {
+                          const KeeperState& keeper_state) {
   const auto asked = [&](const std::string& node) {
     return std::any_of(
         keeper_state.holders.begin(), keeper_state.holders.end(),
@@ -122,20 +123,20 @@
   input.desired = state.orders.placement[handle.idx];
   input.max_loaded_models = endpoint_rules.max_loaded_models;
   input.honours_fencing = endpoint_rules.honours_fencing;
-  input.store_free = now >= state.orders.next_load;
+  input.has_load_budget = now >= state.orders.next_load;
   input.spare = SpareModels(state, handle, now);
   EndpointOrders& orders = state.orders.kept[handle];
   const auto next = DecideOrder(orders, input, now);
   if (!next.has_value()) return;
   orders.open = OpenOrder{next->kind, next->target, now};
   if (next->kind == OrderKind::kLoad) {
-    state.orders.next_load = now + LoadPause(CountNodes(state));
+    state.orders.next_load = now + ModelLoadInterval(CountNodes(state));
   }
   out.emplace_back(
       OrderEngine{handle, next->kind, next->target, GetRulesVersion(state)});
 }
 
-void FillReport(const FleetState& state, const KeeperBook& keeper_state,
+void FillReport(const FleetState& state, const KeeperState& keeper_state,
                 SlotLease& lease, Time now) {
   if (!keeper_state.report.has_value()) return;
   const policy::EngineReport& report = *keeper_state.report;
@@ -156,11 +157,11 @@
   SlotLease lease;
   lease.endpoint = GetEndpointRules(state, handle).source.name;
   lease.slots = slots;
-  lease.left = kLeaseLife;
+  lease.left = kLeaseDuration;
   lease.ask_number = ask_number;
   // Until this keeper knows what it has taken over, the total of its
   // predecessor stays valid.
-  const KeeperBook& keeper_state = *state.endpoints[handle.idx].keeper_state;
+  const KeeperState& keeper_state = *state.endpoints[handle.idx].keeper_state;
   lease.total = keeper_state.ready ? keeper_state.slots.slots : 0;
   FillReport(state, keeper_state, lease, now);
   return lease;
@@ -171,7 +172,7 @@
 void LogSlots(const FleetState& state, EndpointHandle handle,
               policy::SlotReason reason) {
   if (reason == policy::SlotReason::kUnchanged) return;
-  const KeeperBook& keeper_state = *state.endpoints[handle.idx].keeper_state;
+  const KeeperState& keeper_state = *state.endpoints[handle.idx].keeper_state;
   Log(LogPart::kFleet, LogLevel::kInfo,
       "Endpoint " + GetEndpointRules(state, handle).source.name + " has " +
           std::to_string(keeper_state.slots.slots) +
@@ -182,7 +183,7 @@
   for (std::uint32_t i = 0; i < state.endpoints.size(); ++i) {
     EndpointState& endpoint = state.endpoints[i];
     const bool keeps = endpoint.keeper_state.has_value();
-    const bool may = MayKeep(state, endpoint, now);
+    const bool may = CanKeep(state, endpoint, now);
     if (may && !keeps) StartKeeping(state, {i}, now);
     if (!may && keeps) StopKeeping(state, {i}, now);
     if (!endpoint.keeper_state.has_value()) continue;
@@ -203,15 +204,15 @@
 SlotLease AnswerAsk(FleetState& state, EndpointHandle handle,
                     const Sender& from, std::uint64_t number,
                     const SlotAsk& ask, Time now) {
-  KeeperBook& keeper_state = *state.endpoints[handle.idx].keeper_state;
-  LogSlots(state, handle, TakeAsk(keeper_state, from, number, ask, now));
+  KeeperState& keeper_state = *state.endpoints[handle.idx].keeper_state;
+  LogSlots(state, handle, ApplyAsk(keeper_state, from, number, ask, now));
   const std::uint32_t slots = GrantSlots(keeper_state, from, now);
   return MakeLease(state, handle, slots, number, now);
 }
 
 void HandleAsks(FleetState& state, const Sender& from, const SlotAsks& asks,
                 Time now, Actions& out) {
-  if (!HearSender(state.members, from, now)) return;
+  if (!RecordSender(state.members, from, now)) return;
   SlotLeases leases;
   for (const SlotAsk& ask : asks.asks) {
     const EndpointHandle handle =
@@ -220,12 +221,12 @@
     EndpointState& endpoint = state.endpoints[handle.idx];
     // Checked again for each request: this process may have been paused since
     // its last tick, and another node may keep the endpoint by now.
-    if (!endpoint.keeper_state.has_value() || !MayKeep(state, endpoint, now))
+    if (!endpoint.keeper_state.has_value() || !CanKeep(state, endpoint, now))
       continue;
-    const std::uint32_t pool_before = PoolOf(*endpoint.keeper_state);
+    const std::uint32_t pool_before = LeasableSlots(*endpoint.keeper_state);
     leases.leases.push_back(
         AnswerAsk(state, handle, from, asks.number, ask, now));
-    if (PoolOf(*endpoint.keeper_state) < pool_before) {
+    if (LeasableSlots(*endpoint.keeper_state) < pool_before) {
       ReduceLeases(state, handle, now, out);
     }
   }
@@ -263,12 +264,12 @@
     out.emplace_back(ReportSeen{handle, *report});
   }
   if (!endpoint.keeper_state.has_value()) return;
-  const std::uint32_t pool_before = PoolOf(*endpoint.keeper_state);
-  LogSlots(state, handle, TakeReport(*endpoint.keeper_state, report, now));
+  const std::uint32_t pool_before = LeasableSlots(*endpoint.keeper_state);
+  LogSlots(state, handle, ApplyReport(*endpoint.keeper_state, report, now));
   if (report != nullptr) {
-    SeeLoaded(state.orders.kept[handle], report->loaded, now);
+    ApplyLoadedModels(state.orders.kept[handle], report->loaded, now);
   }
-  if (PoolOf(*endpoint.keeper_state) < pool_before) {
+  if (LeasableSlots(*endpoint.keeper_state) < pool_before) {
     ReduceLeases(state, handle, now, out);
   }
 }
--- a/fleet/src/fleet_slots.cc
+++ b/fleet/src/fleet_slots.cc
@@ -54,7 +54,7 @@
     for (const rules::NodeHandle voter : FindVoters(rules, {idx})) {
       endpoint.voters.push_back(rules.nodes[voter.idx].source.name);
     }
-    endpoint.held.floor = FloorOf(rules, {idx}, self);
+    endpoint.held.floor = NodeFloorSlots(rules, {idx}, self);
   }
   const auto found =
       std::find(endpoint.voters.begin(), endpoint.voters.end(), self);
@@ -76,7 +76,7 @@
     if (voter == state.members.self.node) return !state.leaving;
     const auto found = state.members.peers.find(voter);
     return found != state.members.peers.end() &&
-           StateOf(found->second, now) == MemberState::kAlive;
+           GetMemberState(found->second, now) == MemberState::kAlive;
   };
   auto first =
       std::find_if(endpoint.voters.begin(), endpoint.voters.end(), is_there);
@@ -93,7 +93,7 @@
                            Time now) {
   std::uint64_t first = state.asks;
   for (const auto& [number, sent] : state.asks_sent) {
-    if (now - sent >= kLeaseLife - kFreshFor) continue;
+    if (now - sent >= kLeaseDuration - kPauseThreshold) continue;
     first = number;
     break;
   }
@@ -163,9 +163,9 @@
   for (std::uint32_t i = 0; i < rules.endpoints.size(); ++i) {
     state.endpoints[i].used = used[i];
     ApplyEndpoint(state, i);
-    KeeperBook* keeper_state = state.endpoints[i].keeper_state.has_value()
-                                   ? &*state.endpoints[i].keeper_state
-                                   : nullptr;
+    KeeperState* keeper_state = state.endpoints[i].keeper_state.has_value()
+                                    ? &*state.endpoints[i].keeper_state
+                                    : nullptr;
     if (keeper_state != nullptr)
       UpdateCapacity(*keeper_state, rules.endpoints[i], now);
   }
@@ -214,7 +214,7 @@
     SendAsks(state, keeper, asks, now, out);
   }
   std::erase_if(state.asks_sent, [&](const auto& entry) {
-    return now - entry.second >= kLeaseLife;
+    return now - entry.second >= kLeaseDuration;
   });
 }
 
@@ -226,7 +226,7 @@
     const auto asked = state.asks_sent.find(lease.ask_number);
     if (!IsValid(handle) || asked == state.asks_sent.end()) continue;
     EndpointState& endpoint = state.endpoints[handle.idx];
-    if (!TakeLease(endpoint.held, lease, asked->second, now)) continue;
+    if (!ApplyLease(endpoint.held, lease, asked->second, now)) continue;
     endpoint.held.keeper = keeper;
     Announce(state, handle, policy::SlotReason::kUnchanged, now, out);
     if (lease.boot == 0) continue;
--- a/fleet/src/fleet_state_p.h
+++ b/fleet/src/fleet_state_p.h
@@ -30,9 +30,9 @@
   /// Index of this node in `voters`; `voters.size()` if it is not one.
   std::size_t rank = 0;
   HeldSlots held;
-  std::optional<KeeperBook>
+  std::optional<KeeperState>
       keeper_state;  ///< Set while this node keeps the endpoint.
-  std::optional<KeeperBook>
+  std::optional<KeeperState>
       former_keeper_state;  ///< Keeper state of the previous period in
                             ///< which this node kept the endpoint.
   Time stopped{};
--- a/fleet/src/lane.cc
+++ b/fleet/src/lane.cc
@@ -166,7 +166,7 @@
   lane.node = state.node;
   lane.incarnation = state.incarnation;
   lane.number = ++state.issued;
-  lane.expires = Elapsed(state, now) + kLaneLife;
+  lane.expires = Elapsed(state, now) + kLaneLifetime;
   lane.signature = SignLane(state, lane);
   return lane;
 }
@@ -199,7 +199,7 @@
   call.waiters.push_back(waiter);
   const std::size_t bytes = RecordBytes(full_key, call);
   if (state.calls.size() >= kMaxLaneKeys ||
-      state.bytes + bytes > kLaneBytesMost) {
+      state.bytes + bytes > kMaxLaneTableBytes) {
     return RefuseTableFull(state);
   }
   state.bytes += bytes;
@@ -257,7 +257,7 @@
   const auto elapsed = Elapsed(state, now);
   std::erase_if(state.calls, [&](const auto& entry) {
     const CallRecord& call = entry.second;
-    const auto until = std::max(call.expires, call.ended) + kAnswerLinger;
+    const auto until = std::max(call.expires, call.ended) + kAnswerRetention;
     if (IsInProgress(call) || elapsed < until) return false;
     state.bytes -= RecordBytes(entry.first, call);
     return true;
--- a/fleet/src/lease_holder.cc
+++ b/fleet/src/lease_holder.cc
@@ -8,13 +8,14 @@
   return held.floor + (now < held.until ? held.leased : 0);
 }
 
-bool TakeLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now) {
+bool ApplyLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now) {
   if (lease.ask_number < held.ask_number || asked <= held.dropped) return false;
   // The lease counts from when it was requested. The keeper counts from a later
   // time, so the holder's lease ends first, however long the answer was under
   // way. It ends earlier by `kFreshFor`, because the process may be paused for
   // that long without noticing.
-  const Time until = asked + std::min(lease.left, kLeaseLife) - kFreshFor;
+  const Time until =
+      asked + std::min(lease.left, kLeaseDuration) - kPauseThreshold;
   if (lease.ask_number == held.ask_number) {
     held.leased = std::min(held.leased, lease.slots);
     return true;
--- a/fleet/src/lease_keeper.cc
+++ b/fleet/src/lease_keeper.cc
@@ -14,7 +14,7 @@
   return left.node == right.node && left.incarnation == right.incarnation;
 }
 
-Holder* Find(KeeperBook& keeper_state, const Sender& process) {
+Holder* Find(KeeperState& keeper_state, const Sender& process) {
   const auto found = std::find_if(
       keeper_state.holders.begin(), keeper_state.holders.end(),
       [&](const Holder& h) { return IsSameProcess(h.process, process); });
@@ -35,7 +35,7 @@
 /// within seconds. Without a report, or while the endpoint's capacity is too
 /// small to risk an error, they count for as long as an ordinary answer may
 /// take.
-std::chrono::milliseconds SilentCallsKept(const KeeperBook& keeper_state) {
+std::chrono::milliseconds SilentCallsKept(const KeeperState& keeper_state) {
   const bool warm =
       keeper_state.slots.slots > keeper_state.slots.cold_max_in_flight;
   return warm && keeper_state.report.has_value()
@@ -45,15 +45,16 @@
 
 /// Removes holders that have been silent for longer than both a lease and the
 /// calls begun under it may last.
-void PruneHolders(KeeperBook& keeper_state, Time now) {
-  const auto kept = std::max(SilentCallsKept(keeper_state), kLeaseLife);
+void PruneHolders(KeeperState& keeper_state, Time now) {
+  const auto kept = std::max(SilentCallsKept(keeper_state), kLeaseDuration);
   std::erase_if(keeper_state.holders, [&](const Holder& holder) {
-    return now - holder.asked >= (holder.replaced ? kLeaseLife : kept);
+    return now - holder.asked >= (holder.replaced ? kLeaseDuration : kept);
   });
 }
 
 /// Returns the number of calls at the endpoint that no holder accounts for.
-std::uint32_t CountUnattributedCalls(const KeeperBook& keeper_state, Time now) {
+std::uint32_t CountUnattributedCalls(const KeeperState& keeper_state,
+                                     Time now) {
   if (now - keeper_state.opened >= SilentCallsKept(keeper_state)) return 0;
   if (keeper_state.report.has_value()) return keeper_state.unattributed_calls;
   // One slot stays usable: its answers let the limit grow, while the endpoint
@@ -65,7 +66,7 @@
 /// Returns true if the report was made late enough to show all calls that a
 /// former keeper's leases admitted. One made before the last of these leases
 /// lapsed may miss some.
-bool CoversAllUnattributedCalls(const KeeperBook& keeper_state,
+bool CoversAllUnattributedCalls(const KeeperState& keeper_state,
                                 const policy::EngineReport& report, Time now) {
   return now - report.age >= keeper_state.opened - kMaxInitialReportLead;
 }
@@ -74,7 +75,7 @@
 /// everything that ran before. (A death that a node reports doesn't prove a new
 /// boot, since a process that was paused notices it long after.) Active holders
 /// report their own calls and may already have new ones; the silent ones can't.
-void ClearSilentCalls(KeeperBook& keeper_state, Time now) {
+void ClearSilentCalls(KeeperState& keeper_state, Time now) {
   for (Holder& holder : keeper_state.holders) {
     if (!IsActiveHolder(holder, now)) holder.in_flight = 0;
   }
@@ -83,14 +84,14 @@
 /// Returns true if the keeper knows what runs at the endpoint and whether it
 /// has restarted. It must find out first when it begins or resumes after a
 /// break.
-bool CanGrant(const KeeperBook& keeper_state) {
+bool CanGrant(const KeeperState& keeper_state) {
   return keeper_state.ready && (!keeper_state.report.has_value() ||
                                 keeper_state.report_at >= keeper_state.resumed);
 }
 
 /// Marks the holders of a node's older processes as replaced, because a newer
 /// one has requested slots and the calls of its predecessors are gone.
-void MarkReplacedHolders(KeeperBook& keeper_state, const Sender& newer) {
+void MarkReplacedHolders(KeeperState& keeper_state, const Sender& newer) {
   for (Holder& holder : keeper_state.holders) {
     const bool older = holder.process.node == newer.node &&
                        holder.process.incarnation != newer.incarnation;
@@ -109,7 +110,7 @@
 /// Returns the active holders in a random order that changes every
 /// `kLotteryInterval`. With a fixed order and fewer slots than holders, the
 /// same few would always get them.
-std::vector<Share> DrawLots(const KeeperBook& keeper_state, Time now) {
+std::vector<Share> DrawLots(const KeeperState& keeper_state, Time now) {
   const auto draw =
       static_cast<std::uint64_t>(now.time_since_epoch() / kLotteryInterval);
   std::vector<Share> parts;
@@ -157,9 +158,10 @@
 /// beside a burst of top-tier requests, fewer than 90 of 100 were answered in
 /// time). Then each holder gets what it wants, then what is left, so that an
 /// idle node can start its next call without asking.
-std::vector<Share> AllocateSlots(const KeeperBook& keeper_state, Time now) {
+std::vector<Share> AllocateSlots(const KeeperState& keeper_state, Time now) {
   std::vector<Share> parts = DrawLots(keeper_state, now);
-  std::uint32_t left = DistributeUpTo(parts, UrgentLimit, PoolOf(keeper_state));
+  std::uint32_t left =
+      DistributeUpTo(parts, UrgentLimit, LeasableSlots(keeper_state));
   left = DistributeUpTo(parts, WantedLimit, left);
   DistributeUpTo(parts, Unlimited, left);
   return parts;
@@ -177,7 +179,7 @@
 /// stops would reduce its warm endpoints to their cold capacity of a few
 /// requests. The lowest of several claims counts, since any of them may be
 /// outdated.
-void InheritTotal(KeeperBook& keeper_state, Holder& holder, const SlotAsk& ask,
+void InheritTotal(KeeperState& keeper_state, Holder& holder, const SlotAsk& ask,
                   Time now) {
   if (!keeper_state.ready || holder.claimed) return;
   holder.claimed = true;
@@ -195,7 +197,7 @@
   keeper_state.slots.since = now;
 }
 
-policy::SlotReason Restart(KeeperBook& keeper_state, std::uint64_t boot,
+policy::SlotReason Restart(KeeperState& keeper_state, std::uint64_t boot,
                            Time now) {
   keeper_state.take_over_until = now;
   return policy::StartSlots(keeper_state.slots,
@@ -205,7 +207,7 @@
 
 /// Applies evidence about the endpoint. A new boot ends the calls that ran
 /// before it.
-policy::SlotReason ApplyEvidence(KeeperBook& keeper_state,
+policy::SlotReason ApplyEvidence(KeeperState& keeper_state,
                                  const policy::SlotEvidence& evidence,
                                  Time now) {
   const std::uint64_t boot = keeper_state.slots.boot;
@@ -218,19 +220,20 @@
 
 }  // namespace
 
-void OpenBook(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
-              Time now) {
+void InitKeeperState(KeeperState& keeper_state, const rules::Endpoint& endpoint,
+                     Time now) {
   keeper_state = {};
-  keeper_state.floor_sum = FloorSum(endpoint);
+  keeper_state.floor_sum = TotalFloorSlots(endpoint);
   keeper_state.opened = now;
   keeper_state.sign_of_life = now;
-  keeper_state.take_over_until = now + kLeaseLife;
+  keeper_state.take_over_until = now + kLeaseDuration;
   policy::StartSlots(keeper_state.slots, endpoint.cold_max_in_flight,
                      endpoint.max_in_flight, 0, now);
 }
 
-void ResumeBook(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
-                Time stopped, Time now) {
+void ResumeKeeperState(KeeperState& keeper_state,
+                       const rules::Endpoint& endpoint, Time stopped,
+                       Time now) {
   UpdateCapacity(keeper_state, endpoint, now);
   keeper_state.resumed = now;
   const bool unseen =
@@ -238,16 +241,16 @@
   if (unseen) Restart(keeper_state, keeper_state.slots.boot, now);
 }
 
-void AssumeUnattributedCalls(KeeperBook& keeper_state, std::uint32_t silent) {
+void AssumeUnattributedCalls(KeeperState& keeper_state, std::uint32_t silent) {
   keeper_state.ready = true;
   keeper_state.unattributed_calls = silent;
   for (Holder& holder : keeper_state.holders) holder.known = true;
 }
 
-void UpdateCapacity(KeeperBook& keeper_state, const rules::Endpoint& endpoint,
+void UpdateCapacity(KeeperState& keeper_state, const rules::Endpoint& endpoint,
                     Time now) {
   policy::SlotState& slots = keeper_state.slots;
-  keeper_state.floor_sum = FloorSum(endpoint);
+  keeper_state.floor_sum = TotalFloorSlots(endpoint);
   if (slots.max_in_flight == endpoint.max_in_flight &&
       slots.cold_max_in_flight == endpoint.cold_max_in_flight) {
     return;
@@ -258,20 +261,21 @@
   slots.slots = std::clamp(before, 1U, slots.max_in_flight);
 }
 
-std::uint32_t PoolOf(const KeeperBook& keeper_state) {
+std::uint32_t LeasableSlots(const KeeperState& keeper_state) {
   return keeper_state.slots.slots > keeper_state.floor_sum
              ? keeper_state.slots.slots - keeper_state.floor_sum
              : 0;
 }
 
-std::uint32_t GrantedSum(const KeeperBook& keeper_state) {
+std::uint32_t TotalOutstandingSlots(const KeeperState& keeper_state) {
   std::uint32_t sum = 0;
   for (const Holder& holder : keeper_state.holders) sum += Outstanding(holder);
   return sum;
 }
 
-policy::SlotReason TakeAsk(KeeperBook& keeper_state, const Sender& from,
-                           std::uint64_t number, const SlotAsk& ask, Time now) {
+policy::SlotReason ApplyAsk(KeeperState& keeper_state, const Sender& from,
+                            std::uint64_t number, const SlotAsk& ask,
+                            Time now) {
   PruneHolders(keeper_state, now);
   Holder* holder = Find(keeper_state, from);
   if (holder == nullptr) {
@@ -304,14 +308,15 @@
   return ApplyEvidence(keeper_state, ask.evidence, now);
 }
 
-std::uint32_t GrantSlots(KeeperBook& keeper_state, const Sender& from,
+std::uint32_t GrantSlots(KeeperState& keeper_state, const Sender& from,
                          Time now) {
   PruneHolders(keeper_state, now);
   Holder* holder = Find(keeper_state, from);
   if (holder == nullptr || !CanGrant(keeper_state)) return 0;
-  const std::uint32_t others = GrantedSum(keeper_state) - Outstanding(*holder) +
+  const std::uint32_t others = TotalOutstandingSlots(keeper_state) -
+                               Outstanding(*holder) +
                                CountUnattributedCalls(keeper_state, now);
-  const std::uint32_t pool = PoolOf(keeper_state);
+  const std::uint32_t pool = LeasableSlots(keeper_state);
   const std::uint32_t left = pool > others ? pool - others : 0;
   const std::uint32_t slots =
       std::min(FindShare(AllocateSlots(keeper_state, now), *holder), left);
@@ -319,8 +324,8 @@
   return slots;
 }
 
-policy::SlotReason TakeReport(KeeperBook& keeper_state,
-                              const policy::EngineReport* report, Time now) {
+policy::SlotReason ApplyReport(KeeperState& keeper_state,
+                               const policy::EngineReport* report, Time now) {
   if (report == nullptr) {
     const bool lost = now - keeper_state.sign_of_life > kReportTimeout;
     if (!lost ||
@@ -348,11 +353,12 @@
   return ApplyEvidence(keeper_state, {0, 0, 0, report->boot}, now);
 }
 
-std::vector<LeaseReduction> FindOverallocatedHolders(KeeperBook& keeper_state,
+std::vector<LeaseReduction> FindOverallocatedHolders(KeeperState& keeper_state,
                                                      Time now) {
   PruneHolders(keeper_state, now);
   std::vector<LeaseReduction> cuts;
-  if (GrantedSum(keeper_state) <= PoolOf(keeper_state)) return cuts;
+  if (TotalOutstandingSlots(keeper_state) <= LeasableSlots(keeper_state))
+    return cuts;
   const std::vector<Share> parts = AllocateSlots(keeper_state, now);
   for (const Holder& holder : keeper_state.holders) {
     const std::uint32_t part = FindShare(parts, holder);
--- a/fleet/src/membership.cc
+++ b/fleet/src/membership.cc
@@ -39,7 +39,7 @@
     // The wall clock of a VM may be behind that of its predecessor, which would
     // exclude the new process forever. Once the old one is silent, a message
     // from the new process itself counts whatever its start time.
-    const bool silent = direct && now - peer.heard > kSuspectAfter;
+    const bool silent = direct && now - peer.heard > kSuspectTimeout;
     if (!IsNewer(told, known) && !silent) return false;
     Replace(peer, told, now);
     return true;
@@ -122,12 +122,12 @@
       continue;
     }
     found->second.expected = true;
-    if (StateOf(found->second, now) == MemberState::kAlive) return;
+    if (GetMemberState(found->second, now) == MemberState::kAlive) return;
   }
 }
 
-bool HearMember(MembershipState& state, const Member& told, bool direct,
-                Time now) {
+bool ApplyMemberGossip(MembershipState& state, const Member& told, bool direct,
+                       Time now) {
   if (told.node == state.self.node) {
     if (IsNewer(told, state.self)) state.replaced = true;
     return true;
@@ -136,18 +136,18 @@
   return peer != nullptr && Merge(*peer, told, direct, now);
 }
 
-bool HearGossip(MembershipState& state, const Sender& from,
-                const Gossip& gossip, Time now) {
+bool ApplyGossip(MembershipState& state, const Sender& from,
+                 const Gossip& gossip, Time now) {
   if (from.node == state.self.node) {
     for (const Member& told : gossip.members) {
-      if (told.node == from.node) HearMember(state, told, true, now);
+      if (told.node == from.node) ApplyMemberGossip(state, told, true, now);
     }
     return false;
   }
   for (const Member& told : gossip.members) {
     const bool direct =
         told.node == from.node && told.incarnation == from.incarnation;
-    HearMember(state, told, direct, now);
+    ApplyMemberGossip(state, told, direct, now);
   }
   if (!IsCurrent(state, from)) return false;
   Peer& peer = state.peers.find(from.node)->second;
@@ -160,13 +160,13 @@
   return true;
 }
 
-bool HearSender(MembershipState& state, const Sender& from, Time now) {
+bool RecordSender(MembershipState& state, const Sender& from, Time now) {
   const auto found = state.peers.find(from.node);
   if (found == state.peers.end()) return false;
   Peer& peer = found->second;
   if (peer.member.incarnation != from.incarnation) {
     const bool unheard = peer.member.incarnation == 0;
-    if (!unheard && now - peer.heard <= kSuspectAfter) return false;
+    if (!unheard && now - peer.heard <= kSuspectTimeout) return false;
     Member fresh = peer.member;
     fresh.incarnation = from.incarnation;
     fresh.started = 0;
@@ -185,20 +185,20 @@
          found->second.member.incarnation == from.incarnation;
 }
 
-std::uint64_t NumberPing(MembershipState& state, Peer& peer, Time now) {
+std::uint64_t RecordPing(MembershipState& state, Peer& peer, Time now) {
   if (peer.pings.size() >= kMaxOpenPings) peer.pings.pop_front();
   peer.pings.push_back({++state.pings, now});
   return state.pings;
 }
 
-void ForgivePeers(MembershipState& state, Time now) {
+void ResetPeerTimeouts(MembershipState& state, Time now) {
   for (auto& [name, peer] : state.peers) peer.heard = now;
 }
 
-MemberState StateOf(const Peer& peer, Time now) {
+MemberState GetMemberState(const Peer& peer, Time now) {
   if (now - peer.heard > kGoneTimeout) return MemberState::kGone;
   if (peer.member.state == MemberState::kLeaving) return MemberState::kLeaving;
-  if (now - peer.heard > kSuspectAfter) return MemberState::kSuspect;
+  if (now - peer.heard > kSuspectTimeout) return MemberState::kSuspect;
   return MemberState::kAlive;
 }
 
@@ -208,8 +208,8 @@
   return left || now - peer.heard > kGoneTimeout;
 }
 
-std::vector<Member> MembersToTell(const MembershipState& state,
-                                  kernel::Random& random, Time now) {
+std::vector<Member> MakeMemberGossip(const MembershipState& state,
+                                     kernel::Random& random, Time now) {
   std::vector<Member> news{state.self};
   std::vector<const Member*> others;
   for (const auto& [name, peer] : state.peers) {
@@ -221,13 +221,13 @@
       continue;
     const bool leaves = peer.member.state == MemberState::kLeaving;
     if (leaves && now - peer.leaving_since < kNewsDuration &&
-        news.size() <= kMembersTold) {
+        news.size() <= kMaxMembersPerMessage) {
       news.push_back(peer.member);
     } else {
       others.push_back(&peer.member);
     }
   }
-  while (!others.empty() && news.size() <= kMembersTold) {
+  while (!others.empty() && news.size() <= kMaxMembersPerMessage) {
     const auto at = kernel::RandomBelow(random, others.size());
     news.push_back(*others[at]);
     others[at] = others.back();
@@ -252,12 +252,13 @@
   const auto found = state.peers.find(voter);
   if (found == state.peers.end()) return false;
   const Peer& peer = found->second;
-  if (!peer.contact.any || now - peer.contact.sent >= kMandate) return false;
+  if (!peer.contact.any || now - peer.contact.sent >= kSupportLifetime)
+    return false;
   if (peer.vote.nodes_digest != state.nodes_digest) return false;
   const Time since =
       keeping ? peer.contact.since
               : std::max(peer.contact.since, peer.contact.digest_since);
-  return now - since >= kSupportWait;
+  return now - since >= kMinSupportDuration;
 }
 
 bool IsSupportedSince(const MembershipState& state, std::string_view voter,
@@ -269,8 +270,8 @@
   return contact.any && contact.since <= then;
 }
 
-bool VotesGone(const MembershipState& state, std::string_view voter,
-               std::string_view node, Time now) {
+bool HasVotedGone(const MembershipState& state, std::string_view voter,
+                  std::string_view node, Time now) {
   if (voter == state.self.node) {
     const auto found = state.peers.find(node);
     return found != state.peers.end() && CountsAsGone(found->second, now);
@@ -278,13 +279,14 @@
   const auto found = state.peers.find(voter);
   if (found == state.peers.end()) return false;
   const Peer& peer = found->second;
-  const bool fresh = peer.contact.any && now - peer.contact.sent < kMandate &&
+  const bool fresh = peer.contact.any &&
+                     now - peer.contact.sent < kSupportLifetime &&
                      peer.vote.nodes_digest == state.nodes_digest;
   return fresh && std::find(peer.vote.gone.begin(), peer.vote.gone.end(),
                             node) != peer.vote.gone.end();
 }
 
-bool MayKeep(const MembershipState& state,
+bool CanKeep(const MembershipState& state,
              const std::vector<std::string>& voters, bool keeping, Time now) {
   if (state.replaced) return false;
   const auto majority =
@@ -299,7 +301,7 @@
   return std::all_of(voters.begin(), self, [&](const std::string& before) {
     const auto votes =
         std::count_if(voters.begin(), voters.end(), [&](const auto& voter) {
-          return voter != before && VotesGone(state, voter, before, now);
+          return voter != before && HasVotedGone(state, voter, before, now);
         });
     return votes >= majority;
   });
--- a/fleet/src/orders.cc
+++ b/fleet/src/orders.cc
@@ -69,8 +69,8 @@
 /// and the engine's models have not changed for a while.
 bool CanOrder(const EndpointOrders& orders, bool honours_fencing, Time now) {
   if (honours_fencing) return true;
-  return now - orders.kept_since >= kUnfencedWait &&
-         now - orders.changed >= kUnfencedWait;
+  return now - orders.kept_since >= kUnfencedQuietTime &&
+         now - orders.changed >= kUnfencedQuietTime;
 }
 
 std::optional<TargetHandle> FindRemovableModel(const EndpointOrders& orders,
@@ -102,8 +102,8 @@
   return placement;
 }
 
-void SeeLoaded(EndpointOrders& orders, const std::vector<TargetHandle>& loaded,
-               Time now) {
+void ApplyLoadedModels(EndpointOrders& orders,
+                       const std::vector<TargetHandle>& loaded, Time now) {
   std::vector<TargetHandle> sorted = loaded;
   std::sort(sorted.begin(), sorted.end());
   if (sorted != orders.loaded) {
@@ -130,7 +130,7 @@
   if (!CanOrder(orders, input.honours_fencing, now)) return std::nullopt;
   for (const TargetHandle target : input.desired) {
     if (Contains(orders.loaded, target)) continue;
-    if (!input.store_free) return std::nullopt;
+    if (!input.has_load_budget) return std::nullopt;
     if (orders.loaded.size() < input.max_loaded_models) {
       return NextOrder{OrderKind::kLoad, target};
     }
@@ -141,7 +141,7 @@
   return std::nullopt;
 }
 
-std::chrono::milliseconds LoadPause(std::size_t nodes) {
+std::chrono::milliseconds ModelLoadInterval(std::size_t nodes) {
   return std::chrono::milliseconds(std::chrono::minutes(1)) *
          static_cast<std::int64_t>(nodes) / kMaxModelLoadsPerMinute;
 }
--- a/fleet/tests/lane_test.cc
+++ b/fleet/tests/lane_test.cc
@@ -108,7 +108,7 @@
 // the lane lives. Its caller has given up and may have paid another way.
 TEST(Lane, NothingIsSentOnALaneThatExpiredDuringAPause) {
   CHECK_TRUE(Runs("k"));
-  now_ += ef::kLaneLife;
+  now_ += ef::kLaneLifetime;
   CHECK_FALSE(ef::MaySend(*lanes_, lane_, "k", now_));
 }
 
@@ -133,7 +133,7 @@
   CHECK_TRUE(Runs("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
   ef::FinishCall(*lanes_, lane_, "k", {200, "", "ok"}, now_);
-  ef::SweepLanes(*lanes_, now_ + ef::kLaneLife + ef::kAnswerLinger);
+  ef::SweepLanes(*lanes_, now_ + ef::kLaneLifetime + ef::kAnswerRetention);
   const auto refusal = Refusal(Begin("k"));
   CHECK(refusal.why == ef::LaneRefusal::kExpired);
 }
@@ -141,13 +141,13 @@
 // A call begins in its lane's last second and ends after the expiry. Its retry
 // still gets the answer.
 TEST(Lane, AnswerOfACallThatOutlivesItsLaneIsKept) {
-  now_ += ef::kLaneLife - 1s;
+  now_ += ef::kLaneLifetime - 1s;
   CHECK_TRUE(Runs("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
   now_ += 5min;
   ef::SweepLanes(*lanes_, now_);
   ef::FinishCall(*lanes_, lane_, "k", {200, "", "ok"}, now_);
-  now_ += ef::kAnswerLinger - 1s;
+  now_ += ef::kAnswerRetention - 1s;
   ef::SweepLanes(*lanes_, now_);
   CHECK_TRUE(std::holds_alternative<ef::RepeatAnswer>(Begin("k")));
 }
@@ -167,7 +167,7 @@
 TEST(Lane, FullTableRefusesForGoodAndStaysWithinItsBound) {
   std::size_t run = 0;
   while (Runs("flood" + std::to_string(run))) ++run;
-  CHECK(ef::ViewOf(*lanes_).bytes <= ef::kLaneBytesMost);
+  CHECK(ef::ViewOf(*lanes_).bytes <= ef::kMaxLaneTableBytes);
   CHECK_TRUE(Refusal(Begin("late")).not_run);
   for (std::size_t i = 0; i < run; ++i) {
     ef::BurnCall(*lanes_, lane_, "flood" + std::to_string(i), now_);
--- a/fleet/tests/lease_test.cc
+++ b/fleet/tests/lease_test.cc
@@ -13,19 +13,19 @@
 TEST_GROUP(Lease) {
   ef::Time now_{1h};
   ef::HeldSlots held_;
-  ef::KeeperBook book_;
+  ef::KeeperState book_;
   egretladder::rules::Endpoint row_;
 
   void setup() override {
     row_.max_in_flight = 16;
     row_.cold_max_in_flight = 4;
-    ef::OpenBook(book_, row_, now_);
+    ef::InitKeeperState(book_, row_, now_);
   }
   void Report(std::uint64_t boot, std::uint32_t running = 0) {
     egretladder::policy::EngineReport report;
     report.boot = boot;
     report.running = running;
-    ef::TakeReport(book_, &report, now_);
+    ef::ApplyReport(book_, &report, now_);
   }
   std::uint32_t Ask(const std::string& node, std::uint64_t number,
                     std::uint32_t wanted, std::uint32_t in_flight = 0,
@@ -35,7 +35,7 @@
     ask.urgent = urgent;
     ask.in_flight = in_flight;
     ask.live_from = live_from;
-    ef::TakeAsk(book_, {node, 1}, number, ask, now_);
+    ef::ApplyAsk(book_, {node, 1}, number, ask, now_);
     return ef::GrantSlots(book_, {node, 1}, now_);
   }
 };
@@ -45,10 +45,10 @@
 TEST(Lease, TimeRunsFromTheAsking) {
   ef::SlotLease lease;
   lease.slots = 3;
-  lease.left = ef::kLeaseLife;
+  lease.left = ef::kLeaseDuration;
   lease.ask_number = 1;
-  CHECK_TRUE(ef::TakeLease(held_, lease, now_, now_ + 1s));
-  const auto lapses = now_ + ef::kLeaseLife - ef::kFreshFor;
+  CHECK_TRUE(ef::ApplyLease(held_, lease, now_, now_ + 1s));
+  const auto lapses = now_ + ef::kLeaseDuration - ef::kPauseThreshold;
   CHECK_EQUAL(3U, ef::UsableSlots(held_, lapses - 1ms));
   CHECK_EQUAL(0U, ef::UsableSlots(held_, lapses));
 }
@@ -57,15 +57,15 @@
 // not undo a newer one.
 TEST(Lease, OvertakenAndDoubledAnswersGiveNothing) {
   ef::SlotLease lease;
-  lease.left = ef::kLeaseLife;
+  lease.left = ef::kLeaseDuration;
   lease.ask_number = 2;
   lease.slots = 1;
-  ef::TakeLease(held_, lease, now_, now_);
+  ef::ApplyLease(held_, lease, now_, now_);
   lease.ask_number = 1;
   lease.slots = 5;
-  CHECK_FALSE(ef::TakeLease(held_, lease, now_, now_));
+  CHECK_FALSE(ef::ApplyLease(held_, lease, now_, now_));
   lease.ask_number = 2;
-  ef::TakeLease(held_, lease, now_, now_);
+  ef::ApplyLease(held_, lease, now_, now_);
   CHECK_EQUAL(1U, ef::UsableSlots(held_, now_));
 }
 
@@ -74,9 +74,9 @@
   ef::DropLease(held_, now_);
   ef::SlotLease lease;
   lease.slots = 3;
-  lease.left = ef::kLeaseLife;
+  lease.left = ef::kLeaseDuration;
   lease.ask_number = 1;
-  CHECK_FALSE(ef::TakeLease(held_, lease, now_, now_ + 100ms));
+  CHECK_FALSE(ef::ApplyLease(held_, lease, now_, now_ + 100ms));
 }
 
 // Two nodes want all of a cold engine's slots. What one may still use isn't
@@ -129,7 +129,7 @@
 // the batch has slots.
 TEST(Lease, WorkOfTheTopTierGetsItsSlotsFirst) {
   row_.cold_max_in_flight = 16;
-  ef::OpenBook(book_, row_, now_);
+  ef::InitKeeperState(book_, row_, now_);
   Report(1);
   for (std::uint64_t round = 1; round <= 3; ++round) {
     Ask("batch-1", round, 16, 0, round);
@@ -138,14 +138,14 @@
     const auto slots = Ask("buyers", round, 12, 0, round, 10);
     if (round == 3) CHECK_TRUE(slots >= 10);
   }
-  CHECK_TRUE(ef::GrantedSum(book_) <= ef::PoolOf(book_));
+  CHECK_TRUE(ef::TotalOutstandingSlots(book_) <= ef::LeasableSlots(book_));
 }
 
 // A quarter of what an engine bears cold needs no lease: all owners together
 // can't swamp it.
 TEST(Lease, FloorsAddUpToAPartOfTheColdBears) {
-  CHECK_EQUAL(1U, ef::FloorSum(row_));
+  CHECK_EQUAL(1U, ef::TotalFloorSlots(row_));
   row_.cold_max_in_flight = 2;
-  CHECK_EQUAL(0U, ef::FloorSum(row_));
-  CHECK_EQUAL(3U, ef::PoolOf(book_));
+  CHECK_EQUAL(0U, ef::TotalFloorSlots(row_));
+  CHECK_EQUAL(3U, ef::LeasableSlots(book_));
 }
--- a/fleet/tests/membership_test.cc
+++ b/fleet/tests/membership_test.cc
@@ -25,7 +25,7 @@
       member.incarnation = 10;
       member.started = 100;
       member.heartbeat = 1;
-      ef::HearMember(state_, member, true, now_);
+      ef::ApplyMemberGossip(state_, member, true, now_);
     }
   }
 
@@ -33,10 +33,10 @@
   void Answer(const std::string& voter, const std::vector<std::string>& gone,
               std::uint64_t digest = 5) {
     ef::Gossip gossip;
-    gossip.ack = ef::NumberPing(state_, state_.peers.at(voter), now_);
+    gossip.ack = ef::RecordPing(state_, state_.peers.at(voter), now_);
     gossip.gone = gone;
     gossip.nodes_digest = digest;
-    ef::HearGossip(state_, {voter, 10}, gossip, now_);
+    ef::ApplyGossip(state_, {voter, 10}, gossip, now_);
   }
 
   /// Lets time pass in which `answering` answer.
@@ -49,8 +49,8 @@
       for (const std::string& voter : answering) Answer(voter, gone);
     }
   }
-  bool MayKeep(bool keeping = false) const {
-    return ef::MayKeep(state_, voters_, keeping, now_);
+  bool CanKeep(bool keeping = false) const {
+    return ef::CanKeep(state_, voters_, keeping, now_);
   }
 };
 
@@ -58,29 +58,29 @@
 // and it goes on leasing. The second must not begin beside it.
 TEST(Membership, NobodyIsPassedOverByOneNodesView) {
   Pass(10s, {"n2", "n3", "n4"});
-  CHECK_TRUE(ef::VotesGone(state_, "n1", "n0", now_));
-  CHECK_FALSE(MayKeep());
+  CHECK_TRUE(ef::HasVotedGone(state_, "n1", "n0", now_));
+  CHECK_FALSE(CanKeep());
   Answer("n2", {"n0"});
-  CHECK_FALSE(MayKeep());
+  CHECK_FALSE(CanKeep());
   Answer("n3", {"n0"});
-  CHECK_TRUE(MayKeep());
+  CHECK_TRUE(CanKeep());
 }
 
 // Two of five nodes are cut off together. Their keeper loses its mandate.
 TEST(Membership, KeeperNeedsAMajority) {
   Pass(10s, {"n2", "n3", "n4"}, {"n0"});
-  CHECK_TRUE(MayKeep());
-  Pass(ef::kMandate, {"n2"}, {"n0"});
-  CHECK_FALSE(MayKeep(true));
+  CHECK_TRUE(CanKeep());
+  Pass(ef::kSupportLifetime, {"n2"}, {"n0"});
+  CHECK_FALSE(CanKeep(true));
 }
 
 // A node that supported another keeper until now answers this one. What the
 // other leased by its vote runs on for a while.
 TEST(Membership, SupportCountsOnlyAfterFormerLeasesLapsed) {
-  Pass(ef::kSupportWait - 1s, {"n2", "n3", "n4"}, {"n0"});
-  CHECK_FALSE(MayKeep());
+  Pass(ef::kMinSupportDuration - 1s, {"n2", "n3", "n4"}, {"n0"});
+  CHECK_FALSE(CanKeep());
   Pass(1500ms, {"n2", "n3", "n4"}, {"n0"});
-  CHECK_TRUE(MayKeep());
+  CHECK_TRUE(CanKeep());
 }
 
 // A published list of nodes changes. Majorities of the old and the new one need
@@ -88,7 +88,7 @@
 TEST(Membership, AnswersUnderAnotherNodeListDontCount) {
   Pass(10s, {"n2", "n3", "n4"}, {"n0"});
   for (const char* voter : {"n2", "n3", "n4"}) Answer(voter, {"n0"}, 6);
-  CHECK_FALSE(MayKeep(true));
+  CHECK_FALSE(CanKeep(true));
 }
 
 // A VM was replaced; a delayed message of its old process arrives. It must not
@@ -99,12 +99,12 @@
   newer.incarnation = 11;
   newer.started = 200;
   newer.heartbeat = 1;
-  ef::HearMember(state_, newer, false, now_);
+  ef::ApplyMemberGossip(state_, newer, false, now_);
   ef::Member older = newer;
   older.incarnation = 10;
   older.started = 100;
   older.heartbeat = 99;
-  ef::HearMember(state_, older, true, now_);
+  ef::ApplyMemberGossip(state_, older, true, now_);
   CHECK_TRUE(ef::IsCurrent(state_, {"n2", 11}));
   CHECK_FALSE(ef::IsCurrent(state_, {"n2", 10}));
 }
@@ -116,8 +116,8 @@
   fresh.node = "n2";
   fresh.incarnation = 12;
   fresh.started = 50;
-  now_ += ef::kSuspectAfter + 1ms;
-  ef::HearMember(state_, fresh, true, now_);
+  now_ += ef::kSuspectTimeout + 1ms;
+  ef::ApplyMemberGossip(state_, fresh, true, now_);
   CHECK_TRUE(ef::IsCurrent(state_, {"n2", 12}));
 }
 
@@ -126,19 +126,21 @@
 // floors.
 TEST(Membership, UnknownAskerIsBelievedAndItsPredecessorIsNot) {
   state_.peers["n9"].member.node = "n9";
-  CHECK_TRUE(ef::HearSender(state_, {"n9", 2}, now_));
-  CHECK_FALSE(ef::HearSender(state_, {"n9", 1}, now_ + 1s));
-  CHECK_TRUE(ef::HearSender(state_, {"n9", 3}, now_ + 3s));
-  CHECK_FALSE(ef::HearSender(state_, {"n10", 1}, now_));
+  CHECK_TRUE(ef::RecordSender(state_, {"n9", 2}, now_));
+  CHECK_FALSE(ef::RecordSender(state_, {"n9", 1}, now_ + 1s));
+  CHECK_TRUE(ef::RecordSender(state_, {"n9", 3}, now_ + 3s));
+  CHECK_FALSE(ef::RecordSender(state_, {"n10", 1}, now_));
 }
 
 // A process that was paused hears its peers' silence as its own, and doesn't
 // vote them all out.
 TEST(Membership, PausedProcessForgivesItsPeers) {
   now_ += 60s;
-  CHECK(ef::StateOf(state_.peers.at("n2"), now_) == ef::MemberState::kGone);
-  ef::ForgivePeers(state_, now_);
-  CHECK(ef::StateOf(state_.peers.at("n2"), now_) == ef::MemberState::kAlive);
+  CHECK(ef::GetMemberState(state_.peers.at("n2"), now_) ==
+        ef::MemberState::kGone);
+  ef::ResetPeerTimeouts(state_, now_);
+  CHECK(ef::GetMemberState(state_.peers.at("n2"), now_) ==
+        ef::MemberState::kAlive);
 }
 
 // At 390 nodes a message must not grow with the fleet.
@@ -148,10 +150,10 @@
     member.node = "m" + std::to_string(i);
     member.incarnation = 1;
     member.heartbeat = 1;
-    ef::HearMember(state_, member, true, now_);
-    ef::HearSender(state_, {member.node, 1}, now_);
+    ef::ApplyMemberGossip(state_, member, true, now_);
+    ef::RecordSender(state_, {member.node, 1}, now_);
   }
   egretladder::kernel::Random random(1);
-  CHECK_EQUAL(ef::kMembersTold + 1,
-              ef::MembersToTell(state_, random, now_).size());
+  CHECK_EQUAL(ef::kMaxMembersPerMessage + 1,
+              ef::MakeMemberGossip(state_, random, now_).size());
 }
--- a/fleet/tests/orders_test.cc
+++ b/fleet/tests/orders_test.cc
@@ -54,10 +54,10 @@
   void setup() override {
     orders_.kept_since = now_ - 1h;
     orders_.changed = now_ - 1h;
-    ef::SeeLoaded(orders_, {kOld}, now_ - 1h);
+    ef::ApplyLoadedModels(orders_, {kOld}, now_ - 1h);
     input_.desired = {kNew};
     input_.honours_fencing = true;
-    input_.store_free = true;
+    input_.has_load_budget = true;
     input_.spare = {kOld};
   }
 };
@@ -88,8 +88,8 @@
 // The placement changes twice in a minute. The engine would load and unload and
 // serve nobody.
 TEST(Orders, ModelStaysForItsDwell) {
-  ef::SeeLoaded(orders_, {}, now_);
-  ef::SeeLoaded(orders_, {kOld}, now_);
+  ef::ApplyLoadedModels(orders_, {}, now_);
+  ef::ApplyLoadedModels(orders_, {kOld}, now_);
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_ + 1min).has_value());
   CHECK_TRUE(ef::DecideOrder(orders_, input_, now_ + 6min).has_value());
 }
@@ -100,28 +100,28 @@
   input_.honours_fencing = false;
   orders_.kept_since = now_;
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_ + 1s).has_value());
-  CHECK_TRUE(
-      ef::DecideOrder(orders_, input_, now_ + ef::kUnfencedWait).has_value());
+  CHECK_TRUE(ef::DecideOrder(orders_, input_, now_ + ef::kUnfencedQuietTime)
+                 .has_value());
 }
 
 // A whole zone starts and every engine wants its weights at once. The weight
 // store would refuse them all.
 TEST(Orders, WeightStoreBudgetHoldsLoadsBack) {
-  ef::SeeLoaded(orders_, {}, now_);
-  input_.store_free = false;
+  ef::ApplyLoadedModels(orders_, {}, now_);
+  input_.has_load_budget = false;
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_).has_value());
-  input_.store_free = true;
+  input_.has_load_budget = true;
   CHECK(ef::DecideOrder(orders_, input_, now_)->kind == ef::OrderKind::kLoad);
-  CHECK(ef::LoadPause(7) == 14s);
+  CHECK(ef::ModelLoadInterval(7) == 14s);
 }
 
 // The engine takes minutes to load. The same order isn't sent with every
 // report.
 TEST(Orders, OpenOrderIsNotRepeated) {
-  ef::SeeLoaded(orders_, {}, now_);
+  ef::ApplyLoadedModels(orders_, {}, now_);
   orders_.open = ef::OpenOrder{ef::OrderKind::kLoad, kNew, now_};
-  ef::SeeLoaded(orders_, {}, now_ + 1min);
+  ef::ApplyLoadedModels(orders_, {}, now_ + 1min);
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_ + 1min).has_value());
-  ef::SeeLoaded(orders_, {kNew}, now_ + 2min);
+  ef::ApplyLoadedModels(orders_, {kNew}, now_ + 2min);
   CHECK_FALSE(orders_.open.has_value());
 }
