--- a/fleet/include/egretladder/fleet/fleet.h
+++ b/fleet/include/egretladder/fleet/fleet.h
@@ -74,12 +74,12 @@
   policy::SlotReason reason = policy::SlotReason::kUnchanged;
 };
 /// An endpoint became available or unavailable for new work.
-struct AvailableChanged {
+struct AvailabilityChanged {
   EndpointHandle endpoint;
   bool available = false;
 };
 /// A report reached this node, directly or from the keeper.
-struct ReportSeen {
+struct ReportReceived {
   EndpointHandle endpoint;
   policy::EngineReport report;
 };
@@ -101,8 +101,8 @@
 /// An action that the driver of the state machine carries out.
 using Action =
     std::variant<SendMessage, ReadRulesDocument, ReadVmList, ReadReport,
-                 RulesInForce, RulesRefused, SlotsChanged, AvailableChanged,
-                 ReportSeen, QuarantineAdded, OrderEngine>;
+                 RulesInForce, RulesRefused, SlotsChanged, AvailabilityChanged,
+                 ReportReceived, QuarantineAdded, OrderEngine>;
 /// Actions in the order in which they must be carried out.
 using Actions = std::vector<Action>;
 
@@ -193,6 +193,6 @@
                           std::size_t max_nodes, Time now);
 
 /// Maximum interval between two calls of `OnTick`.
-inline constexpr std::chrono::milliseconds kFleetTick{50};
+inline constexpr std::chrono::milliseconds kFleetTickInterval{50};
 
 }  // namespace egretladder::fleet
--- a/fleet/include/egretladder/fleet/lane.h
+++ b/fleet/include/egretladder/fleet/lane.h
@@ -116,12 +116,12 @@
                                  const std::string& key, StoredAnswer answer,
                                  Time now);
 /// Records that the call was sent and its answer was lost; returns the waiters.
-std::vector<WaiterId> LoseCall(LanesState& state, const Lane& lane,
-                               const std::string& key, Time now);
+std::vector<WaiterId> MarkOutcomeUnknown(LanesState& state, const Lane& lane,
+                                         const std::string& key, Time now);
 /// Records that the call was never sent and never will be. Returns the waiters,
 /// which may be told that it was not run.
-std::vector<WaiterId> BurnCall(LanesState& state, const Lane& lane,
-                               const std::string& key, Time now);
+std::vector<WaiterId> MarkNotRun(LanesState& state, const Lane& lane,
+                                 const std::string& key, Time now);
 
 /// Removes the keys of expired lanes. Call it at least every `kLaneSweep`.
 void SweepLanes(LanesState& state, Time now);
@@ -135,6 +135,6 @@
 LanesView ViewOf(const LanesState& state);
 
 /// Maximum interval between two calls of `SweepLanes`.
-inline constexpr std::chrono::milliseconds kLaneSweep{1000};
+inline constexpr std::chrono::milliseconds kLaneSweepInterval{1000};
 
 }  // namespace egretladder::fleet
--- a/fleet/src/fleet_keeper.cc
+++ b/fleet/src/fleet_keeper.cc
@@ -261,7 +261,7 @@
   if (report != nullptr) {
     endpoint.report = *report;
     endpoint.report_at = now - report->age;
-    out.emplace_back(ReportSeen{handle, *report});
+    out.emplace_back(ReportReceived{handle, *report});
   }
   if (!endpoint.keeper_state.has_value()) return;
   const std::uint32_t pool_before = LeasableSlots(*endpoint.keeper_state);
--- a/fleet/src/fleet_slots.cc
+++ b/fleet/src/fleet_slots.cc
@@ -190,7 +190,7 @@
     const bool changed = available != endpoint.available;
     endpoint.available = available;
     Announce(state, {i}, policy::SlotReason::kUnchanged, now, out);
-    if (changed) out.emplace_back(AvailableChanged{{i}, available});
+    if (changed) out.emplace_back(AvailabilityChanged{{i}, available});
   }
 }
 
@@ -243,7 +243,7 @@
     endpoint.report = report;
     endpoint.report_at = now - report.age;
     if (!endpoint.keeper_state.has_value())
-      out.emplace_back(ReportSeen{handle, report});
+      out.emplace_back(ReportReceived{handle, report});
   }
 }
 
--- a/fleet/src/lane.cc
+++ b/fleet/src/lane.cc
@@ -239,15 +239,15 @@
   return EndCall(state, full_key, *call, KeyState::kDone, now);
 }
 
-std::vector<WaiterId> LoseCall(LanesState& state, const Lane& lane,
-                               const std::string& key, Time now) {
+std::vector<WaiterId> MarkOutcomeUnknown(LanesState& state, const Lane& lane,
+                                         const std::string& key, Time now) {
   CallRecord* call = Find(state, lane, key);
   if (call == nullptr || !IsInProgress(*call)) return {};
   return EndCall(state, MakeTableKey(lane, key), *call, KeyState::kLost, now);
 }
 
-std::vector<WaiterId> BurnCall(LanesState& state, const Lane& lane,
-                               const std::string& key, Time now) {
+std::vector<WaiterId> MarkNotRun(LanesState& state, const Lane& lane,
+                                 const std::string& key, Time now) {
   CallRecord* call = Find(state, lane, key);
   if (call == nullptr || !IsInProgress(*call)) return {};
   return EndCall(state, MakeTableKey(lane, key), *call, KeyState::kBurned, now);
--- a/fleet/tests/lane_random_test.cc
+++ b/fleet/tests/lane_random_test.cc
@@ -165,7 +165,7 @@
     if (!ef::MaySend(*node.lanes, attempt.lane, attempt.key, now) ||
         Draw(8) == 0) {
       // Too late, or the endpoint refused the connection.
-      ef::BurnCall(*node.lanes, attempt.lane, attempt.key, now);
+      ef::MarkNotRun(*node.lanes, attempt.lane, attempt.key, now);
       SayNotRun(attempt.key);
       return true;
     }
@@ -181,7 +181,7 @@
   bool End(Node& node, const Attempt& attempt) {
     const auto now = LocalNow(node);
     if (Draw(5) == 0) {
-      ef::LoseCall(*node.lanes, attempt.lane, attempt.key, now);
+      ef::MarkOutcomeUnknown(*node.lanes, attempt.lane, attempt.key, now);
     } else {
       ef::FinishCall(*node.lanes, attempt.lane, attempt.key,
                      {200, "", "answer of " + attempt.key}, now);
--- a/fleet/tests/lane_test.cc
+++ b/fleet/tests/lane_test.cc
@@ -76,7 +76,7 @@
 TEST(Lane, LostCallStaysUnknownUntilItsAnswerComes) {
   CHECK_TRUE(Runs("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
-  CHECK_EQUAL(1U, ef::LoseCall(*lanes_, lane_, "k", now_).size());
+  CHECK_EQUAL(1U, ef::MarkOutcomeUnknown(*lanes_, lane_, "k", now_).size());
   CHECK_TRUE(std::holds_alternative<ef::OutcomeUnknown>(Begin("k")));
   CHECK_FALSE(ef::MaySend(*lanes_, lane_, "k", now_));
   ef::FinishCall(*lanes_, lane_, "k", {200, "", "late"}, now_);
@@ -87,7 +87,7 @@
 // its call is still under way on a slow connection. That copy must not run.
 TEST(Lane, BurnedKeyNeverRuns) {
   CHECK_TRUE(Runs("k"));
-  CHECK_EQUAL(1U, ef::BurnCall(*lanes_, lane_, "k", now_).size());
+  CHECK_EQUAL(1U, ef::MarkNotRun(*lanes_, lane_, "k", now_).size());
   const auto refusal = Refusal(Begin("k"));
   CHECK(refusal.why == ef::LaneRefusal::kKeyBurned);
   CHECK_TRUE(refusal.not_run);
@@ -170,7 +170,7 @@
   CHECK(ef::ViewOf(*lanes_).bytes <= ef::kMaxLaneTableBytes);
   CHECK_TRUE(Refusal(Begin("late")).not_run);
   for (std::size_t i = 0; i < run; ++i) {
-    ef::BurnCall(*lanes_, lane_, "flood" + std::to_string(i), now_);
+    ef::MarkNotRun(*lanes_, lane_, "flood" + std::to_string(i), now_);
   }
   const auto refusal = Refusal(Begin("late"));
   CHECK(refusal.why == ef::LaneRefusal::kTableFull);
--- a/fleet/tests/wire_fixture_test.cc
+++ b/fleet/tests/wire_fixture_test.cc
@@ -303,7 +303,7 @@
     } else if (const auto* change = std::get_if<SlotsChanged>(&action)) {
       const auto& row = RulesOf(*node.fleet)->endpoints[change->endpoint.idx];
       node.slots[row.source.name] = change->slots;
-    } else if (const auto* moved = std::get_if<AvailableChanged>(&action)) {
+    } else if (const auto* moved = std::get_if<AvailabilityChanged>(&action)) {
       const auto& row = RulesOf(*node.fleet)->endpoints[moved->endpoint.idx];
       node.available[row.source.name] = moved->available;
     } else if (const auto* rules = std::get_if<RulesInForce>(&action)) {
