--- a/kernel/src/hash.cc
+++ b/kernel/src/hash.cc
@@ -18,8 +18,9 @@
 }
 
 double HashToFraction(std::uint64_t hash) {
-  constexpr double kSteps = 9007199254740992.0;  // 2^53
-  return static_cast<double>(hash >> 11) / kSteps;
+  // A double represents 53 bits exactly, so the result never rounds up to 1.
+  constexpr double kTwoToThe53 = 9007199254740992.0;
+  return static_cast<double>(hash >> 11) / kTwoToThe53;
 }
 
 double RandomFraction(Random& random) { return HashToFraction(random()); }
