--- a/fleet/include/egretladder/fleet/fleet.h
+++ b/fleet/include/egretladder/fleet/fleet.h
@@ -135,7 +135,8 @@
 /// seeds and the platform for them.
 FleetPtr StartFleet(const FleetOptions& options, Time now, Actions& out);
 
-/// Handles everything that is due by time. Call it at least every `kFleetTick`.
+/// Handles everything that is due by time. Call it at least every
+/// `kFleetTickInterval`.
 void OnTick(FleetState& state, Time now, Actions& out);
 /// Handles a message from a peer. Gossip and slot requests from a process that
 /// was replaced are ignored.
@@ -175,7 +176,7 @@
 
 /// Returns the rules in force; null before the first version.
 rules::RulesPtr RulesOf(const FleetState& state);
-/// Returns false if `OnTick` has not run for `kFreshFor`: the process was
+/// Returns false if `OnTick` has not run for `kPauseThreshold`: the process was
 /// paused, and its knowledge of unavailable zones and leaving endpoints may be
 /// outdated. It stays false until a tick and an exchange with a peer or the
 /// platform have passed. Nothing may be sent meanwhile. It is also false if the
--- a/fleet/include/egretladder/fleet/lane.h
+++ b/fleet/include/egretladder/fleet/lane.h
@@ -123,7 +123,8 @@
 std::vector<WaiterId> MarkNotRun(LanesState& state, const Lane& lane,
                                  const std::string& key, Time now);
 
-/// Removes the keys of expired lanes. Call it at least every `kLaneSweep`.
+/// Removes the keys of expired lanes. Call it at least every
+/// `kLaneSweepInterval`.
 void SweepLanes(LanesState& state, Time now);
 
 /// Number of keys in the table and the bytes that they take.
--- a/fleet/include/egretladder/fleet/lease.h
+++ b/fleet/include/egretladder/fleet/lease.h
@@ -43,7 +43,7 @@
   /// The holder has reported the total of an earlier keeper.
   bool claimed = false;
   bool known = false;  ///< The holder's calls are no longer among
-                       ///< `KeeperBook::unattributed_calls`.
+                       ///< `KeeperState::unattributed_calls`.
   /// Grants of which any may be the one in use, until a later request shows
   /// otherwise. A grant isn't removed when its time is over, because a call
   /// that began in the last moment of a lease continues after it.
--- a/fleet/src/lease_holder.cc
+++ b/fleet/src/lease_holder.cc
@@ -12,8 +12,8 @@
   if (lease.ask_number < held.ask_number || asked <= held.dropped) return false;
   // The lease counts from when it was requested. The keeper counts from a later
   // time, so the holder's lease ends first, however long the answer was under
-  // way. It ends earlier by `kFreshFor`, because the process may be paused for
-  // that long without noticing.
+  // way. It ends earlier by `kPauseThreshold`, because the process may be
+  // paused for that long without noticing.
   const Time until =
       asked + std::min(lease.left, kLeaseDuration) - kPauseThreshold;
   if (lease.ask_number == held.ask_number) {
