--- a/fleet/include/egretladder/fleet/lease.h
+++ b/fleet/include/egretladder/fleet/lease.h
@@ -39,11 +39,11 @@
   /// Calls in flight by the holder's last request. They continue when its lease
   /// lapses, since a long answer takes longer than any lease.
   std::uint32_t in_flight = 0;
-  Time asked{};
+  Time last_ask{};
   /// The holder has reported the total of an earlier keeper.
-  bool claimed = false;
-  bool known = false;  ///< The holder's calls are no longer among
-                       ///< `KeeperState::unattributed_calls`.
+  bool has_claimed_total = false;
+  bool is_counted = false;  ///< The holder's calls are no longer among
+                            ///< `KeeperState::unattributed_calls`.
   /// Grants of which any may be the one in use, until a later request shows
   /// otherwise. A grant isn't removed when its time is over, because a call
   /// that began in the last moment of a lease continues after it.
@@ -59,19 +59,19 @@
   std::uint32_t floor_sum = 0;
   std::vector<Holder> holders;
   /// The total of an earlier keeper as reported by the holders.
-  std::uint32_t claimed = 0;
-  Time opened{};
+  std::uint32_t claimed_total = 0;
+  Time kept_since{};
   Time resumed{};
   /// Calls of nodes from which this keeper has not heard since it began. It
   /// starts as the number of calls that the first report shows; the first
   /// request of each node subtracts that node's calls.
   std::uint32_t unattributed_calls = 0;
-  Time take_over_until{};
+  Time takeover_deadline{};
   std::optional<policy::EngineReport> report;
   /// The unattributed calls are known, so slots may be granted.
   bool ready = false;
   Time report_at{};
-  Time sign_of_life{};  ///< Time of the last report or timely answer.
+  Time last_sign_of_life{};  ///< Time of the last report or timely answer.
   Time next_report{};
 };
 
--- a/fleet/src/fleet_keeper.cc
+++ b/fleet/src/fleet_keeper.cc
@@ -192,7 +192,7 @@
                           ? kHolderSilenceTimeout + kReportTimeout
                           : kHolderSilenceTimeout;
     if (!endpoint.keeper_state->ready &&
-        now - endpoint.keeper_state->opened >= wait) {
+        now - endpoint.keeper_state->kept_since >= wait) {
       AssumeUnattributedCalls(*endpoint.keeper_state,
                               SilentNodes(state, *endpoint.keeper_state));
     }
--- a/fleet/src/lease_keeper.cc
+++ b/fleet/src/lease_keeper.cc
@@ -28,7 +28,7 @@
 }
 
 bool IsActiveHolder(const Holder& holder, Time now) {
-  return now - holder.asked <= kHolderSilenceTimeout;
+  return now - holder.last_ask <= kHolderSilenceTimeout;
 }
 
 /// Returns how long the calls of a silent holder count. A report shows them
@@ -48,14 +48,14 @@
 void PruneHolders(KeeperState& keeper_state, Time now) {
   const auto kept = std::max(SilentCallsKept(keeper_state), kLeaseDuration);
   std::erase_if(keeper_state.holders, [&](const Holder& holder) {
-    return now - holder.asked >= (holder.replaced ? kLeaseDuration : kept);
+    return now - holder.last_ask >= (holder.replaced ? kLeaseDuration : kept);
   });
 }
 
 /// Returns the number of calls at the endpoint that no holder accounts for.
 std::uint32_t CountUnattributedCalls(const KeeperState& keeper_state,
                                      Time now) {
-  if (now - keeper_state.opened >= SilentCallsKept(keeper_state)) return 0;
+  if (now - keeper_state.kept_since >= SilentCallsKept(keeper_state)) return 0;
   if (keeper_state.report.has_value()) return keeper_state.unattributed_calls;
   // One slot stays usable: its answers let the limit grow, while the endpoint
   // would be idle for as long as unattributed calls count otherwise.
@@ -68,7 +68,7 @@
 /// lapsed may miss some.
 bool CoversAllUnattributedCalls(const KeeperState& keeper_state,
                                 const policy::EngineReport& report, Time now) {
-  return now - report.age >= keeper_state.opened - kMaxInitialReportLead;
+  return now - report.age >= keeper_state.kept_since - kMaxInitialReportLead;
 }
 
 /// Resets the calls in flight of silent holders after a new boot, which ended
@@ -181,16 +181,18 @@
 /// outdated.
 void InheritTotal(KeeperState& keeper_state, Holder& holder, const SlotAsk& ask,
                   Time now) {
-  if (!keeper_state.ready || holder.claimed) return;
-  holder.claimed = true;
+  if (!keeper_state.ready || holder.has_claimed_total) return;
+  holder.has_claimed_total = true;
   const bool same_boot = keeper_state.report.has_value() &&
                          ask.total_boot != 0 &&
                          keeper_state.report->boot == ask.total_boot &&
                          keeper_state.slots.boot == ask.total_boot;
-  if (!same_boot || ask.total == 0 || now >= keeper_state.take_over_until)
+  if (!same_boot || ask.total == 0 || now >= keeper_state.takeover_deadline)
     return;
-  if (keeper_state.claimed != 0 && ask.total >= keeper_state.claimed) return;
-  keeper_state.claimed = ask.total;
+  if (keeper_state.claimed_total != 0 &&
+      ask.total >= keeper_state.claimed_total)
+    return;
+  keeper_state.claimed_total = ask.total;
   keeper_state.slots.slots =
       std::clamp(ask.total, keeper_state.slots.cold_max_in_flight,
                  keeper_state.slots.max_in_flight);
@@ -199,7 +201,7 @@
 
 policy::SlotReason Restart(KeeperState& keeper_state, std::uint64_t boot,
                            Time now) {
-  keeper_state.take_over_until = now;
+  keeper_state.takeover_deadline = now;
   return policy::StartSlots(keeper_state.slots,
                             keeper_state.slots.cold_max_in_flight,
                             keeper_state.slots.max_in_flight, boot, now);
@@ -224,9 +226,9 @@
                      Time now) {
   keeper_state = {};
   keeper_state.floor_sum = TotalFloorSlots(endpoint);
-  keeper_state.opened = now;
-  keeper_state.sign_of_life = now;
-  keeper_state.take_over_until = now + kLeaseDuration;
+  keeper_state.kept_since = now;
+  keeper_state.last_sign_of_life = now;
+  keeper_state.takeover_deadline = now + kLeaseDuration;
   policy::StartSlots(keeper_state.slots, endpoint.cold_max_in_flight,
                      endpoint.max_in_flight, 0, now);
 }
@@ -244,7 +246,7 @@
 void AssumeUnattributedCalls(KeeperState& keeper_state, std::uint32_t silent) {
   keeper_state.ready = true;
   keeper_state.unattributed_calls = silent;
-  for (Holder& holder : keeper_state.holders) holder.known = true;
+  for (Holder& holder : keeper_state.holders) holder.is_counted = true;
 }
 
 void UpdateCapacity(KeeperState& keeper_state, const rules::Endpoint& endpoint,
@@ -289,8 +291,8 @@
   holder->wanted = std::max(ask.wanted, ask.in_flight);
   holder->urgent = std::min(ask.urgent, holder->wanted);
   holder->in_flight = ask.in_flight;
-  if (keeper_state.ready && !holder->known) {
-    holder->known = true;
+  if (keeper_state.ready && !holder->is_counted) {
+    holder->is_counted = true;
     // Without a report, each silent node was assumed to have one call.
     const std::uint32_t own = keeper_state.report.has_value()
                                   ? ask.in_flight
@@ -301,9 +303,9 @@
   std::erase_if(holder->grants, [&](const Grant& grant) {
     return grant.ask_number < ask.live_from;
   });
-  holder->asked = now;
+  holder->last_ask = now;
   if (ask.down) return Restart(keeper_state, keeper_state.slots.boot, now);
-  if (ask.evidence.in_time > 0) keeper_state.sign_of_life = now;
+  if (ask.evidence.in_time > 0) keeper_state.last_sign_of_life = now;
   InheritTotal(keeper_state, *holder, ask, now);
   return ApplyEvidence(keeper_state, ask.evidence, now);
 }
@@ -327,7 +329,7 @@
 policy::SlotReason ApplyReport(KeeperState& keeper_state,
                                const policy::EngineReport* report, Time now) {
   if (report == nullptr) {
-    const bool lost = now - keeper_state.sign_of_life > kReportTimeout;
+    const bool lost = now - keeper_state.last_sign_of_life > kReportTimeout;
     if (!lost ||
         keeper_state.slots.slots <= keeper_state.slots.cold_max_in_flight) {
       return policy::SlotReason::kUnchanged;
@@ -337,7 +339,7 @@
   const bool first = !keeper_state.report.has_value();
   keeper_state.report = *report;
   keeper_state.report_at = now;
-  keeper_state.sign_of_life = now;
+  keeper_state.last_sign_of_life = now;
   const std::uint32_t running = report->running + report->waiting;
   if (keeper_state.ready) {
     keeper_state.unattributed_calls =
