--- a/fleet/src/electorate.cc
+++ b/fleet/src/electorate.cc
@@ -14,7 +14,7 @@
 using rules::NodeHandle;
 using rules::Rules;
 
-/// Mixes two hashes into a rank. Source: the finaliser of splitmix64.
+/// Combines two hashes into a rank. Source: the finaliser of splitmix64.
 std::uint64_t Mix(std::uint64_t left, std::uint64_t right) {
   std::uint64_t bits = left ^ (right * 0x9E3779B97F4A7C15U);
   bits = (bits ^ (bits >> 30U)) * 0xBF58476D1CE4E5B9U;
@@ -22,7 +22,7 @@
   return bits ^ (bits >> 31U);
 }
 
-/// 0: same zone, 1: same region, 2: elsewhere.
+/// Returns 0 for the same zone, 1 for the same region, otherwise 2.
 int Distance(const Rules& rules, rules::ZoneHandle left,
              rules::ZoneHandle right) {
   if (left == right) return 0;
@@ -43,17 +43,18 @@
 
 }  // namespace
 
-std::vector<NodeHandle> VotersOf(const Rules& rules, EndpointHandle endpoint) {
-  const rules::Endpoint& row = rules.endpoints[endpoint.idx];
-  const std::uint64_t seed = kernel::HashBytes(row.source.name);
+std::vector<NodeHandle> FindVoters(const Rules& rules,
+                                   EndpointHandle endpoint) {
+  const rules::Endpoint& endpoint_rules = rules.endpoints[endpoint.idx];
+  const std::uint64_t seed = kernel::HashBytes(endpoint_rules.source.name);
   std::vector<Ranked> ranked;
   for (std::uint32_t i = 0; i < rules.nodes.size(); ++i) {
     const rules::Node& node = rules.nodes[i];
     if (!node.source.present) continue;
-    ranked.push_back({Distance(rules, node.zone, row.zone),
+    ranked.push_back({Distance(rules, node.zone, endpoint_rules.zone),
                       Mix(seed, kernel::HashBytes(node.source.name)), i});
   }
-  const std::size_t count = std::min(ranked.size(), kVotersMost);
+  const std::size_t count = std::min(ranked.size(), kMaxVoters);
   const auto middle = ranked.begin() + static_cast<std::ptrdiff_t>(count);
   std::partial_sort(ranked.begin(), middle, ranked.end());
   std::vector<NodeHandle> voters;
@@ -74,14 +75,14 @@
 
 std::uint32_t TotalFloorSlots(const rules::Endpoint& endpoint) {
   return std::min(endpoint.cold_max_in_flight, endpoint.max_in_flight) /
-         kFloorPart;
+         kFloorDivisor;
 }
 
 std::uint32_t NodeFloorSlots(const Rules& rules, EndpointHandle endpoint,
                              std::string_view node) {
   const std::uint32_t sum = TotalFloorSlots(rules.endpoints[endpoint.idx]);
   if (sum == 0) return 0;
-  const std::vector<NodeHandle> voters = VotersOf(rules, endpoint);
+  const std::vector<NodeHandle> voters = FindVoters(rules, endpoint);
   if (voters.empty()) return 0;
   std::uint32_t mine = 0;
   for (std::uint32_t slot = 0; slot < sum; ++slot) {
@@ -91,14 +92,14 @@
   return mine;
 }
 
-std::vector<bool> EndpointsUsedBy(const Rules& rules, std::string_view node,
-                                  std::string_view zone) {
+std::vector<bool> FindUsedEndpoints(const Rules& rules, std::string_view node,
+                                    std::string_view zone) {
   std::vector<bool> used(rules.endpoints.size(), false);
   std::size_t present = 0;
   for (const rules::Endpoint& endpoint : rules.endpoints) {
     if (endpoint.source.present) ++present;
   }
-  if (present <= kEndpointsAll) {
+  if (present <= kMaxUnrestrictedEndpoints) {
     used.assign(used.size(), true);
     return used;
   }
@@ -127,7 +128,8 @@
 
 bool IsReader(const Rules& rules, std::string_view node) {
   const NodeHandle self = FindNode(rules, node);
-  if (!IsValid(self)) return true;  // Not published: can't rely on others.
+  if (!IsValid(self))
+    return true;  // An unpublished node can't rely on other readers.
   const rules::ZoneHandle zone = rules.nodes[self.idx].zone;
   const std::uint64_t own = kernel::HashBytes(node);
   std::size_t before = 0;
--- a/fleet/src/fleet.cc
+++ b/fleet/src/fleet.cc
@@ -10,38 +10,40 @@
 namespace egretladder::fleet {
 namespace {
 
-/// A process whose ticks stood still acts on nothing it knew before: leases and
-/// votes go by the clock, and its peers' silence was its own.
-void NoticePause(FleetState& state, Time now) {
+/// Detects that the process was paused. It then trusts nothing that it knew
+/// before: leases and votes depend on the clock, and the silence of its peers
+/// was caused by its own pause.
+void DetectPause(FleetState& state, Time now) {
   const bool paused = now - state.fresh.last_tick > kPauseThreshold;
   state.fresh.last_tick = now;
   if (!paused) return;
-  state.fresh.woke = true;
-  state.fresh.woke_at = now;
+  state.fresh.is_resuming = true;
+  state.fresh.resumed_at = now;
   ResetPeerTimeouts(state.members, now);
   state.next_round = now;
   state.config.read.reading = false;
   state.config.read.next = now;
-  kernel::Log(kernel::LogPart::kFleet, kernel::LogLevel::kWarning,
-              "The process was paused. It asks its peers before it sends.");
+  kernel::Log(
+      kernel::LogPart::kFleet, kernel::LogLevel::kWarning,
+      "The process was paused. It contacts its peers before it sends work.");
 }
 
-bool OthersPublished(const FleetState& state) {
+bool HasOtherPublishedNodes(const FleetState& state) {
   return std::any_of(state.members.peers.begin(), state.members.peers.end(),
                      [](const auto& entry) { return entry.second.published; });
 }
 
-bool ReadLately(const ReadPlan& plan, Time now) {
-  return plan.ever_answered && now - plan.answered <= kIsolatedAfter;
+bool WasReadRecently(const ReadSchedule& schedule, Time now) {
+  return schedule.ever_answered && now - schedule.answered <= kIsolationTimeout;
 }
 
-void ForgetNotices(FleetState& state, Time now) {
+void PruneVmNotices(FleetState& state, Time now) {
   std::erase_if(state.leaving_vms, [&](const auto& entry) {
-    return now - entry.second >= kVmNoticeKept;
+    return now - entry.second >= kVmNoticeLifetime;
   });
 }
 
-int PreferenceOf(const Member& member, std::string_view zone) {
+int PreferenceRank(const Member& member, std::string_view zone) {
   const int far = member.zone == zone ? 0 : 1;
   return member.state == MemberState::kAlive ? far : far + 2;
 }
@@ -76,19 +78,19 @@
   self.incarnation = options.incarnation;
   self.started = options.started;
   state->fresh.last_tick = now;
-  state->config.hold_until = now + kAskPeersFor;
-  StartRound(*state, now, out);
+  state->config.hold_until = now + kStartupPeerTimeout;
+  StartGossipRound(*state, now, out);
   ReadPlatform(*state, now, out);
   return state;
 }
 
 void OnTick(FleetState& state, Time now, Actions& out) {
-  NoticePause(state, now);
+  DetectPause(state, now);
   ReleaseHeldBack(state, now, out);
-  StartRound(state, now, out);
+  StartGossipRound(state, now, out);
   ReadPlatform(state, now, out);
   if (state.config.rules == nullptr) return;
-  ForgetNotices(state, now);
+  PruneVmNotices(state, now);
   UpdateKeeping(state, now, out);
   AskForSlots(state, now, out);
   AnnounceEndpoints(state, now, out);
@@ -97,21 +99,22 @@
 void OnMessage(FleetState& state, const Sender& from, const Message& message,
                Time now, Actions& out) {
   if (const auto* gossip = std::get_if<Gossip>(&message)) {
-    TakeGossip(state, from, *gossip, now, out);
+    HandleGossip(state, from, *gossip, now, out);
     if (state.config.rules != nullptr) AnnounceEndpoints(state, now, out);
   } else if (const auto* ask = std::get_if<RulesAsk>(&message)) {
-    const std::string& address = AddressOf(state, from.node);
-    if (VersionOf(state) <= ask->have_version || address.empty()) return;
+    const std::string& address = FindPeerAddress(state, from.node);
+    if (GetRulesVersion(state) <= ask->have_version || address.empty()) return;
     out.emplace_back(SendMessage{
-        address, RulesOffer{VersionOf(state), state.config.rules->text}, true});
+        address, RulesOffer{GetRulesVersion(state), state.config.rules->text},
+        true});
   } else if (const auto* offer = std::get_if<RulesOffer>(&message)) {
-    TakeText(state, offer->text, "node " + from.node, now, out);
+    ApplyRulesText(state, offer->text, "node " + from.node, now, out);
   } else if (state.config.rules == nullptr) {
     return;
   } else if (const auto* asks = std::get_if<SlotAsks>(&message)) {
-    TakeAsks(state, from, *asks, now, out);
+    HandleAsks(state, from, *asks, now, out);
   } else if (const auto* leases = std::get_if<SlotLeases>(&message)) {
-    TakeLeases(state, from.node, *leases, now, out);
+    ApplyLeases(state, from.node, *leases, now, out);
   }
 }
 
@@ -128,7 +131,7 @@
   state.leaving = true;
   state.members.self.state = MemberState::kLeaving;
   UpdateKeeping(state, now, out);
-  TellAll(state, now, out);
+  GossipToVoters(state, now, out);
 }
 
 rules::RulesPtr RulesOf(const FleetState& state) { return state.config.rules; }
@@ -136,14 +139,15 @@
 bool KnowledgeIsFresh(const FleetState& state, Time now) {
   if (now - state.fresh.last_tick > kPauseThreshold) return false;
   if (state.members.replaced) return false;
-  const bool others = OthersPublished(state);
-  if (state.fresh.woke &&
-      (others || now - state.fresh.woke_at < kWakeCheckMost)) {
+  const bool others = HasOtherPublishedNodes(state);
+  if (state.fresh.is_resuming &&
+      (others || now - state.fresh.resumed_at < kMaxWakeCheckTime)) {
     return false;
   }
   if (!others) return true;
-  return HearsAnyone(state.members, now) ||
-         ReadLately(state.config.read, now) || ReadLately(state.vm_list, now);
+  return HasRecentContact(state.members, now) ||
+         WasReadRecently(state.config.read, now) ||
+         WasReadRecently(state.vm_list, now);
 }
 
 FleetView ViewOf(const FleetState& state, Time now) {
@@ -163,13 +167,13 @@
     view.members.back().state = GetMemberState(peer, now);
   }
   for (const EndpointState& endpoint : state.endpoints) {
-    if (endpoint.book.has_value()) ++view.keeper_of;
+    if (endpoint.keeper_state.has_value()) ++view.keeper_of;
   }
   return view;
 }
 
 std::vector<Member> Where(const FleetState& state, std::string_view zone,
-                          std::size_t most, Time now) {
+                          std::size_t max_nodes, Time now) {
   std::vector<Member> members;
   const rules::Rules* rules = state.config.rules.get();
   const auto leaves = [&](const std::string& name) {
@@ -192,10 +196,10 @@
   }
   std::stable_sort(members.begin(), members.end(),
                    [&](const Member& left, const Member& right) {
-                     return PreferenceOf(left, zone) <
-                            PreferenceOf(right, zone);
+                     return PreferenceRank(left, zone) <
+                            PreferenceRank(right, zone);
                    });
-  if (members.size() > most) members.resize(most);
+  if (members.size() > max_nodes) members.resize(max_nodes);
   return members;
 }
 
--- a/fleet/src/fleet_slots.cc
+++ b/fleet/src/fleet_slots.cc
@@ -1,4 +1,4 @@
-// Endpoints as this node uses them: available or not, slots, asks for leases.
+// Endpoints that this node uses: availability, slots, requests for leases.
 #include <algorithm>
 
 #include "fleet_state_p.h"
@@ -17,24 +17,25 @@
 bool IsLeavingVm(const FleetState& state, const std::string& name, Time now) {
   const auto found = state.leaving_vms.find(name);
   return found != state.leaving_vms.end() &&
-         now - found->second < kVmNoticeKept;
+         now - found->second < kVmNoticeLifetime;
 }
 
 bool IsAvailable(const FleetState& state, std::uint32_t idx, Time now) {
-  const rules::Endpoint& row = state.config.rules->endpoints[idx];
+  const rules::Endpoint& endpoint_rules = state.config.rules->endpoints[idx];
   return state.endpoints[idx].used && !state.members.replaced &&
-         TakesWork(*state.config.rules, row) &&
-         !IsLeavingVm(state, row.source.name, now);
+         TakesWork(*state.config.rules, endpoint_rules) &&
+         !IsLeavingVm(state, endpoint_rules.source.name, now);
 }
 
-/// Places models anew when an endpoint began or ceased to take work.
+/// Recomputes the placement of models after an endpoint began or ceased to take
+/// work.
 void UpdatePlacement(FleetState& state, Time now) {
   const rules::Rules& rules = *state.config.rules;
   std::vector<bool> takes_work(rules.endpoints.size());
   for (std::uint32_t i = 0; i < rules.endpoints.size(); ++i) {
-    const rules::Endpoint& row = rules.endpoints[i];
-    takes_work[i] =
-        TakesWork(rules, row) && !IsLeavingVm(state, row.source.name, now);
+    const rules::Endpoint& endpoint_rules = rules.endpoints[i];
+    takes_work[i] = TakesWork(rules, endpoint_rules) &&
+                    !IsLeavingVm(state, endpoint_rules.source.name, now);
   }
   if (takes_work == state.takes_work) return;
   state.takes_work = std::move(takes_work);
@@ -50,7 +51,7 @@
   endpoint.has_reports = false;
   if (rules.endpoints[idx].source.present) {
     endpoint.has_reports = HasReports(rules, rules.endpoints[idx]);
-    for (const rules::NodeHandle voter : VotersOf(rules, {idx})) {
+    for (const rules::NodeHandle voter : FindVoters(rules, {idx})) {
       endpoint.voters.push_back(rules.nodes[voter.idx].source.name);
     }
     endpoint.held.floor = NodeFloorSlots(rules, {idx}, self);
@@ -60,13 +61,14 @@
   endpoint.rank = static_cast<std::size_t>(found - endpoint.voters.begin());
 }
 
-/// Nodes to ask for slots: the one that answered last. Without an answer, the
-/// first that seems there and, in turn, each other one, since this node's view
-/// of who is there may be wrong. Only a node that keeps the endpoint answers.
+/// Returns the nodes to ask for slots: the one that granted the last lease or,
+/// if that was too long ago, the first voter that is alive and each other voter
+/// in turn, since this node's view of which voters are alive may be wrong. Only
+/// a node that keeps the endpoint answers.
 std::vector<std::string> KeepersToAsk(const FleetState& state,
                                       EndpointState& endpoint, Time now) {
   HeldSlots& held = endpoint.held;
-  if (!held.keeper.empty() && now - held.last_lease < kAskPatience) {
+  if (!held.keeper.empty() && now - held.last_lease < kKeeperAnswerTimeout) {
     return {held.keeper};
   }
   if (endpoint.voters.empty()) return {};
@@ -80,14 +82,15 @@
       std::find_if(endpoint.voters.begin(), endpoint.voters.end(), is_there);
   if (first == endpoint.voters.end()) first = endpoint.voters.begin();
   const std::string& other =
-      endpoint.voters[held.keeper_turn++ % endpoint.voters.size()];
+      endpoint.voters[held.next_voter++ % endpoint.voters.size()];
   if (other == *first) return {other};
   return {*first, other};
 }
 
-/// The first ask whose answer could still be taken; see `TakeLease`.
-std::uint64_t LiveFrom(const FleetState& state, const HeldSlots& held,
-                       Time now) {
+/// Returns the number of the first request whose answer may still be applied;
+/// see `ApplyLease`.
+std::uint64_t FirstLiveAsk(const FleetState& state, const HeldSlots& held,
+                           Time now) {
   std::uint64_t first = state.asks;
   for (const auto& [number, sent] : state.asks_sent) {
     if (now - sent >= kLeaseDuration - kPauseThreshold) continue;
@@ -104,19 +107,19 @@
 SlotAsk MakeAsk(FleetState& state, EndpointHandle handle, Time now) {
   HeldSlots& held = state.endpoints[handle.idx].held;
   SlotAsk ask;
-  ask.endpoint = RowOf(state, handle).source.name;
+  ask.endpoint = GetEndpointRules(state, handle).source.name;
   ask.in_flight = BeyondFloor(held, held.demand.in_flight);
   ask.wanted = BeyondFloor(held, held.demand.wanted);
   ask.urgent = BeyondFloor(held, held.demand.urgent);
   ask.total = held.total;
   ask.total_boot = held.boot;
-  ask.live_from = LiveFrom(state, held, now);
+  ask.live_from = FirstLiveAsk(state, held, now);
   ask.down = held.down;
   ask.evidence = held.evidence;
   held.evidence = {};
   held.down = false;
   held.last_ask = now;
-  held.was_content = held.demand.wanted <= UsableSlots(held, now);
+  held.had_enough_slots = held.demand.wanted <= UsableSlots(held, now);
   return ask;
 }
 
@@ -127,10 +130,10 @@
   const Sender self{state.members.self.node, state.members.self.incarnation};
   SlotLeases leases;
   for (const auto& [endpoint, ask] : asks) {
-    if (!state.endpoints[endpoint.idx].book.has_value()) continue;
+    if (!state.endpoints[endpoint.idx].keeper_state.has_value()) continue;
     leases.leases.push_back(AnswerAsk(state, endpoint, self, number, ask, now));
   }
-  TakeLeases(state, self.node, leases, now, out);
+  ApplyLeases(state, self.node, leases, now, out);
 }
 
 void SendAsks(FleetState& state, const std::string& keeper, const Asks& asks,
@@ -144,7 +147,8 @@
   SlotAsks message;
   message.number = number;
   for (const auto& [endpoint, ask] : asks) message.asks.push_back(ask);
-  out.emplace_back(SendMessage{AddressOf(state, keeper), std::move(message)});
+  out.emplace_back(
+      SendMessage{FindPeerAddress(state, keeper), std::move(message)});
 }
 
 }  // namespace
@@ -154,17 +158,18 @@
   state.members.nodes_digest = NodesDigest(rules);
   state.takes_work.clear();
   state.endpoints.resize(rules.endpoints.size());
-  const auto used =
-      EndpointsUsedBy(rules, state.members.self.node, state.members.self.zone);
+  const auto used = FindUsedEndpoints(rules, state.members.self.node,
+                                      state.members.self.zone);
   for (std::uint32_t i = 0; i < rules.endpoints.size(); ++i) {
     state.endpoints[i].used = used[i];
     ApplyEndpoint(state, i);
-    KeeperState* book = state.endpoints[i].book.has_value()
-                            ? &*state.endpoints[i].book
-                            : nullptr;
-    if (book != nullptr) ChangeBears(*book, rules.endpoints[i], now);
+    KeeperState* keeper_state = state.endpoints[i].keeper_state.has_value()
+                                    ? &*state.endpoints[i].keeper_state
+                                    : nullptr;
+    if (keeper_state != nullptr)
+      UpdateCapacity(*keeper_state, rules.endpoints[i], now);
   }
-  SetPublished(state.members, rules, now);
+  UpdatePublishedNodes(state.members, rules, now);
 }
 
 void Announce(FleetState& state, EndpointHandle handle,
@@ -191,11 +196,13 @@
 
 void AskForSlots(FleetState& state, Time now, Actions& out) {
   std::map<std::string, Asks> by_keeper;
-  const auto every =
-      state.endpoints.size() <= kFewEndpoints ? kAskEvery : kAskEveryOfMany;
+  const auto interval = state.endpoints.size() <= kMaxFastAskEndpoints
+                            ? kSlotAskInterval
+                            : kManyEndpointsAskInterval;
   for (std::uint32_t i = 0; i < state.endpoints.size(); ++i) {
     EndpointState& endpoint = state.endpoints[i];
-    if (!endpoint.available || !AskIsDue(endpoint.held, every, now)) continue;
+    if (!endpoint.available || !AskIsDue(endpoint.held, interval, now))
+      continue;
     const auto keepers = KeepersToAsk(state, endpoint, now);
     if (keepers.empty()) continue;
     const SlotAsk ask = MakeAsk(state, {i}, now);
@@ -211,8 +218,8 @@
   });
 }
 
-void TakeLeases(FleetState& state, const std::string& keeper,
-                const SlotLeases& leases, Time now, Actions& out) {
+void ApplyLeases(FleetState& state, const std::string& keeper,
+                 const SlotLeases& leases, Time now, Actions& out) {
   for (const SlotLease& lease : leases.leases) {
     const EndpointHandle handle =
         FindEndpoint(*state.config.rules, lease.endpoint);
@@ -235,7 +242,7 @@
     }
     endpoint.report = report;
     endpoint.report_at = now - report.age;
-    if (!endpoint.book.has_value())
+    if (!endpoint.keeper_state.has_value())
       out.emplace_back(ReportReceived{handle, report});
   }
 }
@@ -251,8 +258,8 @@
   held.evidence.failed += evidence.failed;
   if (evidence.boot == 0) return;
   held.evidence.boot = evidence.boot;
-  // An answer of another boot than the keeper knew when it leased: the lease
-  // was for a warm endpoint that is gone.
+  // The answer is from another boot than the keeper reported with the lease.
+  // The lease was for a warm endpoint that no longer exists.
   if (held.boot != 0 && held.boot != evidence.boot) DropLease(held, now);
 }
 
@@ -269,9 +276,9 @@
     held.down = true;
     Announce(state, handle, policy::SlotReason::kStarted, now, out);
   }
-  // Told at once: the caller sends the body again within seconds, perhaps to
-  // another node, and a third endpoint would die.
-  if (!running.empty()) TellSome(state, now, out);
+  // Peers are told at once: the caller will send the body again within seconds,
+  // perhaps to another node, where it would kill a third endpoint.
+  if (!running.empty()) GossipToRandomPeers(state, now, out);
 }
 
 }  // namespace egretladder::fleet
--- a/fleet/src/lane.cc
+++ b/fleet/src/lane.cc
@@ -12,39 +12,40 @@
 namespace {
 
 enum class KeyState : std::uint8_t {
-  kRecorded,  ///< Not sent yet.
-  kSent,      ///< Its first byte may be out.
-  kDone,      ///< Answered.
-  kLost,      ///< Sent, and its answer is lost.
-  kBurned,    ///< Said to be "not run".
+  kRecorded,  ///< The call is recorded but not sent yet.
+  kSent,      ///< The first byte may have been sent.
+  kDone,      ///< The answer is stored.
+  kLost,      ///< The call was sent and its answer was lost.
+  kBurned,    ///< A caller was told "not run"; the key never runs.
 };
 
 struct CallRecord {
   KeyState state = KeyState::kRecorded;
   std::uint64_t body_hash = 0;
-  std::chrono::milliseconds expires{};  ///< Of its lane.
+  std::chrono::milliseconds expires{};  ///< Expiry of the call's lane.
   std::chrono::milliseconds ended{};
   std::vector<WaiterId> waiters;
   std::shared_ptr<const StoredAnswer> answer;
 };
 
-bool Runs(const CallRecord& call) {
+bool IsInProgress(const CallRecord& call) {
   return call.state == KeyState::kRecorded || call.state == KeyState::kSent;
 }
 
-/// What a record takes besides its answer: node of the table, waiters, string.
+/// Bytes that a record takes besides its key and answer: table node, waiters,
+/// string overhead.
 constexpr std::size_t kRecordOverhead = 192;
 
-std::size_t BytesOf(const std::string& key, const CallRecord& call) {
+std::size_t RecordBytes(const std::string& key, const CallRecord& call) {
   std::size_t bytes = kRecordOverhead + key.size();
-  if (Runs(call)) bytes += kAnswerReserve;
+  if (IsInProgress(call)) bytes += kReservedAnswerBytes;
   if (call.answer != nullptr) {
     bytes += call.answer->body.size() + call.answer->content_type.size();
   }
   return bytes;
 }
 
-std::string KeyOf(const Lane& lane, const std::string& key) {
+std::string MakeTableKey(const Lane& lane, const std::string& key) {
   return std::to_string(lane.number) + '/' + key;
 }
 
@@ -55,11 +56,11 @@
   std::uint64_t incarnation = 0;
   std::string secret;
   Time started{};
-  /// The latest moment seen. An expiry stays an expiry when a clock is set
-  /// back: forgotten keys would run again otherwise.
+  /// The latest time seen. A lane that has expired stays expired if the clock
+  /// is set back; otherwise keys that were removed could run again.
   Time latest{};
   std::uint64_t issued = 0;
-  /// Lanes up to this number take no new keys; see `RefuseFull`.
+  /// Lanes up to this number accept no new keys; see `RefuseTableFull`.
   std::uint64_t closed_through = 0;
   std::unordered_map<std::string, CallRecord> calls;
   std::size_t bytes = 0;
@@ -77,29 +78,29 @@
   return Elapsed(state, now) >= lane.expires;
 }
 
-std::string SignatureOf(const LanesState& state, const Lane& lane) {
+std::string SignLane(const LanesState& state, const Lane& lane) {
   return kernel::Sign(state.secret, LaneFields(lane) + '.' + lane.node);
 }
 
 CallRecord* Find(LanesState& state, const Lane& lane, const std::string& key) {
-  const auto found = state.calls.find(KeyOf(lane, key));
+  const auto found = state.calls.find(MakeTableKey(lane, key));
   return found == state.calls.end() ? nullptr : &found->second;
 }
 
-/// Ends a call in `next` and hands out its waiters.
+/// Moves a call to the final state `next` and returns its waiters.
 std::vector<WaiterId> EndCall(LanesState& state, const std::string& full_key,
                               CallRecord& call, KeyState next, Time now) {
-  state.bytes -= BytesOf(full_key, call);
+  state.bytes -= RecordBytes(full_key, call);
   call.state = next;
   call.ended = Elapsed(state, now);
-  state.bytes += BytesOf(full_key, call);
+  state.bytes += RecordBytes(full_key, call);
   return std::exchange(call.waiters, {});
 }
 
 LaneDecision RepeatCall(CallRecord& call, std::uint64_t body_hash,
                         WaiterId waiter) {
-  // "Not run" would be wrong here: the key's first body may have run, and a
-  // caller whose retry differs in a date only would believe it had not.
+  // "Not run" would be wrong here: the first body of the key may have run, and
+  // a caller whose retry differs only in a date would believe that it had not.
   if (call.body_hash != body_hash) {
     return RefuseCall{LaneRefusal::kOtherBody, false};
   }
@@ -114,16 +115,17 @@
     case KeyState::kSent:
       break;
   }
-  if (call.waiters.size() >= kWaitersMost) return OutcomeUnknown{};
+  if (call.waiters.size() >= kMaxWaitersPerKey) return OutcomeUnknown{};
   call.waiters.push_back(waiter);
   return JoinCall{};
 }
 
-/// Refuses a key that can't be recorded, for good: the lanes issued so far take
-/// no new keys any more. Without that, a second copy of the call that arrives
-/// when there is room again would run after its caller heard "not run". One
-/// number holds for all of them, since a full table can't hold burned keys.
-LaneDecision RefuseFull(LanesState& state) {
+/// Refuses a key that can't be recorded, permanently: no lane issued so far
+/// accepts new keys afterwards. Otherwise a second copy of the call that
+/// arrives when there is room again would run after its caller was told "not
+/// run". One number covers all refused keys, since a full table can't record
+/// them.
+LaneDecision RefuseTableFull(LanesState& state) {
   state.closed_through = state.issued;
   return RefuseCall{LaneRefusal::kTableFull, true};
 }
@@ -165,13 +167,13 @@
   lane.incarnation = state.incarnation;
   lane.number = ++state.issued;
   lane.expires = Elapsed(state, now) + kLaneLifetime;
-  lane.signature = SignatureOf(state, lane);
+  lane.signature = SignLane(state, lane);
   return lane;
 }
 
 bool OwnsLane(const LanesState& state, const Lane& lane) {
   return lane.node == state.node && lane.incarnation == state.incarnation &&
-         kernel::IsSameSignature(lane.signature, SignatureOf(state, lane));
+         kernel::IsSameSignature(lane.signature, SignLane(state, lane));
 }
 
 LaneDecision BeginCall(LanesState& state, const Lane& lane,
@@ -181,23 +183,24 @@
   if (CallRecord* call = Find(state, lane, key); call != nullptr) {
     return RepeatCall(*call, body_hash, waiter);
   }
-  // The key may have run and been forgotten.
+  // The key may have run and been removed from the table.
   if (IsExpired(state, lane, now)) {
     return RefuseCall{LaneRefusal::kExpired, false};
   }
-  // Before its expiry no key is forgotten: an unrecorded one never ran.
+  // No key is removed before its lane expires, so an unrecorded key has never
+  // run.
   if (lane.number <= state.closed_through) {
     return RefuseCall{LaneRefusal::kTableFull, true};
   }
-  std::string full_key = KeyOf(lane, key);
+  std::string full_key = MakeTableKey(lane, key);
   CallRecord call;
   call.body_hash = body_hash;
   call.expires = lane.expires;
   call.waiters.push_back(waiter);
-  const std::size_t bytes = BytesOf(full_key, call);
-  if (state.calls.size() >= kLaneKeysMost ||
+  const std::size_t bytes = RecordBytes(full_key, call);
+  if (state.calls.size() >= kMaxLaneKeys ||
       state.bytes + bytes > kMaxLaneTableBytes) {
-    return RefuseFull(state);
+    return RefuseTableFull(state);
   }
   state.bytes += bytes;
   state.calls.emplace(std::move(full_key), std::move(call));
@@ -215,7 +218,7 @@
 
 bool MarkUnsent(LanesState& state, const Lane& lane, const std::string& key) {
   CallRecord* call = Find(state, lane, key);
-  if (call == nullptr || !Runs(*call)) return false;
+  if (call == nullptr || !IsInProgress(*call)) return false;
   call->state = KeyState::kRecorded;
   return true;
 }
@@ -224,29 +227,30 @@
                                  const std::string& key, StoredAnswer answer,
                                  Time now) {
   CallRecord* call = Find(state, lane, key);
-  // An answer that arrives after its call was given up is still its outcome.
-  const bool open =
-      call != nullptr && (Runs(*call) || call->state == KeyState::kLost);
+  // An answer that arrives after its call was given up still decides the
+  // outcome.
+  const bool open = call != nullptr &&
+                    (IsInProgress(*call) || call->state == KeyState::kLost);
   if (!open) return {};
-  const std::string full_key = KeyOf(lane, key);
-  state.bytes -= BytesOf(full_key, *call);
+  const std::string full_key = MakeTableKey(lane, key);
+  state.bytes -= RecordBytes(full_key, *call);
   call->answer = std::make_shared<const StoredAnswer>(std::move(answer));
-  state.bytes += BytesOf(full_key, *call);
+  state.bytes += RecordBytes(full_key, *call);
   return EndCall(state, full_key, *call, KeyState::kDone, now);
 }
 
 std::vector<WaiterId> MarkOutcomeUnknown(LanesState& state, const Lane& lane,
                                          const std::string& key, Time now) {
   CallRecord* call = Find(state, lane, key);
-  if (call == nullptr || !Runs(*call)) return {};
-  return EndCall(state, KeyOf(lane, key), *call, KeyState::kLost, now);
+  if (call == nullptr || !IsInProgress(*call)) return {};
+  return EndCall(state, MakeTableKey(lane, key), *call, KeyState::kLost, now);
 }
 
 std::vector<WaiterId> MarkNotRun(LanesState& state, const Lane& lane,
                                  const std::string& key, Time now) {
   CallRecord* call = Find(state, lane, key);
-  if (call == nullptr || !Runs(*call)) return {};
-  return EndCall(state, KeyOf(lane, key), *call, KeyState::kBurned, now);
+  if (call == nullptr || !IsInProgress(*call)) return {};
+  return EndCall(state, MakeTableKey(lane, key), *call, KeyState::kBurned, now);
 }
 
 void SweepLanes(LanesState& state, Time now) {
@@ -254,8 +258,8 @@
   std::erase_if(state.calls, [&](const auto& entry) {
     const CallRecord& call = entry.second;
     const auto until = std::max(call.expires, call.ended) + kAnswerRetention;
-    if (Runs(call) || elapsed < until) return false;
-    state.bytes -= BytesOf(entry.first, call);
+    if (IsInProgress(call) || elapsed < until) return false;
+    state.bytes -= RecordBytes(entry.first, call);
     return true;
   });
 }
--- a/fleet/src/lease_holder.cc
+++ b/fleet/src/lease_holder.cc
@@ -10,9 +10,10 @@
 
 bool ApplyLease(HeldSlots& held, const SlotLease& lease, Time asked, Time now) {
   if (lease.ask_number < held.ask_number || asked <= held.dropped) return false;
-  // Counted from the asking: the keeper counts from later on, so the holder's
-  // lease is over first, however long the answer was under way. The process may
-  // stand still for `kFreshFor` without noticing, so it ends earlier by that.
+  // The lease counts from when it was requested. The keeper counts from a later
+  // time, so the holder's lease ends first, however long the answer was under
+  // way. It ends earlier by `kPauseThreshold`, because the process may be
+  // paused for that long without noticing.
   const Time until =
       asked + std::min(lease.left, kLeaseDuration) - kPauseThreshold;
   if (lease.ask_number == held.ask_number) {
@@ -35,15 +36,16 @@
   held.dropped = now;
 }
 
-bool AskIsDue(const HeldSlots& held, std::chrono::milliseconds every,
+bool AskIsDue(const HeldSlots& held, std::chrono::milliseconds interval,
               Time now) {
   const auto since = now - held.last_ask;
-  if (since >= every) return true;
-  // Once for each time that work begins to wait: under load that lasts, asking
-  // more often brings no more slots.
-  const bool hurry = held.down || (held.was_content &&
-                                   held.demand.wanted > UsableSlots(held, now));
-  return hurry && since >= kAskSoonest;
+  if (since >= interval) return true;
+  // Only once each time that work begins to wait: under sustained load, more
+  // frequent requests bring no more slots.
+  const bool is_urgent =
+      held.down ||
+      (held.had_enough_slots && held.demand.wanted > UsableSlots(held, now));
+  return is_urgent && since >= kMinSlotAskInterval;
 }
 
 }  // namespace egretladder::fleet
--- a/fleet/src/membership.cc
+++ b/fleet/src/membership.cc
@@ -9,19 +9,19 @@
 namespace egretladder::fleet {
 namespace {
 
-/// Pings to one peer that may still be answered.
-constexpr std::size_t kPingsOpen = 8;
-/// Peers outside the published list that are remembered.
-constexpr std::size_t kUnpublishedMost = 64;
-/// A change is told first for so long.
-constexpr std::chrono::seconds kNewsFor{5};
+/// Maximum number of unanswered pings remembered for one peer.
+constexpr std::size_t kMaxOpenPings = 8;
+/// Maximum number of unpublished peers that are remembered.
+constexpr std::size_t kMaxUnpublishedPeers = 64;
+/// How long a change takes precedence in gossip.
+constexpr std::chrono::seconds kNewsDuration{5};
 
 bool IsNewer(const Member& told, const Member& known) {
   return std::tie(told.started, told.incarnation) >
          std::tie(known.started, known.incarnation);
 }
 
-/// Puts the process that `told` speaks of in place of the one known.
+/// Replaces the known process of a node by the one that `told` describes.
 void Replace(Peer& peer, const Member& told, Time now) {
   peer.member = told;
   peer.heard = now;
@@ -31,13 +31,14 @@
   peer.pings.clear();
 }
 
-/// Returns false when `told` is of a process that was replaced.
+/// Merges gossip about a peer. Returns false if `told` describes a process that
+/// was replaced.
 bool Merge(Peer& peer, const Member& told, bool direct, Time now) {
   Member& known = peer.member;
   if (told.incarnation != known.incarnation) {
-    // A VM's wall clock may be behind its predecessor's, which would keep the
-    // new process out for ever: once the old one is silent, a direct word of
-    // the new one counts whatever its start time.
+    // The wall clock of a VM may be behind that of its predecessor, which would
+    // exclude the new process forever. Once the old one is silent, a message
+    // from the new process itself counts whatever its start time.
     const bool silent = direct && now - peer.heard > kSuspectTimeout;
     if (!IsNewer(told, known) && !silent) return false;
     Replace(peer, told, now);
@@ -61,15 +62,15 @@
   const auto unpublished = static_cast<std::size_t>(
       std::count_if(state.peers.begin(), state.peers.end(),
                     [](const auto& e) { return !e.second.published; }));
-  if (unpublished >= kUnpublishedMost || told.node.empty()) return nullptr;
+  if (unpublished >= kMaxUnpublishedPeers || told.node.empty()) return nullptr;
   Peer& peer = state.peers[told.node];
   peer.member.node = told.node;
   peer.heard = now;
   return &peer;
 }
 
-void TakeAck(MembershipState& state, Peer& peer, const Gossip& gossip,
-             Time now) {
+void ApplyAck(MembershipState& state, Peer& peer, const Gossip& gossip,
+              Time now) {
   const auto ping =
       std::find_if(peer.pings.begin(), peer.pings.end(),
                    [&](const PingSent& p) { return p.number == gossip.ack; });
@@ -77,9 +78,9 @@
   const Time sent = ping->sent;
   peer.pings.erase(peer.pings.begin(), ping + 1);
   Contact& contact = peer.contact;
-  // Between two answers further apart the peer may have counted this node as
-  // gone and supported another keeper.
-  const bool unbroken = contact.any && now - contact.sent < kGoneAfter;
+  // If two answers are further apart, the peer may have counted this node as
+  // gone and supported another keeper in between.
+  const bool unbroken = contact.any && now - contact.sent < kGoneTimeout;
   if (!unbroken) contact.since = now;
   const bool same_digest = gossip.nodes_digest == state.nodes_digest;
   const bool was_same =
@@ -92,7 +93,8 @@
 
 }  // namespace
 
-void SetPublished(MembershipState& state, const rules::Rules& rules, Time now) {
+void UpdatePublishedNodes(MembershipState& state, const rules::Rules& rules,
+                          Time now) {
   for (auto& [name, peer] : state.peers) peer.published = false;
   for (const rules::Node& node : rules.nodes) {
     const std::string& name = node.source.name;
@@ -107,12 +109,12 @@
     peer.member.zone = rules.zones[node.zone.idx].source.name;
   }
   std::erase_if(state.peers, [&](const auto& entry) {
-    return !entry.second.published && now - entry.second.heard > kGoneAfter;
+    return !entry.second.published && now - entry.second.heard > kGoneTimeout;
   });
 }
 
-void ExpectKeepers(MembershipState& state,
-                   const std::vector<std::string>& voters, Time now) {
+void MarkExpectedKeepers(MembershipState& state,
+                         const std::vector<std::string>& voters, Time now) {
   for (const std::string& voter : voters) {
     const auto found = state.peers.find(voter);
     if (found == state.peers.end()) {
@@ -149,12 +151,12 @@
   }
   if (!IsCurrent(state, from)) return false;
   Peer& peer = state.peers.find(from.node)->second;
-  // A ping that is answered counts as heard, even when its heartbeat came here
-  // earlier by another way: the answer is support, and no vote may contradict
+  // A ping that will be answered counts as heard, even if its heartbeat arrived
+  // earlier by another path: the answer is support, and no vote may contradict
   // it too soon.
   if (gossip.reply_wanted) peer.heard = now;
   peer.direct = now;
-  if (gossip.ack != 0) TakeAck(state, peer, gossip, now);
+  if (gossip.ack != 0) ApplyAck(state, peer, gossip, now);
   return true;
 }
 
@@ -184,7 +186,7 @@
 }
 
 std::uint64_t RecordPing(MembershipState& state, Peer& peer, Time now) {
-  if (peer.pings.size() >= kPingsOpen) peer.pings.pop_front();
+  if (peer.pings.size() >= kMaxOpenPings) peer.pings.pop_front();
   peer.pings.push_back({++state.pings, now});
   return state.pings;
 }
@@ -194,7 +196,7 @@
 }
 
 MemberState GetMemberState(const Peer& peer, Time now) {
-  if (now - peer.heard > kGoneAfter) return MemberState::kGone;
+  if (now - peer.heard > kGoneTimeout) return MemberState::kGone;
   if (peer.member.state == MemberState::kLeaving) return MemberState::kLeaving;
   if (now - peer.heard > kSuspectTimeout) return MemberState::kSuspect;
   return MemberState::kAlive;
@@ -202,8 +204,8 @@
 
 bool CountsAsGone(const Peer& peer, Time now) {
   const bool left = peer.member.state == MemberState::kLeaving &&
-                    now - peer.leaving_since > kLeftAfter;
-  return left || now - peer.heard > kGoneAfter;
+                    now - peer.leaving_since > kLeaveTimeout;
+  return left || now - peer.heard > kGoneTimeout;
 }
 
 std::vector<Member> MakeMemberGossip(const MembershipState& state,
@@ -211,12 +213,14 @@
   std::vector<Member> news{state.self};
   std::vector<const Member*> others;
   for (const auto& [name, peer] : state.peers) {
-    // Only what the peer said here itself, and lately, is passed on. Hearsay of
-    // hearsay would look new at each receiver, and a dead node would stay in
-    // callers' answers for as long as the rumour takes to go round.
-    if (peer.member.heartbeat == 0 || now - peer.direct > kKnownFor) continue;
+    // Only recent information that came from the peer itself is forwarded.
+    // Information from third parties would look new to each receiver, and a
+    // dead node would stay in the answers to callers until the gossip about it
+    // stops circulating.
+    if (peer.member.heartbeat == 0 || now - peer.direct > kRecentContactTime)
+      continue;
     const bool leaves = peer.member.state == MemberState::kLeaving;
-    if (leaves && now - peer.leaving_since < kNewsFor &&
+    if (leaves && now - peer.leaving_since < kNewsDuration &&
         news.size() <= kMaxMembersPerMessage) {
       news.push_back(peer.member);
     } else {
@@ -232,18 +236,18 @@
   return news;
 }
 
-std::vector<std::string> VotesOf(const MembershipState& state, Time now) {
+std::vector<std::string> ListGoneVotes(const MembershipState& state, Time now) {
   std::vector<std::string> gone;
   for (const auto& [name, peer] : state.peers) {
     if (!peer.expected || !CountsAsGone(peer, now)) continue;
-    if (gone.size() >= kGoneTold) break;
+    if (gone.size() >= kMaxGoneNodesPerMessage) break;
     gone.push_back(name);
   }
   return gone;
 }
 
-bool Supports(const MembershipState& state, std::string_view voter,
-              bool keeping, Time now) {
+bool IsSupportedBy(const MembershipState& state, std::string_view voter,
+                   bool keeping, Time now) {
   if (voter == state.self.node) return true;
   const auto found = state.peers.find(voter);
   if (found == state.peers.end()) return false;
@@ -257,8 +261,8 @@
   return now - since >= kMinSupportDuration;
 }
 
-bool SupportedSince(const MembershipState& state, std::string_view voter,
-                    Time then) {
+bool IsSupportedSince(const MembershipState& state, std::string_view voter,
+                      Time then) {
   if (voter == state.self.node) return true;
   const auto found = state.peers.find(voter);
   if (found == state.peers.end()) return false;
@@ -285,12 +289,14 @@
 bool CanKeep(const MembershipState& state,
              const std::vector<std::string>& voters, bool keeping, Time now) {
   if (state.replaced) return false;
-  const auto majority = static_cast<std::ptrdiff_t>(MajorityOf(voters.size()));
+  const auto majority =
+      static_cast<std::ptrdiff_t>(MajorityCount(voters.size()));
   const auto self = std::find(voters.begin(), voters.end(), state.self.node);
   if (self == voters.end()) return false;
-  const auto supporters = std::count_if(
-      voters.begin(), voters.end(),
-      [&](const auto& voter) { return Supports(state, voter, keeping, now); });
+  const auto supporters =
+      std::count_if(voters.begin(), voters.end(), [&](const auto& voter) {
+        return IsSupportedBy(state, voter, keeping, now);
+      });
   if (supporters < majority) return false;
   return std::all_of(voters.begin(), self, [&](const std::string& before) {
     const auto votes =
@@ -301,11 +307,11 @@
   });
 }
 
-bool HearsAnyone(const MembershipState& state, Time now) {
+bool HasRecentContact(const MembershipState& state, Time now) {
   return std::any_of(
       state.peers.begin(), state.peers.end(), [&](const auto& entry) {
         const Contact& contact = entry.second.contact;
-        return contact.any && now - contact.sent <= kIsolatedAfter;
+        return contact.any && now - contact.sent <= kIsolationTimeout;
       });
 }
 
--- a/fleet/src/orders.cc
+++ b/fleet/src/orders.cc
@@ -14,11 +14,11 @@
 using rules::Rules;
 using rules::TargetHandle;
 
-bool Holds(const std::vector<TargetHandle>& targets, TargetHandle target) {
+bool Contains(const std::vector<TargetHandle>& targets, TargetHandle target) {
   return std::find(targets.begin(), targets.end(), target) != targets.end();
 }
 
-/// Models in the order of their names: handles differ between nodes.
+/// Returns the models sorted by name, because handles differ between nodes.
 std::vector<TargetHandle> ModelsByName(const Rules& rules) {
   std::vector<TargetHandle> models;
   for (std::uint32_t i = 0; i < rules.targets.size(); ++i) {
@@ -35,14 +35,14 @@
   return models;
 }
 
-/// The best endpoint with room for one more copy; the zone with the fewest
-/// copies goes first.
-EndpointHandle PickPlace(const Rules& rules, const Placement& placement,
-                         const std::vector<bool>& takes_work,
-                         TargetHandle model) {
+/// Returns the best endpoint with room for one more copy, preferring the zone
+/// with the fewest copies; invalid if there is none.
+EndpointHandle PickEndpoint(const Rules& rules, const Placement& placement,
+                            const std::vector<bool>& takes_work,
+                            TargetHandle model) {
   std::map<std::uint32_t, std::uint32_t> copies;
   for (std::uint32_t i = 0; i < placement.size(); ++i) {
-    if (Holds(placement[i], model)) ++copies[rules.endpoints[i].zone.idx];
+    if (Contains(placement[i], model)) ++copies[rules.endpoints[i].zone.idx];
   }
   const std::string& name = rules.targets[model.idx].source.name;
   EndpointHandle best;
@@ -51,7 +51,7 @@
     const rules::Endpoint& endpoint = rules.endpoints[i];
     const bool fits = takes_work[i] && Serves(endpoint, model) &&
                       placement[i].size() < endpoint.max_loaded_models &&
-                      !Holds(placement[i], model);
+                      !Contains(placement[i], model);
     if (!fits) continue;
     const std::tuple rank(
         copies[endpoint.zone.idx],
@@ -63,23 +63,25 @@
   return best;
 }
 
-/// True when a former keeper's orders can't clash with this one's any more. An
-/// engine that honours fencing numbers refuses the old ones itself; for others
-/// the keeper waits until its predecessor's mandate is over and the engine's
-/// models have stood still.
-bool MayOrder(const EndpointOrders& orders, bool honours_fencing, Time now) {
+/// Returns true if orders of a former keeper can no longer conflict with those
+/// of this one. An engine that honours fencing numbers rejects the old ones
+/// itself. For others, the keeper waits until its predecessor's mandate is over
+/// and the engine's models have not changed for a while.
+bool CanOrder(const EndpointOrders& orders, bool honours_fencing, Time now) {
   if (honours_fencing) return true;
   return now - orders.kept_since >= kUnfencedQuietTime &&
          now - orders.changed >= kUnfencedQuietTime;
 }
 
-std::optional<TargetHandle> Removable(const EndpointOrders& orders,
-                                      const OrderInput& input, Time now) {
+std::optional<TargetHandle> FindRemovableModel(const EndpointOrders& orders,
+                                               const OrderInput& input,
+                                               Time now) {
   for (const TargetHandle target : orders.loaded) {
-    if (Holds(input.desired, target) || !Holds(input.spare, target)) continue;
+    if (Contains(input.desired, target) || !Contains(input.spare, target))
+      continue;
     const auto since = orders.loaded_since.find(target);
     const bool dwelt = since != orders.loaded_since.end() &&
-                       now - since->second >= kModelDwell;
+                       now - since->second >= kMinModelResidency;
     if (dwelt) return target;
   }
   return std::nullopt;
@@ -92,7 +94,7 @@
   for (const TargetHandle model : ModelsByName(rules)) {
     for (std::uint32_t i = 0; i < rules.targets[model.idx].copies; ++i) {
       const EndpointHandle place =
-          PickPlace(rules, placement, takes_work, model);
+          PickEndpoint(rules, placement, takes_work, model);
       if (!IsValid(place)) break;
       placement[place.idx].push_back(model);
     }
@@ -108,29 +110,31 @@
     orders.loaded = sorted;
     orders.changed = now;
   }
-  std::erase_if(orders.loaded_since,
-                [&](const auto& entry) { return !Holds(sorted, entry.first); });
+  std::erase_if(orders.loaded_since, [&](const auto& entry) {
+    return !Contains(sorted, entry.first);
+  });
   for (const TargetHandle target : sorted) {
     orders.loaded_since.try_emplace(target, now);
   }
   if (!orders.open.has_value()) return;
   const bool wanted = orders.open->kind == OrderKind::kLoad;
-  const bool done = Holds(sorted, orders.open->target) == wanted;
-  if (done || now - orders.open->sent >= kOrderLost) orders.open.reset();
+  const bool done = Contains(sorted, orders.open->target) == wanted;
+  if (done || now - orders.open->sent >= kOrderTimeout) orders.open.reset();
 }
 
 std::optional<NextOrder> DecideOrder(const EndpointOrders& orders,
                                      const OrderInput& input, Time now) {
-  // One at a time: an engine that loads two models at once serves neither.
+  // One order at a time: an engine that loads two models at once serves
+  // neither.
   if (orders.open.has_value()) return std::nullopt;
-  if (!MayOrder(orders, input.honours_fencing, now)) return std::nullopt;
+  if (!CanOrder(orders, input.honours_fencing, now)) return std::nullopt;
   for (const TargetHandle target : input.desired) {
-    if (Holds(orders.loaded, target)) continue;
+    if (Contains(orders.loaded, target)) continue;
     if (!input.has_load_budget) return std::nullopt;
     if (orders.loaded.size() < input.max_loaded_models) {
       return NextOrder{OrderKind::kLoad, target};
     }
-    const auto victim = Removable(orders, input, now);
+    const auto victim = FindRemovableModel(orders, input, now);
     if (!victim.has_value()) return std::nullopt;
     return NextOrder{OrderKind::kUnload, *victim};
   }
@@ -139,7 +143,7 @@
 
 std::chrono::milliseconds ModelLoadInterval(std::size_t nodes) {
   return std::chrono::milliseconds(std::chrono::minutes(1)) *
-         static_cast<std::int64_t>(nodes) / kLoadsPerMinute;
+         static_cast<std::int64_t>(nodes) / kMaxModelLoadsPerMinute;
 }
 
 }  // namespace egretladder::fleet
