--- a/fleet/tests/lane_random_test.cc
+++ b/fleet/tests/lane_random_test.cc
@@ -17,25 +17,26 @@
 
 namespace {
 
-/// One attempt of a call: a copy on its way, or what its node does with it.
-struct Copy {
+/// One copy of a caller's request on its way to a node.
+struct RequestCopy {
   std::string lane;
   std::string key;
-  std::uint32_t node = 0;  ///< Where the caller sent it.
-  ek::Time arrives{};
+  std::uint32_t node = 0;  ///< Index of the node that the caller sends to.
+  ek::Time arrives_at{};
 };
+/// A call that the owner of its lane runs.
 struct Attempt {
   ef::Lane lane;
   std::string key;
-  ek::Time sends{};  ///< The process may stand still until then.
+  ek::Time due{};  ///< When it is sent or, once sent, ends.
   bool sent = false;
 };
 
-/// Three nodes with lanes, and callers that send each call several times, to
-/// any node, at once, late, or after a day.
-class LaneWorld {
+/// Simulates three nodes with lanes, and callers that send each request several
+/// times to random nodes: immediately, late, or after a day.
+class LaneSimulation {
  public:
-  explicit LaneWorld(std::uint64_t seed) : random_(seed) {
+  explicit LaneSimulation(std::uint64_t seed) : random_(seed) {
     for (std::uint32_t i = 0; i < 3; ++i) Restart(i);
   }
 
@@ -43,25 +44,26 @@
     for (int i = 0; i < steps; ++i) Step();
   }
 
-  std::string fault;
+  std::string violation;
 
  private:
   struct Node {
     ef::LanesPtr lanes;
     std::vector<Attempt> attempts;
-    std::chrono::nanoseconds clock_shift{};
+    std::chrono::nanoseconds clock_offset{};
   };
 
+  /// Returns a random number below `bound`.
   std::uint64_t Draw(std::uint64_t bound) {
     return ek::RandomBelow(random_, bound);
   }
-  ek::Time LocalNow(const Node& node) const { return now_ + node.clock_shift; }
+  ek::Time LocalNow(const Node& node) const { return now_ + node.clock_offset; }
 
   void Restart(std::uint32_t i) {
-    ++incarnations_;
-    nodes_[i].lanes = ef::StartLanes("n" + std::to_string(i), incarnations_,
-                                     "s" + std::to_string(incarnations_),
-                                     LocalNow(nodes_[i]));
+    ++incarnation_count_;
+    nodes_[i].lanes = ef::StartLanes(
+        "n" + std::to_string(i), incarnation_count_,
+        "s" + std::to_string(incarnation_count_), LocalNow(nodes_[i]));
     nodes_[i].attempts.clear();
   }
 
@@ -79,18 +81,18 @@
         now_ += 24h;
         break;
       case 3:
-        nodes_[i].clock_shift += std::chrono::seconds(Draw(3600));
+        nodes_[i].clock_offset += std::chrono::seconds(Draw(3600));
         break;
       case 4:
-        nodes_[i].clock_shift -= std::chrono::seconds(Draw(3600));
+        nodes_[i].clock_offset -= std::chrono::seconds(Draw(3600));
         break;
       default:
         break;
     }
     if (Draw(2) == 0) NewCall(i);
-    Arrive();
+    DeliverDueCopies();
     for (Node& node : nodes_) {
-      SendDue(node);
+      AdvanceAttempts(node);
       ef::SweepLanes(*node.lanes, LocalNow(node));
     }
   }
@@ -99,35 +101,35 @@
     Node& node = nodes_[issuer];
     const std::string lane =
         ef::Encode(ef::IssueLane(*node.lanes, LocalNow(node)));
-    const std::string key = "k" + std::to_string(++keys_);
+    const std::string key = "k" + std::to_string(++key_count_);
     for (std::uint64_t i = 0; i <= Draw(4); ++i) {
-      const auto late = Draw(8) == 0 ? std::chrono::hours(24)
-                                     : std::chrono::seconds(Draw(900));
+      const auto delay = Draw(8) == 0 ? std::chrono::hours(24)
+                                      : std::chrono::seconds(Draw(900));
       copies_.push_back(
-          {lane, key, static_cast<std::uint32_t>(Draw(3)), now_ + late});
+          {lane, key, static_cast<std::uint32_t>(Draw(3)), now_ + delay});
     }
   }
 
-  void Arrive() {
-    std::deque<Copy> later;
-    for (const Copy& copy : copies_) {
-      if (copy.arrives > now_) {
-        later.push_back(copy);
+  void DeliverDueCopies() {
+    std::deque<RequestCopy> pending;
+    for (const RequestCopy& copy : copies_) {
+      if (copy.arrives_at > now_) {
+        pending.push_back(copy);
       } else {
-        Take(copy);
+        Route(copy);
       }
     }
-    copies_ = later;
+    copies_ = pending;
   }
 
-  /// Any node passes the call to its lane's owner, unless that can't be
-  /// reached.
-  void Take(const Copy& copy) {
+  /// Forwards the request to the owner of its lane, unless the owner is
+  /// unreachable.
+  void Route(const RequestCopy& copy) {
     const ef::Lane lane = ef::DecodeLane(copy.lane).value();
     for (std::uint32_t i = 0; i < 3; ++i) {
       Node& node = nodes_[i];
       if (!ef::OwnsLane(*node.lanes, lane)) continue;
-      if (i != copy.node && Draw(4) == 0) return;  // Cut: "unknown".
+      if (i != copy.node && Draw(4) == 0) return;  // Outcome unknown.
       Begin(node, lane, copy.key);
       return;
     }
@@ -141,44 +143,48 @@
                                       : std::chrono::seconds(0);
       node.attempts.push_back({lane, key, now_ + pause, false});
     } else if (const auto* repeat = std::get_if<ef::RepeatAnswer>(&decision)) {
-      if (repeat->answer->body != "answer of " + key) fault = "wrong answer";
+      if (repeat->answer->body != "answer of " + key)
+        violation = "wrong answer";
     } else if (const auto* refusal = std::get_if<ef::RefuseCall>(&decision)) {
-      if (refusal->not_run) SayNotRun(key);
+      if (refusal->not_run) ReportNotRun(key);
     }
   }
 
-  void SayNotRun(const std::string& key) {
-    said_not_run_.insert(key);
-    if (runs_[key] > 0) fault = key + " ran, and was said not to have";
+  void ReportNotRun(const std::string& key) {
+    reported_not_run_.insert(key);
+    if (run_counts_[key] > 0)
+      violation = key + " ran, but was reported as not run";
   }
 
-  /// Sends what is due, right after a pause or not, and ends some of it.
-  void SendDue(Node& node) {
+  /// Sends the attempts that are due, possibly after a pause of the process,
+  /// and ends sent attempts that are due.
+  void AdvanceAttempts(Node& node) {
     std::erase_if(node.attempts, [&](Attempt& attempt) {
-      if (attempt.sends > now_) return false;
-      return attempt.sent ? End(node, attempt) : Send(node, attempt);
+      if (attempt.due > now_) return false;
+      return attempt.sent ? EndAttempt(node, attempt)
+                          : SendAttempt(node, attempt);
     });
   }
 
-  bool Send(Node& node, Attempt& attempt) {
+  bool SendAttempt(Node& node, Attempt& attempt) {
     const auto now = LocalNow(node);
     if (!ef::MaySend(*node.lanes, attempt.lane, attempt.key, now) ||
         Draw(8) == 0) {
-      // Too late, or the endpoint refused the connection.
+      // The lane has expired, or the endpoint refused the connection.
       ef::BurnCall(*node.lanes, attempt.lane, attempt.key, now);
-      SayNotRun(attempt.key);
+      ReportNotRun(attempt.key);
       return true;
     }
-    if (++runs_[attempt.key] > 1) fault = attempt.key + " ran twice";
-    if (said_not_run_.contains(attempt.key)) {
-      fault = attempt.key + " ran after it was said not to";
+    if (++run_counts_[attempt.key] > 1) violation = attempt.key + " ran twice";
+    if (reported_not_run_.contains(attempt.key)) {
+      violation = attempt.key + " ran after it was reported as not run";
     }
     attempt.sent = true;
-    attempt.sends = now_ + std::chrono::seconds(Draw(120));
+    attempt.due = now_ + std::chrono::seconds(Draw(120));
     return false;
   }
 
-  bool End(Node& node, const Attempt& attempt) {
+  bool EndAttempt(Node& node, const Attempt& attempt) {
     const auto now = LocalNow(node);
     if (Draw(5) == 0) {
       ef::LoseCall(*node.lanes, attempt.lane, attempt.key, now);
@@ -192,27 +198,27 @@
   ek::Random random_;
   ek::Time now_{1h};
   Node nodes_[3];
-  std::deque<Copy> copies_;
-  std::map<std::string, int> runs_;
-  std::set<std::string> said_not_run_;
-  std::uint64_t incarnations_ = 0;
-  std::uint64_t keys_ = 0;
+  std::deque<RequestCopy> copies_;
+  std::map<std::string, int> run_counts_;
+  std::set<std::string> reported_not_run_;
+  std::uint64_t incarnation_count_ = 0;
+  std::uint64_t key_count_ = 0;
 };
 
 }  // namespace
 
 TEST_GROUP(LaneRandom){};
 
-// Callers send each payment up to five times, to any node, at once or a day
-// later, while nodes restart, stand still between the check and the sending,
-// and have their clocks moved. Nobody is charged twice, and whoever hears "not
-// run" was not charged.
-TEST(LaneRandom, NoKeyRunsTwiceAndNotRunIsTrue) {
+// Callers send each request up to five times to random nodes, immediately or up
+// to a day later. Meanwhile nodes restart, pause between recording a call and
+// sending it, and have their clocks changed. No request may run twice, and a
+// request that was reported as "not run" must not run.
+TEST(LaneRandom, NoKeyRunsTwiceOrAfterItWasReportedNotRun) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-    LaneWorld world(seed);
-    world.Run(200);
-    const std::string what =
-        "seed " + std::to_string(seed) + ": " + world.fault;
-    CHECK_TRUE_TEXT(world.fault.empty(), what.c_str());
+    LaneSimulation simulation(seed);
+    simulation.Run(200);
+    const std::string message =
+        "seed " + std::to_string(seed) + ": " + simulation.violation;
+    CHECK_TRUE_TEXT(simulation.violation.empty(), message.c_str());
   }
 }
--- a/fleet/tests/lane_test.cc
+++ b/fleet/tests/lane_test.cc
@@ -20,42 +20,43 @@
                          ef::WaiterId waiter = 1) {
     return ef::BeginCall(*lanes_, lane_, key, body, waiter, now_);
   }
-  bool Runs(const std::string& key) {
+  /// Begins a call with `key`; true if it is to be run.
+  bool StartsRun(const std::string& key) {
     return std::holds_alternative<ef::RunCall>(Begin(key));
   }
-  ef::RefuseCall Refusal(const ef::LaneDecision& decision) {
+  ef::RefuseCall ExpectRefusal(const ef::LaneDecision& decision) {
     CHECK_TRUE(std::holds_alternative<ef::RefuseCall>(decision));
     return std::get<ef::RefuseCall>(decision);
   }
 };
 
-TEST(Lane, TextComesBackAndNothingElseIsRead) {
+TEST(Lane, EncodingRoundTripsAndMalformedTextIsRejected) {
   const std::string text = ef::Encode(lane_);
-  const auto back = ef::DecodeLane(text);
-  CHECK_TRUE(back.has_value());
-  STRCMP_EQUAL(text.c_str(), ef::Encode(back.value()).c_str());
-  CHECK_TRUE(ef::OwnsLane(*lanes_, back.value()));
-  for (const std::string& other :
+  const auto decoded = ef::DecodeLane(text);
+  CHECK_TRUE(decoded.has_value());
+  STRCMP_EQUAL(text.c_str(), ef::Encode(decoded.value()).c_str());
+  CHECK_TRUE(ef::OwnsLane(*lanes_, decoded.value()));
+  for (const std::string& malformed :
        {std::string(), std::string("1."), text.substr(1), "0" + text,
         text + "\n", text.substr(0, text.size() - 2), "1.07" + text.substr(3),
         std::string(600, '1')}) {
-    CHECK_FALSE(ef::DecodeLane(other).has_value());
+    CHECK_FALSE(ef::DecodeLane(malformed).has_value());
   }
 }
 
-// A caller changes its lane's expiry to keep it for longer. The owner would
-// have forgotten the keys by then, and run a payment again.
-TEST(Lane, ChangedLaneIsNotTheOwners) {
+// A caller extends the expiry of its lane. The owner would have forgotten the
+// lane's keys by then and could run a request twice.
+TEST(Lane, LaneWithAlteredExpiryIsRefused) {
   lane_.expires += 1h;
   CHECK_FALSE(ef::OwnsLane(*lanes_, lane_));
-  CHECK(Refusal(Begin("k")).why == ef::LaneRefusal::kForged);
+  CHECK(ExpectRefusal(Begin("k")).why == ef::LaneRefusal::kForged);
 }
 
-// The caller's connection breaks and it sends its payment again, twice at once,
-// while the first try still runs. It is charged once, and each try gets the
-// whole answer.
+// A caller loses its connection and sends two concurrent retries while the
+// first attempt still runs. The request must run once, and each attempt must
+// get the complete answer.
 TEST(Lane, RetriesJoinTheCallAndGetItsAnswer) {
-  CHECK_TRUE(Runs("k"));
+  CHECK_TRUE(StartsRun("k"));
   CHECK_TRUE(std::holds_alternative<ef::JoinCall>(Begin("k", 1, 2)));
   CHECK_TRUE(std::holds_alternative<ef::JoinCall>(Begin("k", 1, 3)));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
@@ -70,11 +71,11 @@
   CHECK_EQUAL(201, answer.status);
 }
 
-// The endpoint breaks off after the call was sent. Nobody knows whether the
-// enrolment was made; saying "not run" would invite a second one. When the
-// answer comes late after all, the next retry gets it.
-TEST(Lane, LostCallStaysUnknownUntilItsAnswerComes) {
-  CHECK_TRUE(Runs("k"));
+// The connection to the endpoint breaks after the call was sent, so it is
+// unknown whether the call ran. Reporting "not run" would invite the caller to
+// run it a second time. If the answer arrives late, the next retry gets it.
+TEST(Lane, LostCallStaysUnknownUntilItsAnswerArrives) {
+  CHECK_TRUE(StartsRun("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
   CHECK_EQUAL(1U, ef::LoseCall(*lanes_, lane_, "k", now_).size());
   CHECK_TRUE(std::holds_alternative<ef::OutcomeUnknown>(Begin("k")));
@@ -83,66 +84,67 @@
   CHECK_TRUE(std::holds_alternative<ef::RepeatAnswer>(Begin("k")));
 }
 
-// The caller hears "not run" because the queue was full, while a second copy of
-// its call is still under way on a slow connection. That copy must not run.
+// A caller is told "not run" because the queue was full, while a second copy of
+// its request is still in transit on a slow connection. That copy must not run.
 TEST(Lane, BurnedKeyNeverRuns) {
-  CHECK_TRUE(Runs("k"));
+  CHECK_TRUE(StartsRun("k"));
   CHECK_EQUAL(1U, ef::BurnCall(*lanes_, lane_, "k", now_).size());
-  const auto refusal = Refusal(Begin("k"));
+  const auto refusal = ExpectRefusal(Begin("k"));
   CHECK(refusal.why == ef::LaneRefusal::kKeyBurned);
   CHECK_TRUE(refusal.not_run);
   CHECK_FALSE(ef::MaySend(*lanes_, lane_, "k", now_));
   CHECK_FALSE(ef::MarkUnsent(*lanes_, lane_, "k"));
 }
 
-// The endpoint refuses the connection, so that the call certainly did not run;
-// another endpoint may have it.
+// The endpoint refuses the connection, so the call certainly did not run and
+// may be sent to another endpoint.
 TEST(Lane, RefusedAttemptMayBeSentAgain) {
-  CHECK_TRUE(Runs("k"));
+  CHECK_TRUE(StartsRun("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
   CHECK_TRUE(ef::MarkUnsent(*lanes_, lane_, "k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
 }
 
-// The process stands still between recording a call and sending it, longer than
-// the lane lives. Its caller has given up and may have paid another way.
+// The process is paused between recording a call and sending it, for longer
+// than the lifetime of the lane. The caller may have given up and made the
+// request in another way.
 TEST(Lane, NothingIsSentOnALaneThatExpiredDuringAPause) {
-  CHECK_TRUE(Runs("k"));
+  CHECK_TRUE(StartsRun("k"));
   now_ += ef::kLaneLife;
   CHECK_FALSE(ef::MaySend(*lanes_, lane_, "k", now_));
 }
 
-// The caller sends its enrolment again after a day. Its key is forgotten; the
-// enrolment may have been made, so it is neither run nor said to be "not run".
-TEST(Lane, RetryAfterADayIsUnknown) {
-  CHECK_TRUE(Runs("k"));
+// A caller retries a request after a day, when its key has been forgotten. The
+// request may have run, so it is neither run again nor reported as "not run".
+TEST(Lane, RetryWithAForgottenKeyIsNotReportedAsNotRun) {
+  CHECK_TRUE(StartsRun("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
   ef::FinishCall(*lanes_, lane_, "k", {200, "", "ok"}, now_);
   now_ += 24h;
   ef::SweepLanes(*lanes_, now_);
   CHECK_EQUAL(0U, ef::ViewOf(*lanes_).keys);
   CHECK_EQUAL(0U, ef::ViewOf(*lanes_).bytes);
-  const auto refusal = Refusal(Begin("k"));
+  const auto refusal = ExpectRefusal(Begin("k"));
   CHECK(refusal.why == ef::LaneRefusal::kExpired);
   CHECK_FALSE(refusal.not_run);
 }
 
-// A VM's clock is set back after keys were forgotten. The expired lane would
-// become valid again, and its forgotten keys would run twice.
-TEST(Lane, ExpiredLaneStaysExpiredWhenTheClockGoesBack) {
-  CHECK_TRUE(Runs("k"));
+// The clock of a VM is set back after keys were forgotten. If the expired lane
+// became valid again, requests with the forgotten keys could run twice.
+TEST(Lane, ExpiredLaneStaysExpiredWhenTheClockIsSetBack) {
+  CHECK_TRUE(StartsRun("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
   ef::FinishCall(*lanes_, lane_, "k", {200, "", "ok"}, now_);
   ef::SweepLanes(*lanes_, now_ + ef::kLaneLife + ef::kAnswerLinger);
-  const auto refusal = Refusal(Begin("k"));
+  const auto refusal = ExpectRefusal(Begin("k"));
   CHECK(refusal.why == ef::LaneRefusal::kExpired);
 }
 
-// A call begins in its lane's last second and ends after the expiry. Its retry
-// still gets the answer.
+// A call begins in the last second of its lane and ends after the lane has
+// expired. A retry must still get the answer.
 TEST(Lane, AnswerOfACallThatOutlivesItsLaneIsKept) {
   now_ += ef::kLaneLife - 1s;
-  CHECK_TRUE(Runs("k"));
+  CHECK_TRUE(StartsRun("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
   now_ += 5min;
   ef::SweepLanes(*lanes_, now_);
@@ -152,29 +154,29 @@
   CHECK_TRUE(std::holds_alternative<ef::RepeatAnswer>(Begin("k")));
 }
 
-// A program error sends another body under a used key. The first body may have
-// run, so the answer must not say "not run".
-TEST(Lane, OtherBodyUnderAUsedKeyIsRefusedWithoutAPromise) {
-  CHECK_TRUE(Runs("k"));
-  const auto refusal = Refusal(Begin("k", 2));
+// A faulty client reuses a key with another body. The first body may have run,
+// so the refusal must not report "not run".
+TEST(Lane, OtherBodyUnderAUsedKeyIsNotReportedAsNotRun) {
+  CHECK_TRUE(StartsRun("k"));
+  const auto refusal = ExpectRefusal(Begin("k", 2));
   CHECK(refusal.why == ef::LaneRefusal::kOtherBody);
   CHECK_FALSE(refusal.not_run);
 }
 
-// A caller floods the node with keys until the table is full. What is refused
-// then is "not run" for good, also when there is room again and a second copy
-// of a refused call arrives; a new lane works.
-TEST(Lane, FullTableRefusesForGoodAndStaysWithinItsBound) {
-  std::size_t run = 0;
-  while (Runs("flood" + std::to_string(run))) ++run;
+// A caller floods a node with keys until the table is full. Keys that are
+// refused then are "not run" permanently, even if a second copy of a refused
+// request arrives after space was freed. A new lane works again.
+TEST(Lane, FullTableRefusesPermanentlyAndStaysWithinItsLimit) {
+  std::size_t started = 0;
+  while (StartsRun("flood" + std::to_string(started))) ++started;
   CHECK(ef::ViewOf(*lanes_).bytes <= ef::kLaneBytesMost);
-  CHECK_TRUE(Refusal(Begin("late")).not_run);
-  for (std::size_t i = 0; i < run; ++i) {
+  CHECK_TRUE(ExpectRefusal(Begin("late")).not_run);
+  for (std::size_t i = 0; i < started; ++i) {
     ef::BurnCall(*lanes_, lane_, "flood" + std::to_string(i), now_);
   }
-  const auto refusal = Refusal(Begin("late"));
+  const auto refusal = ExpectRefusal(Begin("late"));
   CHECK(refusal.why == ef::LaneRefusal::kTableFull);
   CHECK_TRUE(refusal.not_run);
   lane_ = ef::IssueLane(*lanes_, now_);
-  CHECK_TRUE(Runs("late"));
+  CHECK_TRUE(StartsRun("late"));
 }
--- a/fleet/tests/lease_test.cc
+++ b/fleet/tests/lease_test.cc
@@ -14,22 +14,24 @@
   ef::Time now_{1h};
   ef::HeldSlots held_;
   ef::KeeperBook book_;
-  egretladder::rules::Endpoint row_;
+  egretladder::rules::Endpoint endpoint_;
 
   void setup() override {
-    row_.max_in_flight = 16;
-    row_.cold_max_in_flight = 4;
-    ef::OpenBook(book_, row_, now_);
+    endpoint_.max_in_flight = 16;
+    endpoint_.cold_max_in_flight = 4;
+    ef::OpenBook(book_, endpoint_, now_);
   }
-  void Report(std::uint64_t boot, std::uint32_t running = 0) {
+  void ReceiveReport(std::uint64_t boot, std::uint32_t running = 0) {
     egretladder::policy::EngineReport report;
     report.boot = boot;
     report.running = running;
     ef::TakeReport(book_, &report, now_);
   }
-  std::uint32_t Ask(const std::string& node, std::uint64_t number,
-                    std::uint32_t wanted, std::uint32_t in_flight = 0,
-                    std::uint64_t live_from = 0, std::uint32_t urgent = 0) {
+  /// Sends a slot request of `node` to the keeper. Returns the slots granted.
+  std::uint32_t AskForSlots(const std::string& node, std::uint64_t number,
+                            std::uint32_t wanted, std::uint32_t in_flight = 0,
+                            std::uint64_t live_from = 0,
+                            std::uint32_t urgent = 0) {
     ef::SlotAsk ask;
     ask.wanted = wanted;
     ask.urgent = urgent;
@@ -40,22 +42,22 @@
   }
 };
 
-// The answer to an ask takes a second on its way. Counted from its arrival, the
-// lease would outlive what the keeper counts.
-TEST(Lease, TimeRunsFromTheAsking) {
+// The reply to a slot request takes a second to arrive. If the lease were
+// counted from its arrival, it would outlive the keeper's record of it.
+TEST(Lease, LeaseTimeCountsFromTheRequest) {
   ef::SlotLease lease;
   lease.slots = 3;
   lease.left = ef::kLeaseLife;
   lease.ask_number = 1;
   CHECK_TRUE(ef::TakeLease(held_, lease, now_, now_ + 1s));
-  const auto lapses = now_ + ef::kLeaseLife - ef::kFreshFor;
-  CHECK_EQUAL(3U, ef::UsableSlots(held_, lapses - 1ms));
-  CHECK_EQUAL(0U, ef::UsableSlots(held_, lapses));
+  const auto unusable_from = now_ + ef::kLeaseLife - ef::kFreshFor;
+  CHECK_EQUAL(3U, ef::UsableSlots(held_, unusable_from - 1ms));
+  CHECK_EQUAL(0U, ef::UsableSlots(held_, unusable_from));
 }
 
-// Answers overtake each other, or come twice. An old one with more slots must
-// not undo a newer one.
-TEST(Lease, OvertakenAndDoubledAnswersGiveNothing) {
+// Replies arrive out of order or twice. An older reply with more slots must not
+// replace a newer one.
+TEST(Lease, ReorderedAndDuplicateLeasesAreIgnored) {
   ef::SlotLease lease;
   lease.left = ef::kLeaseLife;
   lease.ask_number = 2;
@@ -69,8 +71,9 @@
   CHECK_EQUAL(1U, ef::UsableSlots(held_, now_));
 }
 
-// An engine dies under a node's work while a lease for it is on its way.
-TEST(Lease, DeathVoidsTheLeaseUnderWay) {
+// An engine dies while it runs a node's calls and a lease for it is in transit.
+// The lease must not be accepted.
+TEST(Lease, EndpointDeathVoidsALeaseInTransit) {
   ef::DropLease(held_, now_);
   ef::SlotLease lease;
   lease.slots = 3;
@@ -79,73 +82,76 @@
   CHECK_FALSE(ef::TakeLease(held_, lease, now_, now_ + 100ms));
 }
 
-// Two nodes want all of a cold engine's slots. What one may still use isn't
-// given to the other before an ask shows that it is free.
-TEST(Lease, GrantEndsByProofOnly) {
-  Report(1);
-  CHECK_EQUAL(3U, Ask("a", 1, 9));
-  CHECK_EQUAL(0U, Ask("b", 1, 9));
+// Two nodes want all slots of a cold engine. Slots that one node may still use
+// must not be granted to the other before a slot request shows that they are
+// free.
+TEST(Lease, GrantEndsOnlyOnProofThatItIsUnused) {
+  ReceiveReport(1);
+  CHECK_EQUAL(3U, AskForSlots("a", 1, 9));
+  CHECK_EQUAL(0U, AskForSlots("b", 1, 9));
   now_ += 10s;
-  CHECK_EQUAL(0U, Ask("b", 2, 9));
-  // The first two asks of `a` may be answered still; then they may not.
-  CHECK_EQUAL(0U, Ask("a", 2, 0, 0, 1));
-  CHECK_EQUAL(0U, Ask("b", 3, 9));
-  Ask("a", 3, 0, 0, 3);
-  CHECK_EQUAL(3U, Ask("b", 4, 9));
+  CHECK_EQUAL(0U, AskForSlots("b", 2, 9));
+  // Replies to the first two requests of `a` may still arrive. After its third
+  // request, which voids them, they no longer count.
+  CHECK_EQUAL(0U, AskForSlots("a", 2, 0, 0, 1));
+  CHECK_EQUAL(0U, AskForSlots("b", 3, 9));
+  AskForSlots("a", 3, 0, 0, 3);
+  CHECK_EQUAL(3U, AskForSlots("b", 4, 9));
 }
 
-// A node has three long answers running when its lease lapses. They still fill
+// A node has three long calls running when its lease expires. They still occupy
 // the engine.
-TEST(Lease, RunningCallsCountAfterTheLease) {
-  Report(1);
-  Ask("a", 1, 3);
-  Ask("a", 2, 0, 3, 2);
-  CHECK_EQUAL(0U, Ask("b", 1, 9));
+TEST(Lease, RunningCallsCountAfterTheLeaseHasExpired) {
+  ReceiveReport(1);
+  AskForSlots("a", 1, 3);
+  AskForSlots("a", 2, 0, 3, 2);
+  CHECK_EQUAL(0U, AskForSlots("b", 1, 9));
 }
 
-// A keeper begins while calls of a node it can't hear run on the engine. The
-// report shows them.
-TEST(Lease, NewKeeperLeavesRoomForCallsOfNodesItCantHear) {
-  Report(1, 2);
-  CHECK_EQUAL(1U, Ask("a", 1, 9));
+// A keeper takes over while calls of a node that it can't reach run on the
+// engine. It must count them from the engine's report.
+TEST(Lease, NewKeeperCountsCallsOfUnreachableNodes) {
+  ReceiveReport(1, 2);
+  CHECK_EQUAL(1U, AskForSlots("a", 1, 9));
 }
 
-// Few slots and many nodes: lots change, so that no node starves.
-TEST(Lease, EveryNodeGetsASlotInTime) {
-  Report(1);
-  bool had = false;
-  for (std::uint64_t round = 1; round < 40 && !had; ++round) {
+// There are fewer slots than nodes. The random order in which nodes are served
+// must change over time, so that no node starves.
+TEST(Lease, EveryNodeEventuallyGetsASlot) {
+  ReceiveReport(1);
+  bool got_slot = false;
+  for (std::uint64_t round = 1; round < 40 && !got_slot; ++round) {
     for (const char* node : {"a", "b", "c", "d", "e", "f"}) {
-      const auto slots = Ask(node, round, 9, 0, round);
-      had |= std::string(node) == "f" && slots > 0;
+      const auto slots = AskForSlots(node, round, 9, 0, round);
+      got_slot |= std::string(node) == "f" && slots > 0;
     }
     now_ += 1s;
   }
-  CHECK_TRUE(had);
+  CHECK_TRUE(got_slot);
 }
 
-// Callers keep to their nodes: one node has the questions of buyers, two others
-// a batch that could fill the engine. With equal parts the buyers wait while
-// the batch has slots.
-TEST(Lease, WorkOfTheTopTierGetsItsSlotsFirst) {
-  row_.cold_max_in_flight = 16;
-  ef::OpenBook(book_, row_, now_);
-  Report(1);
+// Callers stay with their nodes: one node has interactive requests, and two
+// others have batch work that could fill the engine. With equal shares the
+// interactive requests would wait while batch work has slots.
+TEST(Lease, WorkOfTheTopTierGetsSlotsFirst) {
+  endpoint_.cold_max_in_flight = 16;
+  ef::OpenBook(book_, endpoint_, now_);
+  ReceiveReport(1);
   for (std::uint64_t round = 1; round <= 3; ++round) {
-    Ask("batch-1", round, 16, 0, round);
-    Ask("batch-2", round, 16, 0, round);
+    AskForSlots("batch-1", round, 16, 0, round);
+    AskForSlots("batch-2", round, 16, 0, round);
     now_ += 1s;
-    const auto slots = Ask("buyers", round, 12, 0, round, 10);
+    const auto slots = AskForSlots("buyers", round, 12, 0, round, 10);
     if (round == 3) CHECK_TRUE(slots >= 10);
   }
   CHECK_TRUE(ef::GrantedSum(book_) <= ef::PoolOf(book_));
 }
 
-// A quarter of what an engine bears cold needs no lease: all owners together
-// can't swamp it.
-TEST(Lease, FloorsAddUpToAPartOfTheColdBears) {
-  CHECK_EQUAL(1U, ef::FloorSum(row_));
-  row_.cold_max_in_flight = 2;
-  CHECK_EQUAL(0U, ef::FloorSum(row_));
+// At most a quarter of an engine's cold_max_in_flight may be used without a
+// lease, so that all nodes with such slots together can't overload it.
+TEST(Lease, FloorsStayWithinAQuarterOfColdMaxInFlight) {
+  CHECK_EQUAL(1U, ef::FloorSum(endpoint_));
+  endpoint_.cold_max_in_flight = 2;
+  CHECK_EQUAL(0U, ef::FloorSum(endpoint_));
   CHECK_EQUAL(3U, ef::PoolOf(book_));
 }
--- a/fleet/tests/main.cc
+++ b/fleet/tests/main.cc
@@ -2,8 +2,8 @@
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
 int main(int argc, char** argv) {
-  // Libraries keep memory from one test to the next on purpose (loggers,
-  // tables made on first use), which the leak check would take for a leak.
+  // Libraries intentionally keep memory across tests (loggers, tables that are
+  // built on first use), which the leak check would report.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(argc, argv);
 }
--- a/fleet/tests/membership_test.cc
+++ b/fleet/tests/membership_test.cc
@@ -29,9 +29,11 @@
     }
   }
 
-  /// `voter` answers a ping, and says who is gone.
-  void Answer(const std::string& voter, const std::vector<std::string>& gone,
-              std::uint64_t digest = 5) {
+  /// Delivers a ping reply of `voter` that reports the nodes in `gone` as gone,
+  /// under the node list with `digest`.
+  void AnswerPing(const std::string& voter,
+                  const std::vector<std::string>& gone,
+                  std::uint64_t digest = 5) {
     ef::Gossip gossip;
     gossip.ack = ef::NumberPing(state_, state_.peers.at(voter), now_);
     gossip.gone = gone;
@@ -39,14 +41,15 @@
     ef::HearGossip(state_, {voter, 10}, gossip, now_);
   }
 
-  /// Lets time pass in which `answering` answer.
-  void Pass(std::chrono::milliseconds span,
-            const std::vector<std::string>& answering,
-            const std::vector<std::string>& gone = {}) {
-    const ef::Time until = now_ + span;
+  /// Advances time by `duration`. Meanwhile the nodes in `answering` reply to a
+  /// ping every 500 ms.
+  void RunWhileAnswering(std::chrono::milliseconds duration,
+                         const std::vector<std::string>& answering,
+                         const std::vector<std::string>& gone = {}) {
+    const ef::Time until = now_ + duration;
     while (now_ < until) {
       now_ += 500ms;
-      for (const std::string& voter : answering) Answer(voter, gone);
+      for (const std::string& voter : answering) AnswerPing(voter, gone);
     }
   }
   bool MayKeep(bool keeping = false) const {
@@ -54,45 +57,48 @@
   }
 };
 
-// The first keeper is cut off from the second only; the others still hear it,
-// and it goes on leasing. The second must not begin beside it.
-TEST(Membership, NobodyIsPassedOverByOneNodesView) {
-  Pass(10s, {"n2", "n3", "n4"});
+// Only the second-ranked keeper loses contact with the first. The first still
+// reaches a majority and continues to lease slots, so the second must not
+// become keeper as well.
+TEST(Membership, ViewOfOneNodeDoesNotReplaceAKeeper) {
+  RunWhileAnswering(10s, {"n2", "n3", "n4"});
   CHECK_TRUE(ef::VotesGone(state_, "n1", "n0", now_));
   CHECK_FALSE(MayKeep());
-  Answer("n2", {"n0"});
+  AnswerPing("n2", {"n0"});
   CHECK_FALSE(MayKeep());
-  Answer("n3", {"n0"});
+  AnswerPing("n3", {"n0"});
   CHECK_TRUE(MayKeep());
 }
 
-// Two of five nodes are cut off together. Their keeper loses its mandate.
+// A partition leaves a keeper with one other node out of five. It must lose its
+// mandate.
 TEST(Membership, KeeperNeedsAMajority) {
-  Pass(10s, {"n2", "n3", "n4"}, {"n0"});
+  RunWhileAnswering(10s, {"n2", "n3", "n4"}, {"n0"});
   CHECK_TRUE(MayKeep());
-  Pass(ef::kMandate, {"n2"}, {"n0"});
+  RunWhileAnswering(ef::kMandate, {"n2"}, {"n0"});
   CHECK_FALSE(MayKeep(true));
 }
 
-// A node that supported another keeper until now answers this one. What the
-// other leased by its vote runs on for a while.
-TEST(Membership, SupportCountsOnlyAfterFormerLeasesLapsed) {
-  Pass(ef::kSupportWait - 1s, {"n2", "n3", "n4"}, {"n0"});
+// A node that has supported another keeper now answers this one. Leases that
+// the other keeper granted with its support remain valid for a while, so the
+// new support must not count at once.
+TEST(Membership, SupportCountsOnlyAfterFormerLeasesHaveExpired) {
+  RunWhileAnswering(ef::kSupportWait - 1s, {"n2", "n3", "n4"}, {"n0"});
   CHECK_FALSE(MayKeep());
-  Pass(1500ms, {"n2", "n3", "n4"}, {"n0"});
+  RunWhileAnswering(1500ms, {"n2", "n3", "n4"}, {"n0"});
   CHECK_TRUE(MayKeep());
 }
 
-// A published list of nodes changes. Majorities of the old and the new one need
-// not meet, so answers under another list don't count.
+// The published list of nodes changes. Majorities of the old and the new list
+// need not intersect, so replies under another list don't count.
 TEST(Membership, AnswersUnderAnotherNodeListDontCount) {
-  Pass(10s, {"n2", "n3", "n4"}, {"n0"});
-  for (const char* voter : {"n2", "n3", "n4"}) Answer(voter, {"n0"}, 6);
+  RunWhileAnswering(10s, {"n2", "n3", "n4"}, {"n0"});
+  for (const char* voter : {"n2", "n3", "n4"}) AnswerPing(voter, {"n0"}, 6);
   CHECK_FALSE(MayKeep(true));
 }
 
-// A VM was replaced; a delayed message of its old process arrives. It must not
-// bring the old process back, whose slots the new one has.
+// After a VM was replaced, a delayed message of its old process arrives. The
+// old process must not become current again, because the new one has its slots.
 TEST(Membership, OldProcessStaysReplaced) {
   ef::Member newer;
   newer.node = "n2";
@@ -109,22 +115,22 @@
   CHECK_FALSE(ef::IsCurrent(state_, {"n2", 10}));
 }
 
-// The new VM's wall clock is behind its predecessor's. It would never be heard
-// if only start times counted.
-TEST(Membership, NewProcessWithAnOldClockIsHeardOnceTheOldOneIsSilent) {
-  ef::Member fresh;
-  fresh.node = "n2";
-  fresh.incarnation = 12;
-  fresh.started = 50;
+// The wall clock of a new VM is behind that of the VM that it replaces. If only
+// start times were compared, the new process would never be accepted.
+TEST(Membership, NewProcessWithAnOldClockIsAcceptedOnceTheOldOneIsSilent) {
+  ef::Member replacement;
+  replacement.node = "n2";
+  replacement.incarnation = 12;
+  replacement.started = 50;
   now_ += ef::kSuspectAfter + 1ms;
-  ef::HearMember(state_, fresh, true, now_);
+  ef::HearMember(state_, replacement, true, now_);
   CHECK_TRUE(ef::IsCurrent(state_, {"n2", 12}));
 }
 
-// In a large fleet a keeper has never heard of most nodes that ask it for
-// slots. It would answer none of them, and they would use nothing but their
-// floors.
-TEST(Membership, UnknownAskerIsBelievedAndItsPredecessorIsNot) {
+// In a large fleet a keeper has no gossip about most nodes that request slots
+// from it. If it ignored them, they could use only the slots that need no
+// lease.
+TEST(Membership, UnknownSenderIsAcceptedAndItsOldProcessIsNot) {
   state_.peers["n9"].member.node = "n9";
   CHECK_TRUE(ef::HearSender(state_, {"n9", 2}, now_));
   CHECK_FALSE(ef::HearSender(state_, {"n9", 1}, now_ + 1s));
@@ -132,16 +138,17 @@
   CHECK_FALSE(ef::HearSender(state_, {"n10", 1}, now_));
 }
 
-// A process that was paused hears its peers' silence as its own, and doesn't
-// vote them all out.
-TEST(Membership, PausedProcessForgivesItsPeers) {
+// A process that was paused has heard no peer meanwhile. It must attribute the
+// silence to its own pause and not vote its peers gone.
+TEST(Membership, PausedProcessDoesNotConsiderItsPeersGone) {
   now_ += 60s;
   CHECK(ef::StateOf(state_.peers.at("n2"), now_) == ef::MemberState::kGone);
   ef::ForgivePeers(state_, now_);
   CHECK(ef::StateOf(state_.peers.at("n2"), now_) == ef::MemberState::kAlive);
 }
 
-// At 390 nodes a message must not grow with the fleet.
+// The size of a gossip message must not grow with the fleet, which may have 390
+// nodes.
 TEST(Membership, MessageSizeIsBounded) {
   for (int i = 0; i < 50; ++i) {
     ef::Member member;
--- a/fleet/tests/orders_test.cc
+++ b/fleet/tests/orders_test.cc
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr er::TargetHandle kOld{0};
-constexpr er::TargetHandle kNew{1};
+constexpr er::TargetHandle kOldModel{0};
+constexpr er::TargetHandle kNewModel{1};
 
 er::RulesPtr ReadRulesText(const std::string& models) {
   const std::string text =
@@ -31,17 +31,20 @@
   return er::ReadRules(text, "t", nullptr).value();
 }
 
-std::string PlacesOf(const er::Rules& rules, const ef::Placement& placement,
-                     const std::string& model) {
-  std::string places;
+/// Returns the concatenated names of the endpoints that `placement` gives
+/// `model` to.
+std::string EndpointsPlacedFor(const er::Rules& rules,
+                               const ef::Placement& placement,
+                               const std::string& model) {
+  std::string endpoint_names;
   const auto target = er::FindTarget(rules, model);
   for (std::uint32_t i = 0; i < placement.size(); ++i) {
     if (std::find(placement[i].begin(), placement[i].end(), target) !=
         placement[i].end()) {
-      places += rules.endpoints[i].source.name;
+      endpoint_names += rules.endpoints[i].source.name;
     }
   }
-  return places;
+  return endpoint_names;
 }
 
 }  // namespace
@@ -54,49 +57,51 @@
   void setup() override {
     orders_.kept_since = now_ - 1h;
     orders_.changed = now_ - 1h;
-    ef::SeeLoaded(orders_, {kOld}, now_ - 1h);
-    input_.desired = {kNew};
+    ef::SeeLoaded(orders_, {kOldModel}, now_ - 1h);
+    input_.desired = {kNewModel};
     input_.honours_fencing = true;
     input_.store_free = true;
-    input_.spare = {kOld};
+    input_.spare = {kOldModel};
   }
 };
 
-TEST(Orders, PlacesCopiesInDifferentZonesAlikeOnAllNodes) {
-  const auto one = ReadRulesText("m = copies=2 ; t\nn = ; t\n");
-  const auto other = ReadRulesText("n = ; t\nm = copies=2 ; t\n");
-  const std::vector<bool> all(3, true);
-  const auto here = ef::PlaceModels(*one, all);
-  const auto there = ef::PlaceModels(*other, all);
-  const std::string places = PlacesOf(*one, here, "m");
-  STRCMP_EQUAL(places.c_str(), PlacesOf(*other, there, "m").c_str());
-  CHECK(places.find("e3") != std::string::npos);
-  CHECK_EQUAL(4U, places.size());
+TEST(Orders, PlacesCopiesInDifferentZonesIdenticallyOnAllNodes) {
+  const auto node_a_rules = ReadRulesText("m = copies=2 ; t\nn = ; t\n");
+  const auto node_b_rules = ReadRulesText("n = ; t\nm = copies=2 ; t\n");
+  const std::vector<bool> usable(3, true);
+  const auto placement_a = ef::PlaceModels(*node_a_rules, usable);
+  const auto placement_b = ef::PlaceModels(*node_b_rules, usable);
+  const std::string endpoint_names =
+      EndpointsPlacedFor(*node_a_rules, placement_a, "m");
+  STRCMP_EQUAL(endpoint_names.c_str(),
+               EndpointsPlacedFor(*node_b_rules, placement_b, "m").c_str());
+  CHECK(endpoint_names.find("e3") != std::string::npos);
+  CHECK_EQUAL(4U, endpoint_names.size());
 }
 
-// The engine holds one model, and it is the last warm copy of one that has
-// callers. They would all wait for a load.
+// The engine holds one model, the last warm copy of a model that has callers.
+// If it were unloaded, all of them would wait for a load.
 TEST(Orders, LastWarmCopyStays) {
   input_.spare.clear();
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_).has_value());
-  input_.spare = {kOld};
-  const auto next = ef::DecideOrder(orders_, input_, now_);
-  CHECK_TRUE(next.has_value());
-  CHECK(next->kind == ef::OrderKind::kUnload);
+  input_.spare = {kOldModel};
+  const auto order = ef::DecideOrder(orders_, input_, now_);
+  CHECK_TRUE(order.has_value());
+  CHECK(order->kind == ef::OrderKind::kUnload);
 }
 
-// The placement changes twice in a minute. The engine would load and unload and
-// serve nobody.
-TEST(Orders, ModelStaysForItsDwell) {
+// The placement changes twice within a minute. Without a minimum time per
+// model, the engine would keep loading and unloading without serving calls.
+TEST(Orders, ModelStaysLoadedForAMinimumTime) {
   ef::SeeLoaded(orders_, {}, now_);
-  ef::SeeLoaded(orders_, {kOld}, now_);
+  ef::SeeLoaded(orders_, {kOldModel}, now_);
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_ + 1min).has_value());
   CHECK_TRUE(ef::DecideOrder(orders_, input_, now_ + 6min).has_value());
 }
 
-// An engine that doesn't check who orders could get a paused former keeper's
-// order as well. The new keeper waits until that is over.
-TEST(Orders, EngineThatIgnoresFencingIsOrderedLater) {
+// An engine that ignores fencing could still follow a delayed order of a former
+// keeper that was paused. The new keeper waits until that can't happen.
+TEST(Orders, EngineThatIgnoresFencingGetsOrdersLater) {
   input_.honours_fencing = false;
   orders_.kept_since = now_;
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_ + 1s).has_value());
@@ -104,8 +109,8 @@
       ef::DecideOrder(orders_, input_, now_ + ef::kUnfencedWait).has_value());
 }
 
-// A whole zone starts and every engine wants its weights at once. The weight
-// store would refuse them all.
+// All engines of a zone start and load their weights at once. Without a limit
+// on concurrent loads, the weight store would refuse them all.
 TEST(Orders, WeightStoreBudgetHoldsLoadsBack) {
   ef::SeeLoaded(orders_, {}, now_);
   input_.store_free = false;
@@ -115,13 +120,13 @@
   CHECK(ef::LoadPause(7) == 14s);
 }
 
-// The engine takes minutes to load. The same order isn't sent with every
-// report.
+// An engine takes minutes to load a model. The same order must not be sent
+// again after each report meanwhile.
 TEST(Orders, OpenOrderIsNotRepeated) {
   ef::SeeLoaded(orders_, {}, now_);
-  orders_.open = ef::OpenOrder{ef::OrderKind::kLoad, kNew, now_};
+  orders_.open = ef::OpenOrder{ef::OrderKind::kLoad, kNewModel, now_};
   ef::SeeLoaded(orders_, {}, now_ + 1min);
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_ + 1min).has_value());
-  ef::SeeLoaded(orders_, {kNew}, now_ + 2min);
+  ef::SeeLoaded(orders_, {kNewModel}, now_ + 2min);
   CHECK_FALSE(orders_.open.has_value());
 }
--- a/fleet/tests/wire_fixture.h
+++ b/fleet/tests/wire_fixture.h
@@ -1,6 +1,7 @@
-// Several fleets in one process on one paused clock, joined by a small fake
-// wire that delays, drops, doubles, reorders and cuts, beside a fake platform
-// and fake endpoints that run what the nodes' slots let them start.
+// A deterministic simulation of several fleet nodes in one process on a
+// simulated clock. The simulated network delays, drops, duplicates, reorders
+// and blocks messages. A fake platform serves the rules and the VM list, and
+// fake endpoints run the calls that the nodes' slots allow.
 #pragma once
 
 #include <cstdint>
@@ -17,16 +18,16 @@
 
 namespace egretladder::fleet::testing {
 
-struct WireFaults {
-  double drop = 0;
-  double twice = 0;
-  std::chrono::milliseconds delay_most{3};
+struct NetworkFaults {
+  double drop_probability = 0;
+  double duplicate_probability = 0;
+  std::chrono::milliseconds max_delay{3};
 };
 
 struct FakeCall {
   std::string endpoint;
   std::uint64_t boot = 0;
-  Time ends{};
+  Time ends_at{};
 };
 
 struct FakeNode {
@@ -35,14 +36,14 @@
   bool up = false;
   Time paused_until{};
   double clock_rate = 1;
-  bool platform_cut = false;
+  bool platform_unreachable = false;
   std::vector<FakeCall> calls;
-  std::vector<std::function<void()>> inbox;  ///< Arrived while paused.
+  std::vector<std::function<void()>> inbox;  ///< Held during a pause.
   std::map<std::string, std::uint32_t> slots;
   std::map<std::string, bool> available;
-  std::vector<std::uint64_t> versions;  ///< In force, in this process.
+  std::vector<std::uint64_t> versions_in_force;  ///< Of this process, in order.
   std::set<std::uint64_t> quarantined;
-  std::uint32_t refused = 0;
+  std::uint32_t refused_documents = 0;
 };
 
 struct FakeEndpoint {
@@ -50,12 +51,12 @@
   std::uint64_t boot = 1;
   std::uint32_t cold_max_in_flight = 2;
   std::uint32_t max_in_flight = 16;
-  std::uint32_t answers = 0;  ///< Since its start.
+  std::uint32_t answers_since_start = 0;  ///< Resets on a restart.
   std::uint32_t running = 0;
   std::vector<std::string> loaded;
   bool is_service = false;
-  std::uint32_t most_cold = 0;  ///< Most that ran at once while cold.
-  Time last_start{};            ///< Of new work.
+  std::uint32_t max_running_while_cold = 0;  ///< Peak while cold.
+  Time last_start{};                         ///< When a call last started.
 };
 
 struct FakeOrder {
@@ -65,7 +66,7 @@
   std::string model;
 };
 
-/// What a test says about the fleet's rules; `Document` writes it out.
+/// The parts of the rules that tests vary.
 struct FakeRules {
   std::uint64_t version = 1;
   std::uint32_t nodes = 7;
@@ -75,80 +76,93 @@
   std::set<std::string> zones_out;
   std::set<std::string> leaving;  ///< Endpoints and nodes.
 };
-std::string Document(const FakeRules& rules);
-/// Node and endpoint `i` are in zone `i % 3`.
+/// Returns the rules document (INI text) for `rules`.
+std::string MakeRulesDocument(const FakeRules& rules);
+/// Returns the zone of node `i` and of endpoint `i`; there are three zones.
 std::string ZoneOf(std::uint32_t i);
 
-class World {
+/// Runs the nodes, network, platform and endpoints of one simulated fleet. All
+/// random choices follow from the seed.
+class FleetSimulation {
  public:
-  explicit World(std::uint64_t seed, const FakeRules& rules = {});
+  explicit FleetSimulation(std::uint64_t seed, const FakeRules& rules = {});
 
-  /// Publishes: the platform serves it from now on.
+  /// Makes the platform serve `rules` from now on.
   void Publish(const FakeRules& rules);
   void StartNode(const std::string& name, bool with_seeds = false);
   void StartAll();
   void Crash(const std::string& name);
-  void Pause(const std::string& name, std::chrono::milliseconds span);
-  void CutOff(const std::set<std::string>& side);  ///< From all others.
-  void CutOneWay(const std::string& from, const std::string& to);
-  void Heal();
+  void Pause(const std::string& name, std::chrono::milliseconds duration);
+  /// Blocks messages between the nodes in `side` and all others, both ways.
+  void Partition(const std::set<std::string>& side);
+  void BlockOneWay(const std::string& from, const std::string& to);
+  void HealNetwork();  ///< Unblocks all links.
   void StopEndpoint(const std::string& name);
   void StartEndpoint(const std::string& name);
-  /// The body crashes an endpoint that runs it, seen by `node`.
-  void Poison(const std::string& node, const std::string& endpoint,
-              std::uint64_t body);
-  void LeaveNode(const std::string& name);
-  void Run(std::chrono::milliseconds span);
-
-  /// True when all running nodes have `version` in force.
-  bool AllHave(std::uint64_t version) const;
-  /// Sum over nodes of the slots usable now.
-  std::uint32_t SlotsOf(const std::string& endpoint) const;
-  std::uint32_t Usable(const FakeNode& node, const std::string& endpoint) const;
-  std::uint32_t KeepersOf() const;  ///< Endpoints kept, summed over nodes.
+  /// Crashes `endpoint` while it runs a request with the fingerprint `body` for
+  /// `node`.
+  void CrashByRequestBody(const std::string& node, const std::string& endpoint,
+                          std::uint64_t body);
+  void MakeNodeLeave(const std::string& name);
+  void RunFor(std::chrono::milliseconds duration);
+
+  /// True if all running nodes have `version` in force.
+  bool IsInForceEverywhere(std::uint64_t version) const;
+  /// Returns the slots of `endpoint` that are usable now, summed over all
+  /// nodes.
+  std::uint32_t TotalUsableSlots(const std::string& endpoint) const;
+  std::uint32_t UsableSlotsAt(const FakeNode& node,
+                              const std::string& endpoint) const;
+  /// Returns how many endpoints each running node is the keeper of, summed over
+  /// the nodes.
+  std::uint32_t KeptEndpointCount() const;
+  /// Returns the time by the node's own clock, which runs at `clock_rate`.
   Time LocalNow(const FakeNode& node) const;
 
   Time now{std::chrono::hours(1)};
   kernel::Random random;
-  WireFaults faults;
-  double demand = 1;  ///< Chance in each step to fill a free slot.
-  std::chrono::milliseconds call_most{4000};
+  NetworkFaults faults;
+  /// Probability in each step that a free slot gets a call.
+  double start_probability = 1;
+  std::chrono::milliseconds max_call_duration{4000};
   std::map<std::string, FakeNode> nodes;
   std::map<std::string, FakeEndpoint> endpoints;
   std::vector<VmEntry> vms;
   bool platform_down = false;
-  std::uint64_t stale_version = 0;  ///< Served in place of the newest.
+  std::uint64_t stale_version = 0;  ///< Served if not 0.
   std::uint64_t platform_calls = 0;
-  std::uint64_t messages = 0;
+  std::uint64_t messages_sent = 0;
   std::vector<FakeOrder> orders;
-  std::vector<std::string> broken;  ///< Invariants, in words.
+  std::vector<std::string> violations;  ///< Messages of failed invariants.
 
  private:
   void Step();
-  void Apply(const std::string& name, Actions& actions);
-  void Deliver(const std::string& name, std::chrono::milliseconds after,
-               std::function<void()> event);
+  void ApplyActions(const std::string& name, Actions& actions);
+  void ScheduleDelivery(const std::string& name,
+                        std::chrono::milliseconds delay,
+                        std::function<void()> event);
   void Send(const std::string& from, const SendMessage& send);
-  void AnswerRules(const std::string& name, const ReadRulesDocument& read);
-  void AnswerReport(const std::string& name, const ReadReport& read);
-  void WakeWatches();
-  void RunCalls(const std::string& name, FakeNode& node);
-  void FillSlots(const std::string& name, FakeNode& node);
-  void Check();
-  const std::string* Served() const;
+  void ServeRulesDocument(const std::string& name,
+                          const ReadRulesDocument& read);
+  void ServeReport(const std::string& name, const ReadReport& read);
+  void CompleteWatches();
+  void UpdateCalls(const std::string& name, FakeNode& node);
+  void StartCalls(const std::string& name, FakeNode& node);
+  void CheckInvariants();
+  const std::string* ServedDocument() const;
 
   struct Watch {
     std::string node;
     std::uint64_t incarnation = 0;
-    std::uint64_t above = 0;
-    Time until{};
+    std::uint64_t known_version = 0;
+    Time expires_at{};
   };
   std::multimap<Time, std::function<void()>> events_;
-  std::map<std::string, std::string> by_address_;
-  std::set<std::pair<std::string, std::string>> cut_;
+  std::map<std::string, std::string> node_by_peer_address_;
+  std::set<std::pair<std::string, std::string>> blocked_links_;
   std::map<std::uint64_t, std::string> documents_;
   std::vector<Watch> watches_;
-  std::uint64_t incarnations_ = 0;
+  std::uint64_t started_processes_ = 0;
 };
 
 }  // namespace egretladder::fleet::testing
--- a/fleet/tests/wire_fixture_test.cc
+++ b/fleet/tests/wire_fixture_test.cc
@@ -14,20 +14,20 @@
 using namespace std::chrono_literals;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kStep{50};
-constexpr milliseconds kWatchWait{10'000};
-constexpr Time kBase{std::chrono::hours(1)};
+constexpr milliseconds kStepDuration{50};
+constexpr milliseconds kWatchTimeout{10'000};
+constexpr Time kClockOrigin{std::chrono::hours(1)};
 
-std::string AddressOfNode(std::uint32_t i) {
+std::string PeerAddress(std::uint32_t i) {
   return "10.0.1." + std::to_string(i) + ":81";
 }
 
-milliseconds Between(kernel::Random& random, milliseconds most) {
-  return milliseconds(kernel::RandomBelow(
-      random, static_cast<std::uint64_t>(most.count()) + 1));
+milliseconds RandomDelay(kernel::Random& random, milliseconds max) {
+  return milliseconds(
+      kernel::RandomBelow(random, static_cast<std::uint64_t>(max.count()) + 1));
 }
 
-std::uint32_t RunningAt(const FakeNode& node, const std::string& endpoint) {
+std::uint32_t RunningCalls(const FakeNode& node, const std::string& endpoint) {
   return static_cast<std::uint32_t>(
       std::count_if(node.calls.begin(), node.calls.end(),
                     [&](const FakeCall& c) { return c.endpoint == endpoint; }));
@@ -39,7 +39,7 @@
 
 std::string ZoneOf(std::uint32_t i) { return "z" + std::to_string(i % 3); }
 
-std::string Document(const FakeRules& rules) {
+std::string MakeRulesDocument(const FakeRules& rules) {
   std::string text = "[document]\nversion = " + std::to_string(rules.version) +
                      " ; test\n[zone]\n";
   for (std::uint32_t i = 0; i < 3; ++i) {
@@ -64,21 +64,22 @@
   for (std::uint32_t i = 0; i < rules.nodes; ++i) {
     const std::string name = "n" + std::to_string(i);
     text += name + " = callers=10.0.1." + std::to_string(i) +
-            ":80 peers=" + AddressOfNode(i) + " zone=" + ZoneOf(i) +
+            ":80 peers=" + PeerAddress(i) + " zone=" + ZoneOf(i) +
             " leaving=" + YesNo(rules.leaving.contains(name)) + " ; test\n";
   }
   return text;
 }
 
-World::World(std::uint64_t seed, const FakeRules& rules) : random(seed) {
+FleetSimulation::FleetSimulation(std::uint64_t seed, const FakeRules& rules)
+    : random(seed) {
   for (std::uint32_t i = 0; i < rules.nodes; ++i) {
     const std::string name = "n" + std::to_string(i);
     FakeNode& node = nodes[name];
     node.options.node = name;
     node.options.zone = ZoneOf(i);
     node.options.caller_address = "10.0.1." + std::to_string(i) + ":80";
-    node.options.peer_address = AddressOfNode(i);
-    by_address_[AddressOfNode(i)] = name;
+    node.options.peer_address = PeerAddress(i);
+    node_by_peer_address_[PeerAddress(i)] = name;
   }
   for (std::uint32_t i = 0; i < rules.endpoints; ++i) {
     FakeEndpoint& endpoint = endpoints["e" + std::to_string(i)];
@@ -89,30 +90,30 @@
   Publish(rules);
 }
 
-void World::Publish(const FakeRules& rules) {
-  documents_[rules.version] = Document(rules);
-  WakeWatches();
+void FleetSimulation::Publish(const FakeRules& rules) {
+  documents_[rules.version] = MakeRulesDocument(rules);
+  CompleteWatches();
 }
 
-const std::string* World::Served() const {
+const std::string* FleetSimulation::ServedDocument() const {
   if (stale_version == 0) return &documents_.rbegin()->second;
   const auto found = documents_.find(stale_version);
   return found == documents_.end() ? nullptr : &found->second;
 }
 
-Time World::LocalNow(const FakeNode& node) const {
-  return kBase + std::chrono::duration_cast<std::chrono::nanoseconds>(
-                     (now - kBase) * node.clock_rate);
+Time FleetSimulation::LocalNow(const FakeNode& node) const {
+  return kClockOrigin + std::chrono::duration_cast<std::chrono::nanoseconds>(
+                            (now - kClockOrigin) * node.clock_rate);
 }
 
-void World::StartNode(const std::string& name, bool with_seeds) {
+void FleetSimulation::StartNode(const std::string& name, bool with_seeds) {
   FakeNode& node = nodes[name];
   node.options.incarnation = 1 + kernel::RandomBelow(random, 1U << 30U);
-  node.options.started = 1'000'000 + ++incarnations_;
+  node.options.started = 1'000'000 + ++started_processes_;
   node.options.random_seed = random();
   node.options.seeds.clear();
   if (with_seeds) {
-    for (const auto& [address, other] : by_address_) {
+    for (const auto& [address, other] : node_by_peer_address_) {
       node.options.seeds.push_back(address);
     }
   }
@@ -121,18 +122,18 @@
   node.inbox.clear();
   node.slots.clear();
   node.available.clear();
-  node.versions.clear();
+  node.versions_in_force.clear();
   node.calls.clear();
   Actions actions;
   node.fleet = StartFleet(node.options, LocalNow(node), actions);
-  Apply(name, actions);
+  ApplyActions(name, actions);
 }
 
-void World::StartAll() {
+void FleetSimulation::StartAll() {
   for (auto& [name, node] : nodes) StartNode(name);
 }
 
-void World::Crash(const std::string& name) {
+void FleetSimulation::Crash(const std::string& name) {
   FakeNode& node = nodes[name];
   node.up = false;
   node.fleet.reset();
@@ -143,58 +144,62 @@
   node.calls.clear();
 }
 
-void World::Pause(const std::string& name, milliseconds span) {
-  nodes[name].paused_until = now + span;
+void FleetSimulation::Pause(const std::string& name, milliseconds duration) {
+  nodes[name].paused_until = now + duration;
 }
 
-void World::CutOff(const std::set<std::string>& side) {
-  for (const auto& [from, a] : nodes) {
-    for (const auto& [to, b] : nodes) {
-      if (side.contains(from) != side.contains(to)) cut_.insert({from, to});
+void FleetSimulation::Partition(const std::set<std::string>& side) {
+  for (const auto& [from, from_node] : nodes) {
+    for (const auto& [to, to_node] : nodes) {
+      if (side.contains(from) != side.contains(to))
+        blocked_links_.insert({from, to});
     }
   }
 }
 
-void World::CutOneWay(const std::string& from, const std::string& to) {
-  cut_.insert({from, to});
+void FleetSimulation::BlockOneWay(const std::string& from,
+                                  const std::string& to) {
+  blocked_links_.insert({from, to});
 }
 
-void World::Heal() { cut_.clear(); }
+void FleetSimulation::HealNetwork() { blocked_links_.clear(); }
 
-void World::StopEndpoint(const std::string& name) {
+void FleetSimulation::StopEndpoint(const std::string& name) {
   FakeEndpoint& endpoint = endpoints[name];
   endpoint.up = false;
   ++endpoint.boot;
   endpoint.running = 0;
 }
 
-void World::StartEndpoint(const std::string& name) {
+void FleetSimulation::StartEndpoint(const std::string& name) {
   FakeEndpoint& endpoint = endpoints[name];
   endpoint.up = true;
-  endpoint.answers = 0;
+  endpoint.answers_since_start = 0;
 }
 
-void World::Poison(const std::string& node, const std::string& endpoint,
-                   std::uint64_t body) {
+void FleetSimulation::CrashByRequestBody(const std::string& node,
+                                         const std::string& endpoint,
+                                         std::uint64_t body) {
   StopEndpoint(endpoint);
   FakeNode& seen_by = nodes[node];
   const auto handle = FindEndpoint(*RulesOf(*seen_by.fleet), endpoint);
   Actions actions;
   OnEndpointDied(*seen_by.fleet, handle, {body}, LocalNow(seen_by), actions);
-  Apply(node, actions);
+  ApplyActions(node, actions);
 }
 
-void World::LeaveNode(const std::string& name) {
+void FleetSimulation::MakeNodeLeave(const std::string& name) {
   FakeNode& node = nodes[name];
   Actions actions;
   Leave(*node.fleet, LocalNow(node), actions);
-  Apply(name, actions);
+  ApplyActions(name, actions);
 }
 
-void World::Deliver(const std::string& name, milliseconds after,
-                    std::function<void()> event) {
+void FleetSimulation::ScheduleDelivery(const std::string& name,
+                                       milliseconds delay,
+                                       std::function<void()> event) {
   const std::uint64_t incarnation = nodes[name].options.incarnation;
-  events_.emplace(now + after,
+  events_.emplace(now + delay,
                   [this, name, incarnation, run = std::move(event)] {
                     FakeNode& node = nodes[name];
                     if (!node.up || node.options.incarnation != incarnation)
@@ -207,72 +212,79 @@
                   });
 }
 
-void World::Send(const std::string& from, const SendMessage& send) {
-  const auto to = by_address_.find(send.peer_address);
-  if (to == by_address_.end() || cut_.contains({from, to->second})) return;
-  ++messages;
-  if (kernel::RandomFraction(random) < faults.drop) return;
-  const int copies = kernel::RandomFraction(random) < faults.twice ? 2 : 1;
+void FleetSimulation::Send(const std::string& from, const SendMessage& send) {
+  const auto to = node_by_peer_address_.find(send.peer_address);
+  if (to == node_by_peer_address_.end() ||
+      blocked_links_.contains({from, to->second}))
+    return;
+  ++messages_sent;
+  if (kernel::RandomFraction(random) < faults.drop_probability) return;
+  const int copies =
+      kernel::RandomFraction(random) < faults.duplicate_probability ? 2 : 1;
   const Sender sender{from, nodes[from].options.incarnation};
   for (int i = 0; i < copies; ++i) {
-    Deliver(to->second, Between(random, faults.delay_most),
-            [this, name = to->second, sender, message = send.message] {
-              FakeNode& node = nodes[name];
-              Actions actions;
-              OnMessage(*node.fleet, sender, message, LocalNow(node), actions);
-              Apply(name, actions);
-            });
+    ScheduleDelivery(to->second, RandomDelay(random, faults.max_delay),
+                     [this, name = to->second, sender, message = send.message] {
+                       FakeNode& node = nodes[name];
+                       Actions actions;
+                       OnMessage(*node.fleet, sender, message, LocalNow(node),
+                                 actions);
+                       ApplyActions(name, actions);
+                     });
   }
 }
 
-void World::AnswerRules(const std::string& name,
-                        const ReadRulesDocument& read) {
+void FleetSimulation::ServeRulesDocument(const std::string& name,
+                                         const ReadRulesDocument& read) {
   ++platform_calls;
   FakeNode& node = nodes[name];
-  const bool reached = !platform_down && !node.platform_cut;
-  const std::string* text = reached ? Served() : nullptr;
+  const bool reachable = !platform_down && !node.platform_unreachable;
+  const std::string* text = reachable ? ServedDocument() : nullptr;
   const auto served_version =
       stale_version == 0 ? documents_.rbegin()->first : stale_version;
-  if (reached && read.watch && served_version <= read.known_version) {
-    watches_.push_back(
-        {name, node.options.incarnation, read.known_version, now + kWatchWait});
+  if (reachable && read.watch && served_version <= read.known_version) {
+    watches_.push_back({name, node.options.incarnation, read.known_version,
+                        now + kWatchTimeout});
     return;
   }
-  const std::string copy = text == nullptr ? "" : *text;
-  Deliver(name, 2ms, [this, name, copy, read_well = text != nullptr] {
-    FakeNode& reader = nodes[name];
-    Actions actions;
-    OnRulesDocument(*reader.fleet, read_well ? &copy : nullptr,
-                    LocalNow(reader), actions);
-    Apply(name, actions);
-  });
+  const std::string document = text == nullptr ? "" : *text;
+  ScheduleDelivery(
+      name, 2ms, [this, name, document, succeeded = text != nullptr] {
+        FakeNode& reader = nodes[name];
+        Actions actions;
+        OnRulesDocument(*reader.fleet, succeeded ? &document : nullptr,
+                        LocalNow(reader), actions);
+        ApplyActions(name, actions);
+      });
 }
 
-void World::WakeWatches() {
-  std::vector<Watch> kept;
+void FleetSimulation::CompleteWatches() {
+  std::vector<Watch> pending;
   for (const Watch& watch : std::exchange(watches_, {})) {
     FakeNode& node = nodes[watch.node];
     if (!node.up || node.options.incarnation != watch.incarnation) continue;
     const bool newer = !platform_down && stale_version == 0 &&
-                       documents_.rbegin()->first > watch.above;
-    if (node.platform_cut || (!newer && now < watch.until && !platform_down)) {
-      kept.push_back(watch);
+                       documents_.rbegin()->first > watch.known_version;
+    if (node.platform_unreachable ||
+        (!newer && now < watch.expires_at && !platform_down)) {
+      pending.push_back(watch);
       continue;
     }
     const std::string text = newer ? documents_.rbegin()->second : "";
-    Deliver(watch.node, 2ms,
-            [this, name = watch.node, text, down = platform_down] {
-              FakeNode& reader = nodes[name];
-              Actions actions;
-              OnRulesDocument(*reader.fleet, down ? nullptr : &text,
-                              LocalNow(reader), actions);
-              Apply(name, actions);
-            });
+    ScheduleDelivery(watch.node, 2ms,
+                     [this, name = watch.node, text, down = platform_down] {
+                       FakeNode& reader = nodes[name];
+                       Actions actions;
+                       OnRulesDocument(*reader.fleet, down ? nullptr : &text,
+                                       LocalNow(reader), actions);
+                       ApplyActions(name, actions);
+                     });
   }
-  watches_.insert(watches_.end(), kept.begin(), kept.end());
+  watches_.insert(watches_.end(), pending.begin(), pending.end());
 }
 
-void World::AnswerReport(const std::string& name, const ReadReport& read) {
+void FleetSimulation::ServeReport(const std::string& name,
+                                  const ReadReport& read) {
   const auto rules = RulesOf(*nodes[name].fleet);
   const FakeEndpoint endpoint =
       endpoints[rules->endpoints[read.endpoint.idx].source.name];
@@ -282,34 +294,37 @@
   for (const std::string& model : endpoint.loaded) {
     report.loaded.push_back(FindTarget(*rules, model));
   }
-  Deliver(name, 2ms, [this, name, read, report, up = endpoint.up] {
+  ScheduleDelivery(name, 2ms, [this, name, read, report, up = endpoint.up] {
     FakeNode& node = nodes[name];
     Actions actions;
     OnReport(*node.fleet, read.endpoint, up ? &report : nullptr, LocalNow(node),
              actions);
-    Apply(name, actions);
+    ApplyActions(name, actions);
   });
 }
 
-void World::Apply(const std::string& name, Actions& actions) {
+void FleetSimulation::ApplyActions(const std::string& name, Actions& actions) {
   FakeNode& node = nodes[name];
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<SendMessage>(&action)) {
       Send(name, *send);
     } else if (const auto* read = std::get_if<ReadRulesDocument>(&action)) {
-      AnswerRules(name, *read);
+      ServeRulesDocument(name, *read);
     } else if (const auto* report = std::get_if<ReadReport>(&action)) {
-      AnswerReport(name, *report);
-    } else if (const auto* change = std::get_if<SlotsChanged>(&action)) {
-      const auto& row = RulesOf(*node.fleet)->endpoints[change->endpoint.idx];
-      node.slots[row.source.name] = change->slots;
-    } else if (const auto* moved = std::get_if<AvailableChanged>(&action)) {
-      const auto& row = RulesOf(*node.fleet)->endpoints[moved->endpoint.idx];
-      node.available[row.source.name] = moved->available;
+      ServeReport(name, *report);
+    } else if (const auto* slot_change = std::get_if<SlotsChanged>(&action)) {
+      const auto& row =
+          RulesOf(*node.fleet)->endpoints[slot_change->endpoint.idx];
+      node.slots[row.source.name] = slot_change->slots;
+    } else if (const auto* availability =
+                   std::get_if<AvailableChanged>(&action)) {
+      const auto& row =
+          RulesOf(*node.fleet)->endpoints[availability->endpoint.idx];
+      node.available[row.source.name] = availability->available;
     } else if (const auto* rules = std::get_if<RulesInForce>(&action)) {
-      node.versions.push_back(rules->rules->version);
+      node.versions_in_force.push_back(rules->rules->version);
     } else if (std::holds_alternative<RulesRefused>(action)) {
-      ++node.refused;
+      ++node.refused_documents;
     } else if (const auto* body = std::get_if<QuarantineAdded>(&action)) {
       node.quarantined.insert(body->fingerprint);
     } else if (const auto* order = std::get_if<OrderEngine>(&action)) {
@@ -319,21 +334,21 @@
            order->kind, rules_now->targets[order->target.idx].source.name});
     } else if (std::holds_alternative<ReadVmList>(action)) {
       ++platform_calls;
-      const bool reached = !platform_down && !node.platform_cut;
-      Deliver(name, 2ms, [this, name, reached, list = vms] {
+      const bool reachable = !platform_down && !node.platform_unreachable;
+      ScheduleDelivery(name, 2ms, [this, name, reachable, list = vms] {
         FakeNode& reader = nodes[name];
-        Actions more;
-        OnVmList(*reader.fleet, reached ? &list : nullptr, LocalNow(reader),
-                 more);
-        Apply(name, more);
+        Actions next_actions;
+        OnVmList(*reader.fleet, reachable ? &list : nullptr, LocalNow(reader),
+                 next_actions);
+        ApplyActions(name, next_actions);
       });
     }
   }
   actions.clear();
 }
 
-std::uint32_t World::Usable(const FakeNode& node,
-                            const std::string& endpoint) const {
+std::uint32_t FleetSimulation::UsableSlotsAt(
+    const FakeNode& node, const std::string& endpoint) const {
   if (!node.up || now < node.paused_until) return 0;
   if (!KnowledgeIsFresh(*node.fleet, LocalNow(node))) return 0;
   const auto available = node.available.find(endpoint);
@@ -342,13 +357,14 @@
   return slots == node.slots.end() ? 0 : slots->second;
 }
 
-std::uint32_t World::SlotsOf(const std::string& endpoint) const {
+std::uint32_t FleetSimulation::TotalUsableSlots(
+    const std::string& endpoint) const {
   std::uint32_t sum = 0;
-  for (const auto& [name, node] : nodes) sum += Usable(node, endpoint);
+  for (const auto& [name, node] : nodes) sum += UsableSlotsAt(node, endpoint);
   return sum;
 }
 
-std::uint32_t World::KeepersOf() const {
+std::uint32_t FleetSimulation::KeptEndpointCount() const {
   std::uint32_t sum = 0;
   for (const auto& [name, node] : nodes) {
     if (node.up) sum += ViewOf(*node.fleet, LocalNow(node)).keeper_of;
@@ -356,7 +372,7 @@
   return sum;
 }
 
-bool World::AllHave(std::uint64_t version) const {
+bool FleetSimulation::IsInForceEverywhere(std::uint64_t version) const {
   return std::all_of(nodes.begin(), nodes.end(), [&](const auto& entry) {
     const FakeNode& node = entry.second;
     return !node.up || (RulesOf(*node.fleet) != nullptr &&
@@ -364,7 +380,7 @@
   });
 }
 
-void World::RunCalls(const std::string& name, FakeNode& node) {
+void FleetSimulation::UpdateCalls(const std::string& name, FakeNode& node) {
   std::map<std::string, policy::SlotEvidence> evidence;
   std::map<std::string, bool> died;
   std::erase_if(node.calls, [&](const FakeCall& call) {
@@ -373,116 +389,122 @@
       died[call.endpoint] = true;
       return true;
     }
-    if (now < call.ends) return false;
+    if (now < call.ends_at) return false;
     --endpoint.running;
-    ++endpoint.answers;
+    ++endpoint.answers_since_start;
     ++evidence[call.endpoint].in_time;
     evidence[call.endpoint].boot = endpoint.is_service ? 0 : call.boot;
     return true;
   });
   const auto rules = RulesOf(*node.fleet);
   if (rules == nullptr) return;
-  for (const auto& [endpoint, all_died] : died) {
+  for (const auto& [endpoint, has_died] : died) {
     Actions actions;
     OnEndpointDied(*node.fleet, FindEndpoint(*rules, endpoint), {},
                    LocalNow(node), actions);
-    Apply(name, actions);
+    ApplyActions(name, actions);
   }
   for (const auto& [endpoint, row] : endpoints) {
-    const std::uint32_t running = RunningAt(node, endpoint);
+    const std::uint32_t running = RunningCalls(node, endpoint);
     OnEvidence(*node.fleet, FindEndpoint(*rules, endpoint), evidence[endpoint],
                {running, running + 3}, LocalNow(node));
   }
 }
 
-void World::FillSlots(const std::string& name, FakeNode& node) {
+void FleetSimulation::StartCalls(const std::string& name, FakeNode& node) {
   for (auto& [endpoint_name, endpoint] : endpoints) {
-    const std::uint32_t running = RunningAt(node, endpoint_name);
-    for (std::uint32_t i = running; i < Usable(node, endpoint_name); ++i) {
-      if (kernel::RandomFraction(random) >= demand) continue;
+    const std::uint32_t running = RunningCalls(node, endpoint_name);
+    for (std::uint32_t i = running; i < UsableSlotsAt(node, endpoint_name);
+         ++i) {
+      if (kernel::RandomFraction(random) >= start_probability) continue;
       if (!endpoint.up) {
         Actions actions;
         OnEndpointDied(*node.fleet,
                        FindEndpoint(*RulesOf(*node.fleet), endpoint_name), {},
                        LocalNow(node), actions);
-        Apply(name, actions);
+        ApplyActions(name, actions);
         break;
       }
       const auto rules = RulesOf(*node.fleet);
       const auto handle = FindEndpoint(*rules, endpoint_name);
       if (!TakesWork(*rules, rules->endpoints[handle.idx])) {
-        broken.push_back(name + " starts work on " + endpoint_name +
-                         ", which its rules take out");
+        violations.push_back(name + " starts work on " + endpoint_name +
+                             ", which its rules exclude from new work");
       }
       ++endpoint.running;
       endpoint.last_start = now;
-      node.calls.push_back({endpoint_name, endpoint.boot,
-                            now + 100ms + Between(random, call_most)});
+      node.calls.push_back(
+          {endpoint_name, endpoint.boot,
+           now + 100ms + RandomDelay(random, max_call_duration)});
     }
   }
 }
 
-void World::Step() {
-  now += kStep;
+void FleetSimulation::Step() {
+  now += kStepDuration;
   while (!events_.empty() && events_.begin()->first <= now) {
     const auto event = std::move(events_.begin()->second);
     events_.erase(events_.begin());
     event();
   }
-  WakeWatches();
+  CompleteWatches();
   for (auto& [name, node] : nodes) {
     if (!node.up || now < node.paused_until) continue;
-    // What arrived during a pause is read first: old knowledge, acted on late.
+    // Messages that arrived during a pause are handled first, so that the node
+    // acts on outdated messages.
     for (const auto& event : std::exchange(node.inbox, {})) event();
-    RunCalls(name, node);
-    FillSlots(name, node);
-    RunCalls(name, node);
+    UpdateCalls(name, node);
+    StartCalls(name, node);
+    UpdateCalls(name, node);
     Actions actions;
     OnTick(*node.fleet, LocalNow(node), actions);
-    Apply(name, actions);
-    FillSlots(name, node);
+    ApplyActions(name, actions);
+    StartCalls(name, node);
   }
-  Check();
+  CheckInvariants();
 }
 
-void World::Check() {
+void FleetSimulation::CheckInvariants() {
   for (auto& [name, endpoint] : endpoints) {
-    const std::uint32_t until_warm =
+    const std::uint32_t answers_until_warm =
         policy::kAnswersPerSlotBeforeGrowth * endpoint.cold_max_in_flight;
-    if (endpoint.answers >= until_warm) continue;
-    endpoint.most_cold = std::max(endpoint.most_cold, endpoint.running);
+    if (endpoint.answers_since_start >= answers_until_warm) continue;
+    endpoint.max_running_while_cold =
+        std::max(endpoint.max_running_while_cold, endpoint.running);
     if (endpoint.running > endpoint.cold_max_in_flight) {
-      broken.push_back(name + " cold runs " + std::to_string(endpoint.running));
+      violations.push_back(name + " is cold and runs more than its limit: " +
+                           std::to_string(endpoint.running));
     }
   }
   for (const auto& [name, node] : nodes) {
-    if (!std::is_sorted(node.versions.begin(), node.versions.end())) {
-      broken.push_back(name + " went back to an older version");
+    if (!std::is_sorted(node.versions_in_force.begin(),
+                        node.versions_in_force.end())) {
+      violations.push_back(name + " went back to an older version");
     }
   }
 }
 
-void World::Run(milliseconds span) {
-  const Time until = now + span;
+void FleetSimulation::RunFor(milliseconds duration) {
+  const Time until = now + duration;
   while (now < until) Step();
 }
 
 }  // namespace egretladder::fleet::testing
 
-TEST_GROUP(Wire){};
+TEST_GROUP(FleetSimulation){};
 
-TEST(Wire, DeliversInTimeAndNothingOverACut) {
+TEST(FleetSimulation, DeliversMessagesButNoneAcrossAPartition) {
   using namespace std::chrono_literals;
-  egretladder::fleet::testing::World world(1);
-  world.StartAll();
-  world.Run(1s);
-  CHECK_TRUE(world.AllHave(1));
-  CHECK(world.messages > 0);
-  world.CutOff({"n0"});
-  const auto before = world.messages;
+  egretladder::fleet::testing::FleetSimulation simulation(1);
+  simulation.StartAll();
+  simulation.RunFor(1s);
+  CHECK_TRUE(simulation.IsInForceEverywhere(1));
+  CHECK(simulation.messages_sent > 0);
+  simulation.Partition({"n0"});
+  const auto sent_before = simulation.messages_sent;
   for (const auto* name : {"n1", "n2", "n3", "n4", "n5", "n6"}) {
-    world.Crash(name);
+    simulation.Crash(name);
   }
-  world.Run(1s);
-  CHECK_EQUAL(before, world.messages);
+  simulation.RunFor(1s);
+  CHECK_EQUAL(sent_before, simulation.messages_sent);
 }
