--- a/fleet/tests/wire_fixture_test.cc
+++ b/fleet/tests/fleet_simulation_test.cc
@@ -1,4 +1,4 @@
-#include "wire_fixture.h"
+#include "fleet_simulation.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/fleet/tests/fleet_test.cc
+++ b/fleet/tests/fleet_test.cc
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "egretladder/fleet/electorate.h"
-#include "wire_fixture.h"
+#include "fleet_simulation.h"
 
 using namespace std::chrono_literals;
 namespace ef = egretladder::fleet;
--- a/fleet/tests/storm_test.cc
+++ b/fleet/tests/storm_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "egretladder/kernel/hash.h"
-#include "wire_fixture.h"
+#include "fleet_simulation.h"
 
 using namespace std::chrono_literals;
 namespace ef = egretladder::fleet;
