--- a/fleet/tests/fleet_test.cc
+++ b/fleet/tests/fleet_test.cc
@@ -110,7 +110,8 @@
   std::vector<std::string> owners;
   std::string reader;
   for (const auto& [name, node] : simulation.nodes) {
-    const bool owns = ef::FloorOf(*rules, FindEndpoint(*rules, "e0"), name) > 0;
+    const bool owns =
+        ef::NodeFloorSlots(*rules, FindEndpoint(*rules, "e0"), name) > 0;
     if (owns) owners.push_back(name);
     if (!owns) reader = name;
   }
--- a/fleet/tests/lane_test.cc
+++ b/fleet/tests/lane_test.cc
@@ -110,7 +110,7 @@
 // request in another way.
 TEST(Lane, NothingIsSentOnALaneThatExpiredDuringAPause) {
   CHECK_TRUE(StartsRun("k"));
-  now_ += ef::kLaneLife;
+  now_ += ef::kLaneLifetime;
   CHECK_FALSE(ef::MaySend(*lanes_, lane_, "k", now_));
 }
 
@@ -135,7 +135,7 @@
   CHECK_TRUE(StartsRun("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
   ef::FinishCall(*lanes_, lane_, "k", {200, "", "ok"}, now_);
-  ef::SweepLanes(*lanes_, now_ + ef::kLaneLife + ef::kAnswerLinger);
+  ef::SweepLanes(*lanes_, now_ + ef::kLaneLifetime + ef::kAnswerRetention);
   const auto refusal = ExpectRefusal(Begin("k"));
   CHECK(refusal.why == ef::LaneRefusal::kExpired);
 }
@@ -143,13 +143,13 @@
 // A call begins in the last second of its lane and ends after the lane has
 // expired. A retry must still get the answer.
 TEST(Lane, AnswerOfACallThatOutlivesItsLaneIsKept) {
-  now_ += ef::kLaneLife - 1s;
+  now_ += ef::kLaneLifetime - 1s;
   CHECK_TRUE(StartsRun("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
   now_ += 5min;
   ef::SweepLanes(*lanes_, now_);
   ef::FinishCall(*lanes_, lane_, "k", {200, "", "ok"}, now_);
-  now_ += ef::kAnswerLinger - 1s;
+  now_ += ef::kAnswerRetention - 1s;
   ef::SweepLanes(*lanes_, now_);
   CHECK_TRUE(std::holds_alternative<ef::RepeatAnswer>(Begin("k")));
 }
@@ -169,7 +169,7 @@
 TEST(Lane, FullTableRefusesPermanentlyAndStaysWithinItsLimit) {
   std::size_t started = 0;
   while (StartsRun("flood" + std::to_string(started))) ++started;
-  CHECK(ef::ViewOf(*lanes_).bytes <= ef::kLaneBytesMost);
+  CHECK(ef::ViewOf(*lanes_).bytes <= ef::kMaxLaneTableBytes);
   CHECK_TRUE(ExpectRefusal(Begin("late")).not_run);
   for (std::size_t i = 0; i < started; ++i) {
     ef::BurnCall(*lanes_, lane_, "flood" + std::to_string(i), now_);
--- a/fleet/tests/lease_test.cc
+++ b/fleet/tests/lease_test.cc
@@ -13,19 +13,19 @@
 TEST_GROUP(Lease) {
   ef::Time now_{1h};
   ef::HeldSlots held_;
-  ef::KeeperBook book_;
+  ef::KeeperState book_;
   egretladder::rules::Endpoint endpoint_;
 
   void setup() override {
     endpoint_.max_in_flight = 16;
     endpoint_.cold_max_in_flight = 4;
-    ef::OpenBook(book_, endpoint_, now_);
+    ef::InitKeeperState(book_, endpoint_, now_);
   }
   void ReceiveReport(std::uint64_t boot, std::uint32_t running = 0) {
     egretladder::policy::EngineReport report;
     report.boot = boot;
     report.running = running;
-    ef::TakeReport(book_, &report, now_);
+    ef::ApplyReport(book_, &report, now_);
   }
   /// Sends a slot request of `node` to the keeper. Returns the slots granted.
   std::uint32_t AskForSlots(const std::string& node, std::uint64_t number,
@@ -37,7 +37,7 @@
     ask.urgent = urgent;
     ask.in_flight = in_flight;
     ask.live_from = live_from;
-    ef::TakeAsk(book_, {node, 1}, number, ask, now_);
+    ef::ApplyAsk(book_, {node, 1}, number, ask, now_);
     return ef::GrantSlots(book_, {node, 1}, now_);
   }
 };
@@ -47,10 +47,10 @@
 TEST(Lease, LeaseTimeCountsFromTheRequest) {
   ef::SlotLease lease;
   lease.slots = 3;
-  lease.left = ef::kLeaseLife;
+  lease.left = ef::kLeaseDuration;
   lease.ask_number = 1;
-  CHECK_TRUE(ef::TakeLease(held_, lease, now_, now_ + 1s));
-  const auto unusable_from = now_ + ef::kLeaseLife - ef::kFreshFor;
+  CHECK_TRUE(ef::ApplyLease(held_, lease, now_, now_ + 1s));
+  const auto unusable_from = now_ + ef::kLeaseDuration - ef::kPauseThreshold;
   CHECK_EQUAL(3U, ef::UsableSlots(held_, unusable_from - 1ms));
   CHECK_EQUAL(0U, ef::UsableSlots(held_, unusable_from));
 }
@@ -59,15 +59,15 @@
 // replace a newer one.
 TEST(Lease, ReorderedAndDuplicateLeasesAreIgnored) {
   ef::SlotLease lease;
-  lease.left = ef::kLeaseLife;
+  lease.left = ef::kLeaseDuration;
   lease.ask_number = 2;
   lease.slots = 1;
-  ef::TakeLease(held_, lease, now_, now_);
+  ef::ApplyLease(held_, lease, now_, now_);
   lease.ask_number = 1;
   lease.slots = 5;
-  CHECK_FALSE(ef::TakeLease(held_, lease, now_, now_));
+  CHECK_FALSE(ef::ApplyLease(held_, lease, now_, now_));
   lease.ask_number = 2;
-  ef::TakeLease(held_, lease, now_, now_);
+  ef::ApplyLease(held_, lease, now_, now_);
   CHECK_EQUAL(1U, ef::UsableSlots(held_, now_));
 }
 
@@ -77,9 +77,9 @@
   ef::DropLease(held_, now_);
   ef::SlotLease lease;
   lease.slots = 3;
-  lease.left = ef::kLeaseLife;
+  lease.left = ef::kLeaseDuration;
   lease.ask_number = 1;
-  CHECK_FALSE(ef::TakeLease(held_, lease, now_, now_ + 100ms));
+  CHECK_FALSE(ef::ApplyLease(held_, lease, now_, now_ + 100ms));
 }
 
 // Two nodes want all slots of a cold engine. Slots that one node may still use
@@ -135,7 +135,7 @@
 // interactive requests would wait while batch work has slots.
 TEST(Lease, WorkOfTheTopTierGetsSlotsFirst) {
   endpoint_.cold_max_in_flight = 16;
-  ef::OpenBook(book_, endpoint_, now_);
+  ef::InitKeeperState(book_, endpoint_, now_);
   ReceiveReport(1);
   for (std::uint64_t round = 1; round <= 3; ++round) {
     AskForSlots("batch-1", round, 16, 0, round);
@@ -144,14 +144,14 @@
     const auto slots = AskForSlots("buyers", round, 12, 0, round, 10);
     if (round == 3) CHECK_TRUE(slots >= 10);
   }
-  CHECK_TRUE(ef::GrantedSum(book_) <= ef::PoolOf(book_));
+  CHECK_TRUE(ef::TotalOutstandingSlots(book_) <= ef::LeasableSlots(book_));
 }
 
 // At most a quarter of an engine's cold_max_in_flight may be used without a
 // lease, so that all nodes with such slots together can't overload it.
 TEST(Lease, FloorsStayWithinAQuarterOfColdMaxInFlight) {
-  CHECK_EQUAL(1U, ef::FloorSum(endpoint_));
+  CHECK_EQUAL(1U, ef::TotalFloorSlots(endpoint_));
   endpoint_.cold_max_in_flight = 2;
-  CHECK_EQUAL(0U, ef::FloorSum(endpoint_));
-  CHECK_EQUAL(3U, ef::PoolOf(book_));
+  CHECK_EQUAL(0U, ef::TotalFloorSlots(endpoint_));
+  CHECK_EQUAL(3U, ef::LeasableSlots(book_));
 }
--- a/fleet/tests/membership_test.cc
+++ b/fleet/tests/membership_test.cc
@@ -25,7 +25,7 @@
       member.incarnation = 10;
       member.started = 100;
       member.heartbeat = 1;
-      ef::HearMember(state_, member, true, now_);
+      ef::ApplyMemberGossip(state_, member, true, now_);
     }
   }
 
@@ -35,10 +35,10 @@
                   const std::vector<std::string>& gone,
                   std::uint64_t digest = 5) {
     ef::Gossip gossip;
-    gossip.ack = ef::NumberPing(state_, state_.peers.at(voter), now_);
+    gossip.ack = ef::RecordPing(state_, state_.peers.at(voter), now_);
     gossip.gone = gone;
     gossip.nodes_digest = digest;
-    ef::HearGossip(state_, {voter, 10}, gossip, now_);
+    ef::ApplyGossip(state_, {voter, 10}, gossip, now_);
   }
 
   /// Advances time by `duration`. Meanwhile the nodes in `answering` reply to a
@@ -52,8 +52,8 @@
       for (const std::string& voter : answering) AnswerPing(voter, gone);
     }
   }
-  bool MayKeep(bool keeping = false) const {
-    return ef::MayKeep(state_, voters_, keeping, now_);
+  bool CanKeep(bool keeping = false) const {
+    return ef::CanKeep(state_, voters_, keeping, now_);
   }
 };
 
@@ -62,31 +62,31 @@
 // become keeper as well.
 TEST(Membership, ViewOfOneNodeDoesNotReplaceAKeeper) {
   RunWhileAnswering(10s, {"n2", "n3", "n4"});
-  CHECK_TRUE(ef::VotesGone(state_, "n1", "n0", now_));
-  CHECK_FALSE(MayKeep());
+  CHECK_TRUE(ef::HasVotedGone(state_, "n1", "n0", now_));
+  CHECK_FALSE(CanKeep());
   AnswerPing("n2", {"n0"});
-  CHECK_FALSE(MayKeep());
+  CHECK_FALSE(CanKeep());
   AnswerPing("n3", {"n0"});
-  CHECK_TRUE(MayKeep());
+  CHECK_TRUE(CanKeep());
 }
 
 // A partition leaves a keeper with one other node out of five. It must lose its
 // mandate.
 TEST(Membership, KeeperNeedsAMajority) {
   RunWhileAnswering(10s, {"n2", "n3", "n4"}, {"n0"});
-  CHECK_TRUE(MayKeep());
-  RunWhileAnswering(ef::kMandate, {"n2"}, {"n0"});
-  CHECK_FALSE(MayKeep(true));
+  CHECK_TRUE(CanKeep());
+  RunWhileAnswering(ef::kSupportLifetime, {"n2"}, {"n0"});
+  CHECK_FALSE(CanKeep(true));
 }
 
 // A node that has supported another keeper now answers this one. Leases that
 // the other keeper granted with its support remain valid for a while, so the
 // new support must not count at once.
 TEST(Membership, SupportCountsOnlyAfterFormerLeasesHaveExpired) {
-  RunWhileAnswering(ef::kSupportWait - 1s, {"n2", "n3", "n4"}, {"n0"});
-  CHECK_FALSE(MayKeep());
+  RunWhileAnswering(ef::kMinSupportDuration - 1s, {"n2", "n3", "n4"}, {"n0"});
+  CHECK_FALSE(CanKeep());
   RunWhileAnswering(1500ms, {"n2", "n3", "n4"}, {"n0"});
-  CHECK_TRUE(MayKeep());
+  CHECK_TRUE(CanKeep());
 }
 
 // The published list of nodes changes. Majorities of the old and the new list
@@ -94,7 +94,7 @@
 TEST(Membership, AnswersUnderAnotherNodeListDontCount) {
   RunWhileAnswering(10s, {"n2", "n3", "n4"}, {"n0"});
   for (const char* voter : {"n2", "n3", "n4"}) AnswerPing(voter, {"n0"}, 6);
-  CHECK_FALSE(MayKeep(true));
+  CHECK_FALSE(CanKeep(true));
 }
 
 // After a VM was replaced, a delayed message of its old process arrives. The
@@ -105,12 +105,12 @@
   newer.incarnation = 11;
   newer.started = 200;
   newer.heartbeat = 1;
-  ef::HearMember(state_, newer, false, now_);
+  ef::ApplyMemberGossip(state_, newer, false, now_);
   ef::Member older = newer;
   older.incarnation = 10;
   older.started = 100;
   older.heartbeat = 99;
-  ef::HearMember(state_, older, true, now_);
+  ef::ApplyMemberGossip(state_, older, true, now_);
   CHECK_TRUE(ef::IsCurrent(state_, {"n2", 11}));
   CHECK_FALSE(ef::IsCurrent(state_, {"n2", 10}));
 }
@@ -122,8 +122,8 @@
   replacement.node = "n2";
   replacement.incarnation = 12;
   replacement.started = 50;
-  now_ += ef::kSuspectAfter + 1ms;
-  ef::HearMember(state_, replacement, true, now_);
+  now_ += ef::kSuspectTimeout + 1ms;
+  ef::ApplyMemberGossip(state_, replacement, true, now_);
   CHECK_TRUE(ef::IsCurrent(state_, {"n2", 12}));
 }
 
@@ -132,19 +132,21 @@
 // lease.
 TEST(Membership, UnknownSenderIsAcceptedAndItsOldProcessIsNot) {
   state_.peers["n9"].member.node = "n9";
-  CHECK_TRUE(ef::HearSender(state_, {"n9", 2}, now_));
-  CHECK_FALSE(ef::HearSender(state_, {"n9", 1}, now_ + 1s));
-  CHECK_TRUE(ef::HearSender(state_, {"n9", 3}, now_ + 3s));
-  CHECK_FALSE(ef::HearSender(state_, {"n10", 1}, now_));
+  CHECK_TRUE(ef::RecordSender(state_, {"n9", 2}, now_));
+  CHECK_FALSE(ef::RecordSender(state_, {"n9", 1}, now_ + 1s));
+  CHECK_TRUE(ef::RecordSender(state_, {"n9", 3}, now_ + 3s));
+  CHECK_FALSE(ef::RecordSender(state_, {"n10", 1}, now_));
 }
 
 // A process that was paused has heard no peer meanwhile. It must attribute the
 // silence to its own pause and not vote its peers gone.
 TEST(Membership, PausedProcessDoesNotConsiderItsPeersGone) {
   now_ += 60s;
-  CHECK(ef::StateOf(state_.peers.at("n2"), now_) == ef::MemberState::kGone);
-  ef::ForgivePeers(state_, now_);
-  CHECK(ef::StateOf(state_.peers.at("n2"), now_) == ef::MemberState::kAlive);
+  CHECK(ef::GetMemberState(state_.peers.at("n2"), now_) ==
+        ef::MemberState::kGone);
+  ef::ResetPeerTimeouts(state_, now_);
+  CHECK(ef::GetMemberState(state_.peers.at("n2"), now_) ==
+        ef::MemberState::kAlive);
 }
 
 // The size of a gossip message must not grow with the fleet, which may have 390
@@ -155,10 +157,10 @@
     member.node = "m" + std::to_string(i);
     member.incarnation = 1;
     member.heartbeat = 1;
-    ef::HearMember(state_, member, true, now_);
-    ef::HearSender(state_, {member.node, 1}, now_);
+    ef::ApplyMemberGossip(state_, member, true, now_);
+    ef::RecordSender(state_, {member.node, 1}, now_);
   }
   egretladder::kernel::Random random(1);
-  CHECK_EQUAL(ef::kMembersTold + 1,
-              ef::MembersToTell(state_, random, now_).size());
+  CHECK_EQUAL(ef::kMaxMembersPerMessage + 1,
+              ef::MakeMemberGossip(state_, random, now_).size());
 }
--- a/fleet/tests/orders_test.cc
+++ b/fleet/tests/orders_test.cc
@@ -57,10 +57,10 @@
   void setup() override {
     orders_.kept_since = now_ - 1h;
     orders_.changed = now_ - 1h;
-    ef::SeeLoaded(orders_, {kOldModel}, now_ - 1h);
+    ef::ApplyLoadedModels(orders_, {kOldModel}, now_ - 1h);
     input_.desired = {kNewModel};
     input_.honours_fencing = true;
-    input_.store_free = true;
+    input_.has_load_budget = true;
     input_.spare = {kOldModel};
   }
 };
@@ -93,8 +93,8 @@
 // The placement changes twice within a minute. Without a minimum time per
 // model, the engine would keep loading and unloading without serving calls.
 TEST(Orders, ModelStaysLoadedForAMinimumTime) {
-  ef::SeeLoaded(orders_, {}, now_);
-  ef::SeeLoaded(orders_, {kOldModel}, now_);
+  ef::ApplyLoadedModels(orders_, {}, now_);
+  ef::ApplyLoadedModels(orders_, {kOldModel}, now_);
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_ + 1min).has_value());
   CHECK_TRUE(ef::DecideOrder(orders_, input_, now_ + 6min).has_value());
 }
@@ -105,28 +105,28 @@
   input_.honours_fencing = false;
   orders_.kept_since = now_;
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_ + 1s).has_value());
-  CHECK_TRUE(
-      ef::DecideOrder(orders_, input_, now_ + ef::kUnfencedWait).has_value());
+  CHECK_TRUE(ef::DecideOrder(orders_, input_, now_ + ef::kUnfencedQuietTime)
+                 .has_value());
 }
 
 // All engines of a zone start and load their weights at once. Without a limit
 // on concurrent loads, the weight store would refuse them all.
 TEST(Orders, WeightStoreBudgetHoldsLoadsBack) {
-  ef::SeeLoaded(orders_, {}, now_);
-  input_.store_free = false;
+  ef::ApplyLoadedModels(orders_, {}, now_);
+  input_.has_load_budget = false;
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_).has_value());
-  input_.store_free = true;
+  input_.has_load_budget = true;
   CHECK(ef::DecideOrder(orders_, input_, now_)->kind == ef::OrderKind::kLoad);
-  CHECK(ef::LoadPause(7) == 14s);
+  CHECK(ef::ModelLoadInterval(7) == 14s);
 }
 
 // An engine takes minutes to load a model. The same order must not be sent
 // again after each report meanwhile.
 TEST(Orders, OpenOrderIsNotRepeated) {
-  ef::SeeLoaded(orders_, {}, now_);
+  ef::ApplyLoadedModels(orders_, {}, now_);
   orders_.open = ef::OpenOrder{ef::OrderKind::kLoad, kNewModel, now_};
-  ef::SeeLoaded(orders_, {}, now_ + 1min);
+  ef::ApplyLoadedModels(orders_, {}, now_ + 1min);
   CHECK_FALSE(ef::DecideOrder(orders_, input_, now_ + 1min).has_value());
-  ef::SeeLoaded(orders_, {kNewModel}, now_ + 2min);
+  ef::ApplyLoadedModels(orders_, {kNewModel}, now_ + 2min);
   CHECK_FALSE(orders_.open.has_value());
 }
