--- a/fleet/tests/fleet_simulation_test.cc
+++ b/fleet/tests/fleet_simulation_test.cc
@@ -317,7 +317,7 @@
           RulesOf(*node.fleet)->endpoints[slot_change->endpoint.idx];
       node.slots[row.source.name] = slot_change->slots;
     } else if (const auto* availability =
-                   std::get_if<AvailableChanged>(&action)) {
+                   std::get_if<AvailabilityChanged>(&action)) {
       const auto& row =
           RulesOf(*node.fleet)->endpoints[availability->endpoint.idx];
       node.available[row.source.name] = availability->available;
--- a/fleet/tests/lane_random_test.cc
+++ b/fleet/tests/lane_random_test.cc
@@ -171,7 +171,7 @@
     if (!ef::MaySend(*node.lanes, attempt.lane, attempt.key, now) ||
         Draw(8) == 0) {
       // The lane has expired, or the endpoint refused the connection.
-      ef::BurnCall(*node.lanes, attempt.lane, attempt.key, now);
+      ef::MarkNotRun(*node.lanes, attempt.lane, attempt.key, now);
       ReportNotRun(attempt.key);
       return true;
     }
@@ -187,7 +187,7 @@
   bool EndAttempt(Node& node, const Attempt& attempt) {
     const auto now = LocalNow(node);
     if (Draw(5) == 0) {
-      ef::LoseCall(*node.lanes, attempt.lane, attempt.key, now);
+      ef::MarkOutcomeUnknown(*node.lanes, attempt.lane, attempt.key, now);
     } else {
       ef::FinishCall(*node.lanes, attempt.lane, attempt.key,
                      {200, "", "answer of " + attempt.key}, now);
--- a/fleet/tests/lane_test.cc
+++ b/fleet/tests/lane_test.cc
@@ -77,7 +77,7 @@
 TEST(Lane, LostCallStaysUnknownUntilItsAnswerArrives) {
   CHECK_TRUE(StartsRun("k"));
   CHECK_TRUE(ef::MaySend(*lanes_, lane_, "k", now_));
-  CHECK_EQUAL(1U, ef::LoseCall(*lanes_, lane_, "k", now_).size());
+  CHECK_EQUAL(1U, ef::MarkOutcomeUnknown(*lanes_, lane_, "k", now_).size());
   CHECK_TRUE(std::holds_alternative<ef::OutcomeUnknown>(Begin("k")));
   CHECK_FALSE(ef::MaySend(*lanes_, lane_, "k", now_));
   ef::FinishCall(*lanes_, lane_, "k", {200, "", "late"}, now_);
@@ -88,7 +88,7 @@
 // its request is still in transit on a slow connection. That copy must not run.
 TEST(Lane, BurnedKeyNeverRuns) {
   CHECK_TRUE(StartsRun("k"));
-  CHECK_EQUAL(1U, ef::BurnCall(*lanes_, lane_, "k", now_).size());
+  CHECK_EQUAL(1U, ef::MarkNotRun(*lanes_, lane_, "k", now_).size());
   const auto refusal = ExpectRefusal(Begin("k"));
   CHECK(refusal.why == ef::LaneRefusal::kKeyBurned);
   CHECK_TRUE(refusal.not_run);
@@ -172,7 +172,7 @@
   CHECK(ef::ViewOf(*lanes_).bytes <= ef::kMaxLaneTableBytes);
   CHECK_TRUE(ExpectRefusal(Begin("late")).not_run);
   for (std::size_t i = 0; i < started; ++i) {
-    ef::BurnCall(*lanes_, lane_, "flood" + std::to_string(i), now_);
+    ef::MarkNotRun(*lanes_, lane_, "flood" + std::to_string(i), now_);
   }
   const auto refusal = ExpectRefusal(Begin("late"));
   CHECK(refusal.why == ef::LaneRefusal::kTableFull);
