--- a/fleet/tests/lane_test.cc
+++ b/fleet/tests/lane_test.cc
@@ -86,7 +86,7 @@
 
 // A caller is told "not run" because the queue was full, while a second copy of
 // its request is still in transit on a slow connection. That copy must not run.
-TEST(Lane, BurnedKeyNeverRuns) {
+TEST(Lane, KeyMarkedNotRunNeverRuns) {
   CHECK_TRUE(StartsRun("k"));
   CHECK_EQUAL(1U, ef::MarkNotRun(*lanes_, lane_, "k", now_).size());
   const auto refusal = ExpectRefusal(Begin("k"));
--- a/fleet/tests/lease_test.cc
+++ b/fleet/tests/lease_test.cc
@@ -13,19 +13,19 @@
 TEST_GROUP(Lease) {
   ef::Time now_{1h};
   ef::HeldSlots held_;
-  ef::KeeperState book_;
+  ef::KeeperState keeper_;
   egretladder::rules::Endpoint endpoint_;
 
   void setup() override {
     endpoint_.max_in_flight = 16;
     endpoint_.cold_max_in_flight = 4;
-    ef::InitKeeperState(book_, endpoint_, now_);
+    ef::InitKeeperState(keeper_, endpoint_, now_);
   }
   void ReceiveReport(std::uint64_t boot, std::uint32_t running = 0) {
     egretladder::policy::EngineReport report;
     report.boot = boot;
     report.running = running;
-    ef::ApplyReport(book_, &report, now_);
+    ef::ApplyReport(keeper_, &report, now_);
   }
   /// Sends a slot request of `node` to the keeper. Returns the slots granted.
   std::uint32_t AskForSlots(const std::string& node, std::uint64_t number,
@@ -37,8 +37,8 @@
     ask.urgent = urgent;
     ask.in_flight = in_flight;
     ask.live_from = live_from;
-    ef::ApplyAsk(book_, {node, 1}, number, ask, now_);
-    return ef::GrantSlots(book_, {node, 1}, now_);
+    ef::ApplyAsk(keeper_, {node, 1}, number, ask, now_);
+    return ef::GrantSlots(keeper_, {node, 1}, now_);
   }
 };
 
@@ -135,7 +135,7 @@
 // interactive requests would wait while batch work has slots.
 TEST(Lease, WorkOfTheTopTierGetsSlotsFirst) {
   endpoint_.cold_max_in_flight = 16;
-  ef::InitKeeperState(book_, endpoint_, now_);
+  ef::InitKeeperState(keeper_, endpoint_, now_);
   ReceiveReport(1);
   for (std::uint64_t round = 1; round <= 3; ++round) {
     AskForSlots("batch-1", round, 16, 0, round);
@@ -144,7 +144,7 @@
     const auto slots = AskForSlots("buyers", round, 12, 0, round, 10);
     if (round == 3) CHECK_TRUE(slots >= 10);
   }
-  CHECK_TRUE(ef::TotalOutstandingSlots(book_) <= ef::LeasableSlots(book_));
+  CHECK_TRUE(ef::TotalOutstandingSlots(keeper_) <= ef::LeasableSlots(keeper_));
 }
 
 // At most a quarter of an engine's cold_max_in_flight may be used without a
@@ -153,5 +153,5 @@
   CHECK_EQUAL(1U, ef::TotalFloorSlots(endpoint_));
   endpoint_.cold_max_in_flight = 2;
   CHECK_EQUAL(0U, ef::TotalFloorSlots(endpoint_));
-  CHECK_EQUAL(3U, ef::LeasableSlots(book_));
+  CHECK_EQUAL(3U, ef::LeasableSlots(keeper_));
 }
