--- a/lab/include/egretladder/lab/driver.h
+++ b/lab/include/egretladder/lab/driver.h
@@ -62,7 +62,8 @@
 /// Steps the clock through every event and every node's ticks up to `until`.
 void RunUntil(DriverState& state, Time until);
 
-/// Called after each tick of the clock (`node::kNodeTick`), for invariants.
+/// Called after each tick of the clock (`node::kNodeTickInterval`), for
+/// invariants.
 void AfterEachTick(DriverState& state, std::function<void()> check);
 
 /// Gives one event to a node: now; when it wakes, if it is paused; never, if it
--- a/net/include/egretladder/net/event_splitter.h
+++ b/net/include/egretladder/net/event_splitter.h
@@ -15,7 +15,7 @@
 /// resume the stream, so that only complete events are passed on.
 struct EventSplitter {
   std::string incomplete_event;   ///< Bytes of an incomplete event.
-  std::size_t scanned_bytes = 0;  ///< Bytes of `rest` in complete lines.
+  std::size_t scanned_bytes = 0;  ///< Its bytes in complete lines.
   std::string pending_id;         ///< Id of the incomplete event.
   std::string last_id;       ///< Id of the last complete event that had one.
   std::uint64_t events = 0;  ///< Number of complete events.
